--- a/internal/cell/answers.go
+++ b/internal/cell/answers.go
@@ -53,8 +53,8 @@
 		return
 	}
 	t.begun = true
-	if c.settings.Waited != nil && !t.stage.readyAt.IsZero() {
-		c.settings.Waited(t.stage.job.record.Priority, now.Sub(t.stage.readyAt))
+	if c.settings.ObserveWait != nil && !t.stage.readyAt.IsZero() {
+		c.settings.ObserveWait(t.stage.job.record.Priority, now.Sub(t.stage.readyAt))
 	}
 }
 
@@ -96,11 +96,11 @@
 	}
 }
 
-// PaceAnswered takes in the result of a pace order.
-func (c *Cell) PaceAnswered(o PaceOrder, err error, now time.Time) {
+// ThrottleAnswered takes in the result of a pace order.
+func (c *Cell) ThrottleAnswered(o ThrottleOrder, err error, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if a := c.attempt(o.Task, o.Worker.ID, o.Pace.Run); a != nil && err != nil {
+	if a := c.attempt(o.Task, o.Worker.ID, o.Throttle.Run); a != nil && err != nil {
 		// Unknown: have it sent again.
 		a.pace = -1
 		a.pacedAt = now
--- a/internal/cell/ask.go
+++ b/internal/cell/ask.go
@@ -165,8 +165,8 @@
 	return float64(n)
 }
 
-// Advised takes in the answer to a question about a stage.
-func (c *Cell) Advised(stage job.StageID, asked []string, tickets []advice.Ticket, err error, now time.Time) {
+// AdviceAnswered takes in the answer to a question about a stage.
+func (c *Cell) AdviceAnswered(stage job.StageID, asked []string, tickets []advice.Ticket, err error, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	askedAt := c.questions[stage].askedAt
--- a/internal/cell/ask_held_test.go
+++ b/internal/cell/ask_held_test.go
@@ -29,7 +29,7 @@
 		for _, id := range a.pending[0].Workers {
 			tickets = append(tickets, advice.Ticket{Worker: id, Text: "ticket-" + id})
 		}
-		a.site.cell.Advised(a.pending[0].Stage, a.pending[0].Workers, tickets, nil, a.site.now)
+		a.site.cell.AdviceAnswered(a.pending[0].Stage, a.pending[0].Workers, tickets, nil, a.site.now)
 		a.pending, a.due = a.pending[1:], a.due[1:]
 	}
 }
@@ -76,8 +76,8 @@
 		}
 		a.serve()
 		s.pass(10 * time.Millisecond)
-		s.cell.NextLook("a", s.now)
-		s.cell.LookFailed("a", runner.ErrNoAnswer, s.now)
+		s.cell.NextPoll("a", s.now)
+		s.cell.PollFailed("a", runner.ErrNoAnswer, s.now)
 		s.report("b")
 	}
 	return s.now.Sub(began)
@@ -140,7 +140,7 @@
 	crashes.lostAt = s.now
 	asks.asked = 0
 	for end := s.cell.workers["a"].leaseOver(); s.now.Before(end); s.pass(10 * time.Millisecond) {
-		s.cell.LookFailed("a", runner.ErrNoAnswer, s.now)
+		s.cell.PollFailed("a", runner.ErrNoAnswer, s.now)
 		s.report("b")
 		s.plan()
 		asks.serve()
@@ -164,7 +164,7 @@
 		s.confirm(o)
 	}
 	for over := s.cell.workers["a"].leaseOver().Add(-300 * time.Millisecond); s.now.Before(over); s.pass(100 * time.Millisecond) {
-		s.cell.LookFailed("a", runner.ErrNoAnswer, s.now)
+		s.cell.PollFailed("a", runner.ErrNoAnswer, s.now)
 		s.report("b")
 	}
 	other := advised(s.record(2, step(1)), 560*time.Millisecond)
--- a/internal/cell/ask_test.go
+++ b/internal/cell/ask_test.go
@@ -117,7 +117,7 @@
 	s.cell.Add(advised(s.record(1, step(1)), 20*time.Millisecond), true)
 	s.plan()
 	q := s.questions()[0]
-	s.cell.Advised(q.Stage, q.Workers, nil, errors.New("busy"), s.now)
+	s.cell.AdviceAnswered(q.Stage, q.Workers, nil, errors.New("busy"), s.now)
 	s.plan()
 	if len(s.questions()) != 0 {
 		t.Error("asked again at once")
@@ -146,7 +146,7 @@
 	if len(q) != 1 {
 		t.Fatal("no new ticket was asked for")
 	}
-	s.cell.Advised(q[0].Stage, q[0].Workers, []advice.Ticket{{Worker: "a", Text: "new"}}, nil, s.now)
+	s.cell.AdviceAnswered(q[0].Stage, q[0].Workers, []advice.Ticket{{Worker: "a", Text: "new"}}, nil, s.now)
 	if o := s.plan()[r.ID+".0.0.0"]; o.Start.Ticket != "new" {
 		t.Errorf("started with ticket %q", o.Start.Ticket)
 	}
@@ -155,7 +155,7 @@
 // A task's wait counts from the time at which it could have been started, and once.
 func TestWaitForTheFirstStart(t *testing.T) {
 	var waited []time.Duration
-	settings := Settings{Term: 1, Lease: 3500 * time.Millisecond, Waited: func(_ int, d time.Duration) { waited = append(waited, d) }}
+	settings := Settings{Term: 1, Lease: 3500 * time.Millisecond, ObserveWait: func(_ int, d time.Duration) { waited = append(waited, d) }}
 	s := newSiteWith(t, settings, usualWorker("a"))
 	two := s.record(1, step(1), step(1))
 	two.Steps[1].After = []int{0}
--- a/internal/cell/away.go
+++ b/internal/cell/away.go
@@ -12,21 +12,21 @@
 // with a question to the adviser is over before.
 const longAway = 3 * time.Second
 
-// Away describes a lasting task that is not at work.
-type Away struct {
-	Task   job.TaskID
-	Reason AwayReason
-	For    time.Duration
+// DownTask describes a lasting task that is not at work.
+type DownTask struct {
+	Task    job.TaskID
+	Reason  DownReason
+	DownFor time.Duration
 	// Run and Worker are those of its run, if it has one.
 	Run    uint64
 	Worker string
-	// Roomy is how many workers could hold the task beside what they have.
-	Roomy int
+	// WorkersWithCapacity is how many workers could hold the task beside what they have.
+	WorkersWithCapacity int
 }
 
-// Aways returns how many lasting tasks have not been at work for long, and those that have
+// DownTasks returns how many lasting tasks have not been at work for long, and those that have
 // been away longest, at most most.
-func (c *Cell) Aways(most int, now time.Time) (list []Away, total int) {
+func (c *Cell) DownTasks(most int, now time.Time) (list []DownTask, total int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	tasks := c.awayTasks(now)
@@ -58,8 +58,8 @@
 	return away
 }
 
-func (c *Cell) explainAway(t *task, room *room, now time.Time) Away {
-	away := Away{Task: t.id(), Reason: c.awayReason(t, room, now), For: now.Sub(c.lastAtWork(t)), Roomy: c.roomy(t.stage)}
+func (c *Cell) explainAway(t *task, room *room, now time.Time) DownTask {
+	away := DownTask{Task: t.id(), Reason: c.awayReason(t, room, now), DownFor: now.Sub(c.lastAtWork(t)), WorkersWithCapacity: c.roomy(t.stage)}
 	if len(t.attempts) > 0 {
 		away.Run, away.Worker = t.attempts[0].run, t.attempts[0].worker.ID
 	}
@@ -90,30 +90,30 @@
 }
 
 // awayReason finds out why a lasting task is not at work.
-func (c *Cell) awayReason(t *task, room *room, now time.Time) AwayReason {
+func (c *Cell) awayReason(t *task, room *room, now time.Time) DownReason {
 	if len(t.attempts) > 0 {
 		return t.attempts[0].whyNotAtWork()
 	}
 	s := t.stage
 	switch {
 	case c.heldBack(s):
-		return RunUnseen
+		return RunUnconfirmed
 	case t.pauses(now):
-		return CrashPause
+		return CrashBackoff
 	case c.heldByQuota(s) != "":
-		return QuotaHolds
+		return HeldByQuota
 	case c.roomy(s) == 0:
-		return RoomTaken
+		return CapacityExhausted
 	case len(c.fitting(s, room, now)) > 0:
-		return RoomFree
+		return CapacityAvailable
 	case s.advice.asking:
-		return AdviserAsked
+		return AdvicePending
 	}
 	return c.passedOver(s, room, now)
 }
 
 // passedOver finds out why no worker with room takes a stage.
-func (c *Cell) passedOver(s *stage, room *room, now time.Time) AwayReason {
+func (c *Cell) passedOver(s *stage, room *room, now time.Time) DownReason {
 	need := s.step.Occupied()
 	usable, open := 0, 0
 	for _, w := range room.usable {
@@ -127,9 +127,9 @@
 	}
 	switch {
 	case usable == 0:
-		return WorkersAvoided
+		return WorkersUnavailable
 	case open == 0:
-		return KeptForOthers
+		return ReservedForOthers
 	}
 	return NoTicket
 }
@@ -146,14 +146,14 @@
 }
 
 // whyNotAtWork tells why a task with a run is not at work.
-func (a *attempt) whyNotAtWork() AwayReason {
+func (a *attempt) whyNotAtWork() DownReason {
 	switch {
 	case a.inherited:
-		return RunUnseen
+		return RunUnconfirmed
 	case a.phase == stopping:
 		return RunStopping
 	case !a.worker.failingAt.IsZero():
-		return WorkerSilent
+		return WorkerUnresponsive
 	}
 	return RunStarting
 }
--- a/internal/cell/away_test.go
+++ b/internal/cell/away_test.go
@@ -17,15 +17,15 @@
 		step    job.Step
 		advised bool
 		arrange func(s *site, task string)
-		want    AwayReason
+		want    DownReason
 	}{
-		{"no room", wide, false, func(s *site, _ string) { s.cell.Add(s.record(9, step(16)), true) }, RoomTaken},
+		{"no room", wide, false, func(s *site, _ string) { s.cell.Add(s.record(9, step(16)), true) }, CapacityExhausted},
 		{"its start within the urgent reserve is not answered", wide, false, nil, RunStarting},
-		{"the adviser is asked", lasting(1, 0), true, nil, AdviserAsked},
+		{"the adviser is asked", lasting(1, 0), true, nil, AdvicePending},
 		{"its start is not answered", lasting(1, 0), false, nil, RunStarting},
 		{"its workers were lost", lasting(1, 0), false, func(s *site, task string) {
 			s.cell.taskNamed(task).crashes = crashHistory{silent: []uint64{1, 2, 3}, lostAt: s.now}
-		}, CrashPause},
+		}, CrashBackoff},
 	} {
 		s := newSite(t, 1, usualWorker("a"))
 		s.report("a")
@@ -42,8 +42,8 @@
 		s.plan()
 		s.pass(longAway)
 		s.report("a")
-		aways, total := s.cell.Aways(4, s.now)
-		if total != 1 || aways[0].Reason != test.want || aways[0].For < longAway {
+		aways, total := s.cell.DownTasks(4, s.now)
+		if total != 1 || aways[0].Reason != test.want || aways[0].DownFor < longAway {
 			t.Errorf("%s: %+v, want %s", test.name, aways, test.want)
 		}
 	}
@@ -61,7 +61,7 @@
 	for range 5 {
 		s.pass(time.Second)
 		s.report("a")
-		if aways, total := s.cell.Aways(4, s.now); total != 0 {
+		if aways, total := s.cell.DownTasks(4, s.now); total != 0 {
 			t.Fatalf("away: %+v", aways)
 		}
 	}
--- a/internal/cell/backlog.go
+++ b/internal/cell/backlog.go
@@ -112,7 +112,7 @@
 	sum := p.work[j.record.Priority]
 	for _, s := range j.stages {
 		need := s.step.Occupied()
-		if s.step.LongRunning || s.isDone() || !need.Fits(p.largest) || !s.due(now, c.settings.Early) {
+		if s.step.LongRunning || s.isDone() || !need.Fits(p.largest) || !s.due(now, c.settings.EarlyStart) {
 			continue
 		}
 		running := len(s.tasks) - s.done - len(s.idle)
--- a/internal/cell/bench_test.go
+++ b/internal/cell/bench_test.go
@@ -53,7 +53,7 @@
 		for k := range workers / 3 {
 			tickets = append(tickets, advice.Ticket{Worker: fmt.Sprint(3 * k), Text: "t"})
 		}
-		c.Advised(job.StageID{Job: r.ID}, nil, tickets, nil, siteStart)
+		c.AdviceAnswered(job.StageID{Job: r.ID}, nil, tickets, nil, siteStart)
 	}
 	return c
 }
--- a/internal/cell/closing.go
+++ b/internal/cell/closing.go
@@ -13,7 +13,7 @@
 // says of a closed worker that nothing was started there since, and what may still be
 // there, so that a new owner holds back those tasks alone.
 func (c *Cell) watchClosing(w *worker, now time.Time) {
-	if !c.uses(Closing) {
+	if !c.uses(Cordoning) {
 		return
 	}
 	closed := w.Draining || w.silent(now) || (w.closed && !w.reported)
@@ -36,7 +36,7 @@
 
 // known returns what to store of a worker.
 func (w *worker) known() KnownWorker {
-	k := KnownWorker{ID: w.ID, Born: w.incarnation, Address: w.Address, Closed: w.closed}
+	k := KnownWorker{ID: w.ID, Incarnation: w.incarnation, Address: w.Address, Cordoned: w.closed}
 	if !w.closed {
 		return k
 	}
--- a/internal/cell/closing_test.go
+++ b/internal/cell/closing_test.go
@@ -23,7 +23,7 @@
 			onB = task
 		}
 	}
-	before.cell.LookFailed("b", runner.ErrNoAnswer, before.now)
+	before.cell.PollFailed("b", runner.ErrNoAnswer, before.now)
 	before.pass(closeAfter)
 	before.plan()
 	commit := before.cell.NextCommit(10)
@@ -35,7 +35,7 @@
 	s.cell.Load(r, nil)
 	s.cell.Load(waiting, nil)
 	for _, chunk := range commit.Chunks {
-		s.cell.Inherit(chunk.Workers, s.now)
+		s.cell.LoadWorkers(chunk.Workers, s.now)
 	}
 	s.report("a")
 	s.report("c")
@@ -60,7 +60,7 @@
 	r := s.record(1, step(1))
 	s.cell.Load(r, nil)
 	task := r.ID + ".0.0.0"
-	s.cell.Inherit([]KnownWorker{{ID: "b", Address: "b:1", Closed: true, Runs: []KnownRun{{Task: task, Run: 1}}}}, s.now)
+	s.cell.LoadWorkers([]KnownWorker{{ID: "b", Address: "b:1", Cordoned: true, Runs: []KnownRun{{Task: task, Run: 1}}}}, s.now)
 	s.runs["a"] = []runner.RunState{{Task: task, Run: 2, Percent: 50}}
 	s.report("a")
 	s.plan()
@@ -76,7 +76,7 @@
 func TestAnOpenedWorkerGetsNothingBeforeItIsStored(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
-	s.cell.LookFailed("a", runner.ErrNoAnswer, s.now)
+	s.cell.PollFailed("a", runner.ErrNoAnswer, s.now)
 	s.pass(closeAfter)
 	s.plan()
 	s.commit()
--- a/internal/cell/commit.go
+++ b/internal/cell/commit.go
@@ -75,9 +75,9 @@
 	}
 }
 
-// NotCommitted takes in that a commit was not stored, or not for certain. Its
+// CommitFailed takes in that a commit was not stored, or not for certain. Its
 // jobs and chunks are stored again.
-func (c *Cell) NotCommitted(commit *Commit) {
+func (c *Cell) CommitFailed(commit *Commit) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, chunk := range commit.Chunks {
@@ -88,9 +88,9 @@
 	}
 }
 
-// Expired removes jobs that ended longer than keep ago from memory and returns
+// RemoveExpired removes jobs that ended longer than keep ago from memory and returns
 // their ids, so that their rows can be removed.
-func (c *Cell) Expired(keep time.Duration, now time.Time, limit int) []string {
+func (c *Cell) RemoveExpired(keep time.Duration, now time.Time, limit int) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var ids []string
--- a/internal/cell/condense.go
+++ b/internal/cell/condense.go
@@ -6,21 +6,21 @@
 	"gentianstand/internal/job"
 )
 
-// Ended is what is kept of a job that ended some time ago.
-type Ended struct {
+// CompactedJob is what is kept of a job that ended some time ago.
+type CompactedJob struct {
 	Record   *job.Record
 	Progress *job.Progress
 	state    *jobState
 }
 
-// Condense returns jobs that ended longer than after ago and of which nothing runs, at
+// Compact returns jobs that ended longer than after ago and of which nothing runs, at
 // most limit, to be stored in a condensed form. Their text, steps and tasks are dropped
 // from memory. Ended jobs are kept for minutes, and a new owner reads them all over a link
 // that may be narrow.
-func (c *Cell) Condense(after time.Duration, now time.Time, limit int) []Ended {
+func (c *Cell) Compact(after time.Duration, now time.Time, limit int) []CompactedJob {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var list []Ended
+	var list []CompactedJob
 	for _, j := range c.jobs {
 		if len(list) == limit {
 			break
@@ -34,13 +34,13 @@
 		j.condensed = true
 		j.record = job.EndedRecord(j.record)
 		j.stages = nil
-		list = append(list, Ended{Record: j.record, Progress: j.progress(), state: j})
+		list = append(list, CompactedJob{Record: j.record, Progress: j.progress(), state: j})
 	}
 	return list
 }
 
-// NotCondensed takes in that some jobs were not stored in their condensed form.
-func (c *Cell) NotCondensed(list []Ended) {
+// CompactFailed takes in that some jobs were not stored in their condensed form.
+func (c *Cell) CompactFailed(list []CompactedJob) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, e := range list {
--- a/internal/cell/condense_test.go
+++ b/internal/cell/condense_test.go
@@ -22,10 +22,10 @@
 
 func TestOnlyJobsThatEndedSomeTimeAgoAreCondensed(t *testing.T) {
 	l, ended, going := endedLoad(t)
-	if list := l.cell.Condense(time.Minute, l.now, 10); len(list) > 0 {
+	if list := l.cell.Compact(time.Minute, l.now, 10); len(list) > 0 {
 		t.Errorf("%d jobs are condensed too early", len(list))
 	}
-	list := l.cell.Condense(time.Second, l.now, 10)
+	list := l.cell.Compact(time.Second, l.now, 10)
 	if len(list) != 1 || list[0].Record.ID != ended || !list[0].Record.Ended || len(list[0].Record.Steps) > 0 ||
 		list[0].Progress.Final != job.Completed || len(list[0].Progress.Stages) > 0 {
 		t.Fatalf("condensed are %+v", list)
@@ -33,11 +33,11 @@
 	if state, ok := l.cell.State(ended); state != job.Completed || !ok {
 		t.Errorf("the condensed job is shown as %q", state)
 	}
-	if again := l.cell.Condense(time.Second, l.now, 10); len(again) > 0 {
+	if again := l.cell.Compact(time.Second, l.now, 10); len(again) > 0 {
 		t.Error("it is condensed twice")
 	}
-	l.cell.NotCondensed(list)
-	if again := l.cell.Condense(time.Second, l.now, 10); len(again) != 1 {
+	l.cell.CompactFailed(list)
+	if again := l.cell.Compact(time.Second, l.now, 10); len(again) != 1 {
 		t.Error("it is not condensed again after it was not stored")
 	}
 	l.run(10*time.Second, nil)
@@ -49,9 +49,9 @@
 // Failure: the owner ends, or a task of a job that has ended runs on.
 func TestLateNewsOfACondensedJob(t *testing.T) {
 	l, ended, _ := endedLoad(t)
-	l.cell.Condense(time.Second, l.now, 10)
+	l.cell.Compact(time.Second, l.now, 10)
 	stage := job.StageID{Job: ended}
-	l.cell.Advised(stage, nil, nil, nil, l.now)
+	l.cell.AdviceAnswered(stage, nil, nil, nil, l.now)
 	w := l.workers["w000"]
 	task := job.TaskID{Job: ended, Index: 1}.String()
 	w.runs[task] = &loadRun{run: 40, began: l.now, endsAt: l.now.Add(time.Hour)}
@@ -73,7 +73,7 @@
 	if state, _ := l.cell.State(r.ID); state != job.Failed {
 		t.Errorf("read with its progress it is %q", state)
 	}
-	if list := l.cell.Condense(0, l.now.Add(time.Hour), 10); len(list) > 0 {
+	if list := l.cell.Compact(0, l.now.Add(time.Hour), 10); len(list) > 0 {
 		t.Error("it is condensed again")
 	}
 	other := job.EndedRecord(&job.Record{ID: "00000000000000bb"})
--- a/internal/cell/copies.go
+++ b/internal/cell/copies.go
@@ -23,7 +23,7 @@
 func (c *Cell) copyIfDoubtful(a *attempt, now time.Time) {
 	t := a.task
 	s := t.stage
-	if !c.uses(Copies) || !s.step.AllowDuplicates || s.step.Gang || t.done || s.job.final != "" || len(t.attempts) >= mostCopies {
+	if !c.uses(SpeculativeRuns) || !s.step.AllowDuplicates || s.step.Gang || t.done || s.job.final != "" || len(t.attempts) >= mostCopies {
 		return
 	}
 	if t.crashes.losses() > 1 {
@@ -33,7 +33,7 @@
 	if !a.doubtful(now) || !s.addIdle(t.index) {
 		return
 	}
-	c.stats.Copies++
+	c.stats.SpeculativeRuns++
 	c.log.WithFields(attemptFields(a)).WithField("phase", a.phase).Info("run_copied")
 	c.wake(s)
 }
--- a/internal/cell/copies_test.go
+++ b/internal/cell/copies_test.go
@@ -36,7 +36,7 @@
 func (s *site) silence(worker, other string, d time.Duration) map[string]StartOrder {
 	for passed := time.Duration(0); passed < d; passed += 100 * time.Millisecond {
 		s.pass(100 * time.Millisecond)
-		s.cell.LookFailed(worker, errSilent, s.now)
+		s.cell.PollFailed(worker, errSilent, s.now)
 		s.report(other)
 		s.commit()
 		if starts := s.plan(); len(starts) > 0 {
--- a/internal/cell/crash.go
+++ b/internal/cell/crash.go
@@ -118,7 +118,7 @@
 	if t.done || j.final != "" {
 		return
 	}
-	c.stats.GivenUp++
+	c.stats.PoisonJobs++
 	c.log.WithFields(logrus.Fields{"job": j.record.ID, "task": t.id().String(), "crashes": len(t.crashes.crashed)}).Warn("job_given_up")
 	c.end(j, job.Failed, now)
 }
--- a/internal/cell/crash_blame_test.go
+++ b/internal/cell/crash_blame_test.go
@@ -52,8 +52,8 @@
 	for _, id := range others {
 		w.checkState(id, job.Completed)
 	}
-	if w.cell.stats.GivenUp > 0 {
-		t.Errorf("%d jobs were given up", w.cell.stats.GivenUp)
+	if w.cell.stats.PoisonJobs > 0 {
+		t.Errorf("%d jobs were given up", w.cell.stats.PoisonJobs)
 	}
 }
 
@@ -126,7 +126,7 @@
 	s.report("b")
 	order := s.plan()[r.ID+".0.0.0"]
 	s.cell.StartAnswered(order, runner.Answer{}, &runner.Refusal{Reason: runner.Unhealthy}, s.now)
-	s.cell.LookFailed(order.Worker.ID, runner.ErrGone, s.now)
+	s.cell.PollFailed(order.Worker.ID, runner.ErrGone, s.now)
 	if got := s.cell.jobs[r.ID].stages[0].tasks[0].crashes.losses(); got != 0 {
 		t.Errorf("%d lost workers count for the task, want none", got)
 	}
--- a/internal/cell/crash_worker_test.go
+++ b/internal/cell/crash_worker_test.go
@@ -108,13 +108,13 @@
 
 func (w *crashWorld) look(id string) {
 	state := w.states[id]
-	target, look, ok := w.cell.NextLook(id, w.now)
+	target, look, ok := w.cell.NextPoll(id, w.now)
 	switch {
 	case !ok:
 	case state.replaced && !w.elsewhere:
-		w.cell.LookFailed(id, runner.ErrGone, w.now)
+		w.cell.PollFailed(id, runner.ErrGone, w.now)
 	case state.cut || !state.backAt.IsZero():
-		w.cell.LookFailed(id, runner.ErrNoAnswer, w.now)
+		w.cell.PollFailed(id, runner.ErrNoAnswer, w.now)
 	default:
 		if look.LeaseUntil != nil && target.Born == w.workers[id].roster.Born {
 			w.grant(id, *look.LeaseUntil)
--- a/internal/cell/crash_world_test.go
+++ b/internal/cell/crash_world_test.go
@@ -170,9 +170,9 @@
 	}
 	w.cell.SetRoster(listed, w.now)
 	for _, workers := range w.chunks {
-		w.cell.Inherit(workers, w.now)
+		w.cell.LoadWorkers(workers, w.now)
 	}
-	w.cell.InheritedAll()
+	w.cell.WorkersLoaded()
 }
 
 func (w *crashWorld) decode(id string) *job.Progress {
--- a/internal/cell/evacuate.go
+++ b/internal/cell/evacuate.go
@@ -13,8 +13,8 @@
 // atWork is the progress in percent that a lasting task reports when it works.
 const atWork = 100
 
-// Evacuate names all workers that are to be emptied; others are used again.
-func (c *Cell) Evacuate(workers []string) {
+// SetEvacuating names all workers that are to be emptied; others are used again.
+func (c *Cell) SetEvacuating(workers []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	named := make(map[string]bool, len(workers))
@@ -47,10 +47,10 @@
 	return load
 }
 
-// Ended takes in that a worker's life has ended by an order that was first sent at
+// WorkerTerminated takes in that a worker's life has ended by an order that was first sent at
 // orderedAt. An incarnation that became known later is the next one: the answer may come
 // when the upkeep is over.
-func (c *Cell) Ended(id string, orderedAt, now time.Time) {
+func (c *Cell) WorkerTerminated(id string, orderedAt, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	w := c.workers[id]
--- a/internal/cell/evacuate_test.go
+++ b/internal/cell/evacuate_test.go
@@ -40,12 +40,12 @@
 func TestWorkerThatIsEmptiedGetsNothingNew(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
-	s.cell.Evacuate([]string{"a"})
+	s.cell.SetEvacuating([]string{"a"})
 	s.cell.Add(s.record(1, step(2)), true)
 	if starts := s.look("a"); len(starts) > 0 {
 		t.Errorf("started on a worker that is emptied: %v", starts)
 	}
-	s.cell.Evacuate(nil)
+	s.cell.SetEvacuating(nil)
 	if starts := s.look("a"); len(starts) != 2 {
 		t.Errorf("%d starts after the upkeep was taken back, want 2", len(starts))
 	}
@@ -61,7 +61,7 @@
 	short.Checkpoint = true
 	s.started(s.record(1, saves, cannot, short))
 	s.look("a")
-	s.cell.Evacuate([]string{"a"})
+	s.cell.SetEvacuating([]string{"a"})
 	s.look("a")
 	var stopped []string
 	for _, o := range s.orders {
@@ -88,7 +88,7 @@
 	}
 	s.report("c")
 	s.look("a", "b", "c")
-	s.cell.Evacuate([]string{"a", "b"})
+	s.cell.SetEvacuating([]string{"a", "b"})
 	s.look("a", "b", "c")
 	stopped := s.stops()
 	if len(stopped) != 1 {
@@ -135,11 +135,11 @@
 func TestEndedWorkerDoesNotComeBackByAnOldHeartbeat(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
-	s.cell.Ended("a", s.now, s.now)
+	s.cell.WorkerTerminated("a", s.now, s.now)
 	old := roster.Change{Workers: []roster.Worker{usualWorker("a")}}
 	s.cell.UpdateRoster(old, s.now)
 	s.cell.SetRoster(old.Workers, s.now)
-	if ids := s.cell.WorkerIDs(); len(ids) > 0 {
+	if ids := s.cell.WorkersToPoll(); len(ids) > 0 {
 		t.Errorf("workers %v after the end of their lives", ids)
 	}
 	s.cell.UpdateRoster(roster.Change{Removed: []string{"a"}}, s.now)
@@ -162,7 +162,7 @@
 	}
 	for id, w := range s.cell.workers {
 		if w.parked {
-			s.cell.Ended(id, s.now, s.now)
+			s.cell.WorkerTerminated(id, s.now, s.now)
 			break
 		}
 	}
--- a/internal/cell/known_workers.go
+++ b/internal/cell/known_workers.go
@@ -28,20 +28,20 @@
 
 func (k *knownWorkers) changed(workerID string) { k.unsaved[chunkOf(workerID)] = struct{}{} }
 
-// Inherit takes in the workers that an earlier owner stored in a chunk. Those
+// LoadWorkers takes in the workers that an earlier owner stored in a chunk. Those
 // that the roster lacks are looked at like the others. It must be called after
 // SetRoster and after the jobs were loaded.
-func (c *Cell) Inherit(workers []KnownWorker, now time.Time) {
+func (c *Cell) LoadWorkers(workers []KnownWorker, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, k := range workers {
 		w := c.workers[k.ID]
 		if w == nil {
-			w = newWorker(roster.Worker{ID: k.ID, Born: k.Born, Address: k.Address}, now)
+			w = newWorker(roster.Worker{ID: k.ID, Born: k.Incarnation, Address: k.Address}, now)
 			c.workers[k.ID] = w
 			c.unregister(w, now)
 		}
-		if k.Born != 0 && k.Born < w.incarnation {
+		if k.Incarnation != 0 && k.Incarnation < w.incarnation {
 			c.inheritCrash(w, k, now)
 			continue
 		}
@@ -50,15 +50,15 @@
 		}
 		w.named = true
 		c.inheritLease(w, k, now)
-		if k.Born > w.incarnation {
+		if k.Incarnation > w.incarnation {
 			// The roster is behind.
-			c.setIncarnation(w, k.Born)
+			c.setIncarnation(w, k.Incarnation)
 		}
-		w.saved = !k.Closed && (k.Born == 0 || k.Born == w.incarnation)
+		w.saved = !k.Cordoned && (k.Incarnation == 0 || k.Incarnation == w.incarnation)
 		if !w.saved {
 			c.known.changed(w.ID)
 		}
-		if k.Closed {
+		if k.Cordoned {
 			c.inheritRuns(w, k.Runs, now)
 		}
 		c.inheritSuspects(w, k.Suspects)
@@ -73,10 +73,10 @@
 	c.known.changed(w.ID)
 }
 
-// InheritedAll tells that Inherit was called with every chunk. On other workers no earlier
+// WorkersLoaded tells that Inherit was called with every chunk. On other workers no earlier
 // owner can have started anything: it would have stored them before, and since this owner
 // holds the claim it can store nothing more. So they are not waited for.
-func (c *Cell) InheritedAll() {
+func (c *Cell) WorkersLoaded() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.inheritedAll = true
@@ -117,8 +117,8 @@
 func (c *Cell) chunksStored(chunks []WorkerChunk) {
 	for _, chunk := range chunks {
 		for _, k := range chunk.Workers {
-			if w := c.workers[k.ID]; w != nil && w.incarnation == k.Born {
-				w.saved = !k.Closed
+			if w := c.workers[k.ID]; w != nil && w.incarnation == k.Incarnation {
+				w.saved = !k.Cordoned
 			}
 		}
 	}
--- a/internal/cell/known_workers_test.go
+++ b/internal/cell/known_workers_test.go
@@ -14,7 +14,7 @@
 	r := s.record(1, step(1))
 	s.cell.Load(r, nil)
 	task := r.ID + ".0.0.0"
-	s.cell.Inherit([]KnownWorker{{ID: "b", Address: "b:1"}}, s.now)
+	s.cell.LoadWorkers([]KnownWorker{{ID: "b", Address: "b:1"}}, s.now)
 	s.report("a")
 	if again, ok := s.plan()[task]; ok {
 		t.Fatalf("run %d was started although b has not reported", again.Start.Run)
@@ -62,16 +62,16 @@
 	s := newSite(t, 2, usualWorker("a"), usualWorker("down"))
 	older := s.record(1, step(1))
 	s.cell.Load(older, nil)
-	s.cell.Inherit([]KnownWorker{{ID: "a", Address: "a:1"}}, s.now)
-	s.cell.InheritedAll()
+	s.cell.LoadWorkers([]KnownWorker{{ID: "a", Address: "a:1"}}, s.now)
+	s.cell.WorkersLoaded()
 	s.report("a")
 	if starts := s.plan(); len(starts) != 1 {
 		t.Errorf("%d starts beside a worker that the store does not name, want 1", len(starts))
 	}
 	later := newSite(t, 2, usualWorker("a"))
 	later.cell.Load(older, nil)
-	later.cell.Inherit([]KnownWorker{{ID: "a", Address: "a:1"}}, later.now)
-	later.cell.InheritedAll()
+	later.cell.LoadWorkers([]KnownWorker{{ID: "a", Address: "a:1"}}, later.now)
+	later.cell.WorkersLoaded()
 	later.cell.UpdateRoster(roster.Change{Workers: []roster.Worker{usualWorker("down")}}, later.now)
 	later.report("a")
 	if starts := later.plan(); len(starts) != 1 {
@@ -83,7 +83,7 @@
 func TestUnreadWorkersHoldARecoveryUp(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"), usualWorker("b"))
 	s.cell.Load(s.record(1, step(1)), nil)
-	s.cell.Inherit([]KnownWorker{{ID: "a", Address: "a:1"}}, s.now)
+	s.cell.LoadWorkers([]KnownWorker{{ID: "a", Address: "a:1"}}, s.now)
 	s.report("a")
 	if starts := s.plan(); len(starts) > 0 {
 		t.Errorf("started beside a worker that may have runs: %v", starts)
--- a/internal/cell/lasting_came_back_test.go
+++ b/internal/cell/lasting_came_back_test.go
@@ -63,7 +63,7 @@
 				for _, id := range ask.Workers {
 					tickets = append(tickets, advice.Ticket{Worker: id, Text: "ticket-" + id})
 				}
-				s.cell.Advised(ask.Stage, ask.Workers, tickets, nil, s.now)
+				s.cell.AdviceAnswered(ask.Stage, ask.Workers, tickets, nil, s.now)
 			}
 		}
 		s.pass(watchPeriod)
--- a/internal/cell/lasting_crash_test.go
+++ b/internal/cell/lasting_crash_test.go
@@ -33,7 +33,7 @@
 		delete(alive, o.Worker.ID)
 		lostAt := s.now
 		for s.now.Sub(lostAt) < 20*time.Second {
-			s.cell.LookFailed(o.Worker.ID, runner.ErrNoAnswer, s.now)
+			s.cell.PollFailed(o.Worker.ID, runner.ErrNoAnswer, s.now)
 			starts = s.look(answering()...)
 			s.commit()
 			if len(starts) > 0 {
--- a/internal/cell/lasting_given_up_test.go
+++ b/internal/cell/lasting_given_up_test.go
@@ -23,9 +23,9 @@
 		}
 		s.confirm(o)
 		s.pass(after)
-		s.cell.LookFailed(o.Worker.ID, runner.ErrGone, s.now)
+		s.cell.PollFailed(o.Worker.ID, runner.ErrGone, s.now)
 		s.runs[o.Worker.ID] = nil
-		starts = s.look(s.cell.WorkerIDs()...)
+		starts = s.look(s.cell.WorkersToPoll()...)
 	}
 	s.commit()
 	state, _ := s.cell.State(r.ID)
--- a/internal/cell/lasting_retry_test.go
+++ b/internal/cell/lasting_retry_test.go
@@ -179,7 +179,7 @@
 func TestParkedWorkersWakeBeforeAnAvoidedOneIsTried(t *testing.T) {
 	s := idleSite(t, 4, 1)
 	s.startAll()
-	awake := s.cell.WorkerIDs()
+	awake := s.cell.WorkersToPoll()
 	if len(awake) != 1 {
 		t.Fatalf("%d workers are awake, want 1", len(awake))
 	}
--- a/internal/cell/lease_left.go
+++ b/internal/cell/lease_left.go
@@ -37,10 +37,10 @@
 // inheritLease takes in how long the lease of a worker lasts. That holds only if the last
 // owner has told it: one after it may have extended the lease.
 func (c *Cell) inheritLease(w *worker, k KnownWorker, now time.Time) {
-	if k.LeaseLeftMillis == 0 || k.Term+1 != c.settings.Term {
+	if k.LeaseRemainingMillis == 0 || k.Term+1 != c.settings.Term {
 		return
 	}
-	left := time.Duration(k.LeaseLeftMillis) * time.Millisecond
+	left := time.Duration(k.LeaseRemainingMillis) * time.Millisecond
 	w.inheritedUntil = now.Add(time.Duration(float64(left) * (1 + clockDrift)))
 }
 
@@ -51,6 +51,6 @@
 	}
 	left := max(0, c.runsOverAt(w).Sub(c.endedAt))
 	// Rounded up, and never 0, which is for an owner that did not tell.
-	k.LeaseLeftMillis = left.Milliseconds() + 1
+	k.LeaseRemainingMillis = left.Milliseconds() + 1
 	k.Term = c.settings.Term
 }
--- a/internal/cell/lease_test.go
+++ b/internal/cell/lease_test.go
@@ -24,8 +24,8 @@
 	lost := s.now
 	for s.now.Sub(lost) < 3400*time.Millisecond {
 		s.pass(200 * time.Millisecond)
-		s.cell.NextLook("a", s.now)
-		s.cell.LookFailed("a", fmt.Errorf("%w: timeout", runner.ErrNoAnswer), s.now)
+		s.cell.NextPoll("a", s.now)
+		s.cell.PollFailed("a", fmt.Errorf("%w: timeout", runner.ErrNoAnswer), s.now)
 		s.report("b")
 		if again, ok := s.plan()[task]; ok {
 			t.Fatalf("run %d was started %v after the last report, within the lease", again.Start.Run, s.now.Sub(lost))
@@ -104,19 +104,19 @@
 	s.confirm(o)
 	s.finish(o, runner.Done)
 	s.report("a")
-	if _, look, _ := s.cell.NextLook("a", s.now); look.Acknowledged != 0 {
+	if _, look, _ := s.cell.NextPoll("a", s.now); look.Acknowledged != 0 {
 		t.Fatalf("end %d was acknowledged before it was stored", look.Acknowledged)
 	}
 	if state, _ := s.cell.State(r.ID); state != job.Running {
 		t.Fatalf("state %q was shown before it was stored", state)
 	}
 	commit := s.cell.NextCommit(10)
-	s.cell.NotCommitted(commit)
-	if _, look, _ := s.cell.NextLook("a", s.now); look.Acknowledged != 0 {
+	s.cell.CommitFailed(commit)
+	if _, look, _ := s.cell.NextPoll("a", s.now); look.Acknowledged != 0 {
 		t.Fatal("the end was acknowledged although the commit failed")
 	}
 	s.commit()
-	if _, look, _ := s.cell.NextLook("a", s.now); look.Acknowledged != 1 {
+	if _, look, _ := s.cell.NextPoll("a", s.now); look.Acknowledged != 1 {
 		t.Errorf("acknowledged %d after the commit, want 1", look.Acknowledged)
 	}
 	if state, _ := s.cell.State(r.ID); state != job.Completed {
@@ -134,7 +134,7 @@
 	s.confirm(s.plan()[r.ID+".0.0.0"])
 	s.report("a")
 	s.report("b")
-	s.cell.LookFailed("a", runner.ErrGone, s.now)
+	s.cell.PollFailed("a", runner.ErrGone, s.now)
 	if o, ok := s.plan()[r.ID+".0.0.0"]; !ok || o.Worker.ID != "b" {
 		t.Error("the task was not started at once on the other worker")
 	}
@@ -176,7 +176,7 @@
 	if s.cell.workers["a"] == nil {
 		t.Fatal("a worker that answers was forgotten")
 	}
-	s.cell.LookFailed("a", runner.ErrNoAnswer, s.now)
+	s.cell.PollFailed("a", runner.ErrNoAnswer, s.now)
 	s.pass(watchPeriod)
 	s.plan()
 	if s.cell.workers["a"] != nil {
@@ -197,13 +197,13 @@
 	s.report("a")
 	s.plan()
 	s.commit()
-	if _, look, _ := s.cell.NextLook("a", s.now); look.Acknowledged != 0 {
+	if _, look, _ := s.cell.NextPoll("a", s.now); look.Acknowledged != 0 {
 		t.Errorf("end %d is acknowledged before b was heard", look.Acknowledged)
 	}
 	s.report("b")
 	s.plan()
 	s.commit()
-	if _, look, _ := s.cell.NextLook("a", s.now); look.Acknowledged != 1 {
+	if _, look, _ := s.cell.NextPoll("a", s.now); look.Acknowledged != 1 {
 		t.Errorf("end %d is acknowledged after all workers were heard, want 1", look.Acknowledged)
 	}
 }
--- a/internal/cell/load_adviser_test.go
+++ b/internal/cell/load_adviser_test.go
@@ -40,7 +40,7 @@
 		} else {
 			l.adviser.lanes.Any++
 		}
-		l.cell.Advised(q.order.Stage, q.order.Workers, l.adviser.ticketsFor(q.order.Stage, q.order.Workers), nil, l.now)
+		l.cell.AdviceAnswered(q.order.Stage, q.order.Workers, l.adviser.ticketsFor(q.order.Stage, q.order.Workers), nil, l.now)
 	}
 }
 
--- a/internal/cell/load_world_test.go
+++ b/internal/cell/load_world_test.go
@@ -83,7 +83,7 @@
 	l.workOf = func(id job.TaskID, _ *loadWorker) time.Duration {
 		return l.cell.jobs[id.Job].record.Steps[id.Step].Estimate
 	}
-	l.cell = New(Settings{Term: 1, EarlierStopped: true, Lease: 3500 * time.Millisecond, StopGrace: 900 * time.Millisecond}, l.now, quietLog())
+	l.cell = New(Settings{Term: 1, PreviousOwnerStopped: true, Lease: 3500 * time.Millisecond, StopGrace: 900 * time.Millisecond}, l.now, quietLog())
 	var all []roster.Worker
 	for n := range workers {
 		all = append(all, l.addWorker(fmt.Sprintf("w%03d", n), fmt.Sprintf("r%d", n/8)))
@@ -161,16 +161,16 @@
 }
 
 func (l *load) report(w *loadWorker) {
-	target, look, ok := l.cell.NextLook(w.roster.ID, l.now)
+	target, look, ok := l.cell.NextPoll(w.roster.ID, l.now)
 	if !ok {
 		return
 	}
 	if w.gone {
-		l.cell.LookFailed(w.roster.ID, runner.ErrGone, l.now)
+		l.cell.PollFailed(w.roster.ID, runner.ErrGone, l.now)
 		return
 	}
 	if l.now.Before(w.downUntil) {
-		l.cell.LookFailed(w.roster.ID, runner.ErrNoAnswer, l.now)
+		l.cell.PollFailed(w.roster.ID, runner.ErrNoAnswer, l.now)
 		return
 	}
 	if target.Born == w.roster.Born {
--- a/internal/cell/long_wait.go
+++ b/internal/cell/long_wait.go
@@ -22,16 +22,16 @@
 	// Idle is how many of the Tasks wait, Need what each of them takes.
 	Idle, Tasks int
 	Need        resource.Amount
-	// Able is how many workers could hold a task when idle, Denied how many of them
+	// Feasible is how many workers could hold a task when idle, Denied how many of them
 	// the adviser refused, and Unknown of how many it was not asked.
-	Able, Denied, Unknown int
-	// Places is how many tasks the able workers that are not denied hold when idle.
-	Places int
+	Feasible, Denied, Unknown int
+	// TaskCapacity is how many tasks the able workers that are not denied hold when idle.
+	TaskCapacity int
 }
 
 // Impossible reports whether the wait cannot end with the workers that are known.
 func (l *LongWait) Impossible() bool {
-	return l.Reason != NoRoom && l.Reason != OverQuota && l.Reason != CatalogBehind
+	return l.Reason != WaitsForCapacity && l.Reason != OverQuota && l.Reason != CatalogBehind
 }
 
 // LongWaits returns the stages that have waited for long, impossible ones first, then
@@ -66,7 +66,7 @@
 		if !c.hasRoomEmpty(s, w) {
 			continue
 		}
-		l.Able++
+		l.Feasible++
 		verdict, known := s.advice.about(w)
 		switch {
 		case s.job.record.Advice == nil:
@@ -76,10 +76,10 @@
 			l.Denied++
 			continue
 		}
-		l.Places += s.placesEmpty(w)
+		l.TaskCapacity += s.placesEmpty(w)
 	}
 	l.Reason = l.reason(s.step.Gang)
-	if held := c.heldByQuota(s); held != "" && l.Reason == NoRoom {
+	if held := c.heldByQuota(s); held != "" && l.Reason == WaitsForCapacity {
 		l.Reason = held
 	}
 	return l
@@ -96,12 +96,12 @@
 
 func (l *LongWait) reason(gang bool) WaitReason {
 	switch {
-	case l.Able == 0:
+	case l.Feasible == 0:
 		return NoWorkerFits
-	case l.Able == l.Denied:
-		return AdviceDenies
-	case gang && l.Places < l.Tasks:
-		return TooFewPlaces
+	case l.Feasible == l.Denied:
+		return AllWorkersDenied
+	case gang && l.TaskCapacity < l.Tasks:
+		return GangTooLarge
 	}
-	return NoRoom
+	return WaitsForCapacity
 }
--- a/internal/cell/long_wait_test.go
+++ b/internal/cell/long_wait_test.go
@@ -24,9 +24,9 @@
 		want    WaitReason
 	}{
 		{"a task is larger than any worker", large, false, NoWorkerFits},
-		{"advice allows none", step(1), true, AdviceDenies},
-		{"a gang is larger than all workers", gang, false, TooFewPlaces},
-		{"others use the room", full, false, NoRoom},
+		{"advice allows none", step(1), true, AllWorkersDenied},
+		{"a gang is larger than all workers", gang, false, GangTooLarge},
+		{"others use the room", full, false, WaitsForCapacity},
 	} {
 		s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 		s.report("a")
--- a/internal/cell/look_order.go
+++ b/internal/cell/look_order.go
@@ -1,6 +1,6 @@
 package cell
 
-// LookOrder has the owner begin to look at a worker, and store what is unsaved.
-type LookOrder struct{ Worker string }
+// PollOrder has the owner begin to look at a worker, and store what is unsaved.
+type PollOrder struct{ Worker string }
 
-func (LookOrder) isOrder() {}
+func (PollOrder) isOrder() {}
--- a/internal/cell/looks.go
+++ b/internal/cell/looks.go
@@ -9,9 +9,9 @@
 	"gentianstand/internal/runner"
 )
 
-// NextLook returns where and how to look at a worker next; ok is false if the
+// NextPoll returns where and how to look at a worker next; ok is false if the
 // worker is no longer known, or parked.
-func (c *Cell) NextLook(id string, now time.Time) (target runner.Target, look runner.Look, ok bool) {
+func (c *Cell) NextPoll(id string, now time.Time) (target runner.Target, look runner.Look, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	w := c.workers[id]
@@ -159,8 +159,8 @@
 	}
 }
 
-// LookFailed takes in that a look got no report.
-func (c *Cell) LookFailed(id string, err error, now time.Time) {
+// PollFailed takes in that a look got no report.
+func (c *Cell) PollFailed(id string, err error, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	w := c.workers[id]
--- a/internal/cell/mechanism.go
+++ b/internal/cell/mechanism.go
@@ -12,16 +12,16 @@
 	Parking Mechanism = "parking"
 	// Preemption stops less urgent runs for the most urgent queue; see preempt.
 	Preemption Mechanism = "preemption"
-	// Copies starts a second run of a doubtful one; see copyIfDoubtful.
-	Copies Mechanism = "copies"
+	// SpeculativeRuns starts a second run of a doubtful one; see copyIfDoubtful.
+	SpeculativeRuns Mechanism = "copies"
 	// Moves stops runs that stand still or are slow; see watchProgress.
 	Moves Mechanism = "moves"
 	// Quarantine avoids workers on which runs fail; see health.
 	Quarantine Mechanism = "quarantine"
 	// TicketsAhead asks for advice about workers without room; see askAdvice.
 	TicketsAhead Mechanism = "tickets-ahead"
-	// NearData waits for room near a stage's data; see waitsForNear.
-	NearData Mechanism = "near-data"
+	// DataLocality waits for room near a stage's data; see waitsForNear.
+	DataLocality Mechanism = "near-data"
 	// LateLast puts work that is late anyway behind other work; see inOrder.
 	LateLast Mechanism = "late-last"
 	// FairShares puts jobs beyond the share of their workspace behind others; see meterJobs.
@@ -30,14 +30,14 @@
 	UrgentReserve Mechanism = "urgent-reserve"
 	// Reservations keeps workers for large tasks; see reserve.
 	Reservations Mechanism = "reservations"
-	// Closing tells the store which workers are silent; see watchClosing.
-	Closing Mechanism = "closing"
+	// Cordoning tells the store which workers are silent; see watchClosing.
+	Cordoning Mechanism = "closing"
 	// Relays reaches workers through other instances; see package relay.
 	Relays Mechanism = "relays"
 )
 
 // Mechanisms are all that there are, in the order of the planning pass.
-var Mechanisms = []Mechanism{FairShares, LateLast, NearData, Reservations, Preemption, UrgentReserve, TicketsAhead, Quarantine, Moves, Copies, Closing, Parking, Relays}
+var Mechanisms = []Mechanism{FairShares, LateLast, DataLocality, Reservations, Preemption, UrgentReserve, TicketsAhead, Quarantine, Moves, SpeculativeRuns, Cordoning, Parking, Relays}
 
 func allNames() string {
 	names := make([]string, len(Mechanisms))
@@ -48,4 +48,4 @@
 }
 
 // uses reports whether a mechanism is in use.
-func (c *Cell) uses(m Mechanism) bool { return !c.settings.Without.Has(m) }
+func (c *Cell) uses(m Mechanism) bool { return !c.settings.Disabled.Has(m) }
--- a/internal/cell/mechanism_test.go
+++ b/internal/cell/mechanism_test.go
@@ -16,7 +16,7 @@
 		{" moves, copies ,", "copies,moves", true},
 		{"copies,speed", "", false},
 	} {
-		w := Without{}
+		w := MechanismSet{}
 		err := w.Set(test.text)
 		if (err == nil) != test.ok || w.String() != test.want {
 			t.Errorf("%q: %q, error %v", test.text, w, err)
@@ -36,9 +36,9 @@
 		{Preemption, func(s Stats) uint64 { return s.Preemptions }},
 		{Reservations, func(s Stats) uint64 { return s.Reservations }},
 	} {
-		for _, without := range []Without{{}, {test.off: {}}} {
+		for _, without := range []MechanismSet{{}, {test.off: {}}} {
 			l := newLoad(t, 12)
-			l.cell.settings.Without = without
+			l.cell.settings.Disabled = without
 			for range 10 {
 				l.submit("letters", 2, letters(10))
 			}
--- a/internal/cell/missing.go
+++ b/internal/cell/missing.go
@@ -2,11 +2,11 @@
 
 import "gentianstand/internal/job"
 
-// Missing returns the jobs that workers report and that this cell does not know.
+// UnknownJobs returns the jobs that workers report and that this cell does not know.
 // An overtaken owner can have begun a job that was accepted after this one had
 // read the store. Their ends are not taken in, and so not acknowledged, until
 // the job is loaded, or Absent says that there is none.
-func (c *Cell) Missing() []string {
+func (c *Cell) UnknownJobs() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ids := make([]string, 0, len(c.missing))
@@ -16,8 +16,8 @@
 	return ids
 }
 
-// Absent takes in that the store has no such job, so that its runs are stopped.
-func (c *Cell) Absent(id string) {
+// MarkAbsent takes in that the store has no such job, so that its runs are stopped.
+func (c *Cell) MarkAbsent(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.missing, id)
--- a/internal/cell/model_lasting_test.go
+++ b/internal/cell/model_lasting_test.go
@@ -135,7 +135,7 @@
 	m.now = m.now.Add(lastingTick)
 	for _, w := range m.workers {
 		if !w.alive {
-			o.cell.LookFailed(w.roster.ID, runner.ErrNoAnswer, m.now)
+			o.cell.PollFailed(w.roster.ID, runner.ErrNoAnswer, m.now)
 			continue
 		}
 		w.lapse()
@@ -176,7 +176,7 @@
 		m.awaySince[task] = m.now
 	}
 	if away := m.now.Sub(m.awaySince[task]); away > longestAway {
-		list, _ := m.current().cell.Aways(len(m.records), m.now)
+		list, _ := m.current().cell.DownTasks(len(m.records), m.now)
 		m.rt.Fatalf("%s was away for %v: %+v", task, away, list)
 	}
 }
--- a/internal/cell/model_test.go
+++ b/internal/cell/model_test.go
@@ -123,7 +123,7 @@
 	m.heard = nil
 	term := uint64(len(m.owners) + 1)
 	m.rt.Logf("%v term %d taken, earlier stopped %v", m.now.Sub(siteStart), term, earlierStopped)
-	c := New(Settings{Term: term, EarlierStopped: earlierStopped, Lease: 3500 * time.Millisecond, StopGrace: 900 * time.Millisecond, SpareWorkers: 1}, m.now, quietLog())
+	c := New(Settings{Term: term, PreviousOwnerStopped: earlierStopped, Lease: 3500 * time.Millisecond, StopGrace: 900 * time.Millisecond, SpareWorkers: 1}, m.now, quietLog())
 	for _, r := range m.records {
 		c.Load(r, m.stored[r.ID])
 	}
@@ -134,9 +134,9 @@
 		}
 	}
 	for _, number := range slices.Sorted(maps.Keys(m.chunks)) {
-		c.Inherit(m.chunks[number].Workers, m.now)
+		c.LoadWorkers(m.chunks[number].Workers, m.now)
 	}
-	c.InheritedAll()
+	c.WorkersLoaded()
 	m.owners = append(m.owners, o)
 	m.commit(o, true)
 }
@@ -221,7 +221,7 @@
 	case 4:
 		if n := len(m.owners); n > 1 && !m.owners[n-2].lost {
 			m.owners[n-2].lost = true
-			m.current().cell.EarlierStopped(m.now)
+			m.current().cell.PreviousOwnerStopped(m.now)
 		}
 	case 2:
 		m.now = m.now.Add(4 * time.Second)
@@ -233,7 +233,7 @@
 
 func (m *model) look(o *modelOwner, w *modelWorker, lost bool) {
 	sentAt := m.now
-	target, look, ok := o.cell.NextLook(w.roster.ID, sentAt)
+	target, look, ok := o.cell.NextPoll(w.roster.ID, sentAt)
 	if !ok {
 		return
 	}
@@ -247,12 +247,12 @@
 		m.restart(slices.Index(m.workers, w))
 	}
 	if err != nil {
-		o.cell.LookFailed(w.roster.ID, err, m.now)
+		o.cell.PollFailed(w.roster.ID, err, m.now)
 		return
 	}
 	w.listed = len(report.Ended)
 	o.cell.Reported(w.roster.ID, report, sentAt, m.now)
-	for _, id := range o.cell.Missing() {
+	for _, id := range o.cell.UnknownJobs() {
 		m.find(o, id)
 	}
 }
@@ -265,7 +265,7 @@
 			return
 		}
 	}
-	o.cell.Absent(id)
+	o.cell.MarkAbsent(id)
 }
 
 // commit stores progress if the owner's claim holds. Without an answer it may have
@@ -288,7 +288,7 @@
 		}
 	}
 	if !stored || !answers {
-		o.cell.NotCommitted(commit)
+		o.cell.CommitFailed(commit)
 		return
 	}
 	o.cell.Committed(commit)
--- a/internal/cell/near.go
+++ b/internal/cell/near.go
@@ -10,10 +10,10 @@
 // take several times as long, and most racks have room again within a fraction of a task.
 // That means nothing for tasks that last.
 func (c *Cell) waitsForNear(s *stage, room *room, now time.Time) bool {
-	if s.step.DataRack == "" || s.step.LongRunning || c.settings.FarFactor <= 1 || !c.uses(NearData) {
+	if s.step.DataRack == "" || s.step.LongRunning || c.settings.RemoteDataFactor <= 1 || !c.uses(DataLocality) {
 		return false
 	}
-	loss := (c.settings.FarFactor - 1) * float64(s.step.Estimate)
+	loss := (c.settings.RemoteDataFactor - 1) * float64(s.step.Estimate)
 	if now.Sub(s.readyAt) >= time.Duration(nearPatience*loss) {
 		return false
 	}
--- a/internal/cell/near_test.go
+++ b/internal/cell/near_test.go
@@ -13,7 +13,7 @@
 	t.Helper()
 	near, far := usualWorker("near"), usualWorker("far")
 	far.Rack = "r2"
-	settings := Settings{Term: 1, Lease: 3500 * time.Millisecond, StopGrace: 900 * time.Millisecond, FarFactor: 3}
+	settings := Settings{Term: 1, Lease: 3500 * time.Millisecond, StopGrace: 900 * time.Millisecond, RemoteDataFactor: 3}
 	s := newSiteWith(t, settings, near, far)
 	s.report("near")
 	s.report("far")
@@ -83,7 +83,7 @@
 		near, far := usualWorker("near"), usualWorker("far")
 		far.Rack = "r2"
 		change(&near)
-		s := newSiteWith(t, Settings{Term: 1, Lease: 3500 * time.Millisecond, FarFactor: 3}, near, far)
+		s := newSiteWith(t, Settings{Term: 1, Lease: 3500 * time.Millisecond, RemoteDataFactor: 3}, near, far)
 		s.report("near")
 		s.report("far")
 		data := step(1)
--- a/internal/cell/owners_in_a_row_test.go
+++ b/internal/cell/owners_in_a_row_test.go
@@ -13,8 +13,8 @@
 func (s *site) silentFor(id string, d time.Duration, others ...string) map[string]StartOrder {
 	started := map[string]StartOrder{}
 	for end := s.now.Add(d); s.now.Before(end); {
-		if _, _, ok := s.cell.NextLook(id, s.now); ok {
-			s.cell.LookFailed(id, runner.ErrNoAnswer, s.now)
+		if _, _, ok := s.cell.NextPoll(id, s.now); ok {
+			s.cell.PollFailed(id, runner.ErrNoAnswer, s.now)
 		}
 		for _, other := range others {
 			s.report(other)
@@ -39,9 +39,9 @@
 		s.cell.register(usualWorker(id), s.now)
 	}
 	for _, known := range s.chunks {
-		s.cell.Inherit(known, s.now)
+		s.cell.LoadWorkers(known, s.now)
 	}
-	s.cell.InheritedAll()
+	s.cell.WorkersLoaded()
 }
 
 // Failure: a task runs twice after two take-overs beside a worker that is cut off.
@@ -71,7 +71,7 @@
 func (s *site) handOver(r *job.Record, workers ...string) {
 	s.cell.EndTerm(s.now)
 	s.commit()
-	s.cell.settings.EarlierStopped = true
+	s.cell.settings.PreviousOwnerStopped = true
 	s.takeOver(r, workers...)
 }
 
@@ -113,7 +113,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 			r, task := s.lastingOn("a")
-			s.cell.settings.EarlierStopped = true
+			s.cell.settings.PreviousOwnerStopped = true
 			limit := s.cell.unseenLimit() + losses
 			lease := time.Duration(float64(s.cell.settings.Lease) / (1 - clockDrift))
 			took := s.startedAfter(task, "a", first, 2*time.Second, r)
@@ -169,7 +169,7 @@
 		s.cell = New(settings, s.now, quietLog())
 		s.cell.Load(r, stored)
 		s.cell.SetRoster([]roster.Worker{usualWorker("b")}, s.now)
-		s.cell.InheritedAll()
+		s.cell.WorkersLoaded()
 		s.commit()
 		s.report("b")
 	}
--- a/internal/cell/pace_order.go
+++ b/internal/cell/pace_order.go
@@ -5,11 +5,11 @@
 	"gentianstand/internal/runner"
 )
 
-// PaceOrder sets the speed of a run.
-type PaceOrder struct {
-	Worker runner.Target
-	Task   job.TaskID
-	Pace   runner.Pace
+// ThrottleOrder sets the speed of a run.
+type ThrottleOrder struct {
+	Worker   runner.Target
+	Task     job.TaskID
+	Throttle runner.Pace
 }
 
-func (PaceOrder) isOrder() {}
+func (ThrottleOrder) isOrder() {}
--- a/internal/cell/pacing.go
+++ b/internal/cell/pacing.go
@@ -71,6 +71,6 @@
 	c.log.WithFields(attemptFields(a)).WithFields(logrus.Fields{"pace": percent, "tail_share": worst}).Debug("run_paced")
 	a.pace = percent
 	a.pacedAt = now
-	c.orders = append(c.orders, PaceOrder{Worker: a.worker.target, Task: a.task.id(),
-		Pace: runner.Pace{Task: a.task.id().String(), Run: a.run, Token: c.settings.Term, Percent: percent}})
+	c.orders = append(c.orders, ThrottleOrder{Worker: a.worker.target, Task: a.task.id(),
+		Throttle: runner.Pace{Task: a.task.id().String(), Run: a.run, Token: c.settings.Term, Percent: percent}})
 }
--- a/internal/cell/pacing_test.go
+++ b/internal/cell/pacing_test.go
@@ -35,9 +35,9 @@
 	s.report("a")
 	s.plan()
 	for _, o := range s.orders {
-		if pace, ok := o.(PaceOrder); ok {
-			s.cell.PaceAnswered(pace, nil, s.now)
-			return pace.Pace.Percent
+		if pace, ok := o.(ThrottleOrder); ok {
+			s.cell.ThrottleAnswered(pace, nil, s.now)
+			return pace.Throttle.Percent
 		}
 	}
 	return -1
@@ -72,10 +72,10 @@
 	s.pass(paceEvery)
 	s.report("a")
 	// The serving task is not started again beside the filling one.
-	s.cell.Evacuate([]string{"a"})
+	s.cell.SetEvacuating([]string{"a"})
 	s.plan()
 	for _, o := range s.orders {
-		if pace, ok := o.(PaceOrder); ok && pace.Pace.Percent == 100 {
+		if pace, ok := o.(ThrottleOrder); ok && pace.Throttle.Percent == 100 {
 			return
 		}
 	}
@@ -88,8 +88,8 @@
 	serving, filling := besideServing(t, s)
 	s.tail(serving, filling, 85)
 	for _, o := range s.orders {
-		if pace, ok := o.(PaceOrder); ok {
-			s.cell.PaceAnswered(pace, runner.ErrNoAnswer, s.now)
+		if pace, ok := o.(ThrottleOrder); ok {
+			s.cell.ThrottleAnswered(pace, runner.ErrNoAnswer, s.now)
 		}
 	}
 	if pace := s.tail(serving, filling, 85); pace < 0 || pace > 50 {
--- a/internal/cell/parking.go
+++ b/internal/cell/parking.go
@@ -89,7 +89,7 @@
 	c.setParked(w, false)
 	w.wokenAt, w.idleSince = now, now
 	c.known.changed(w.ID)
-	c.orders = append(c.orders, LookOrder{Worker: w.ID})
+	c.orders = append(c.orders, PollOrder{Worker: w.ID})
 }
 
 // mayWake reports whether a worker is parked and may be used again.
--- a/internal/cell/parking_test.go
+++ b/internal/cell/parking_test.go
@@ -25,7 +25,7 @@
 
 // hear has every worker report that the owner looks at.
 func (s *site) hear() {
-	for _, id := range s.cell.WorkerIDs() {
+	for _, id := range s.cell.WorkersToPoll() {
 		s.report(id)
 	}
 }
@@ -57,7 +57,7 @@
 	if n := s.startAll(); n != 0 {
 		t.Fatalf("%d starts of nothing", n)
 	}
-	if got := len(s.cell.WorkerIDs()); got != 4 {
+	if got := len(s.cell.WorkersToPoll()); got != 4 {
 		t.Errorf("%d idle workers are looked at, want 4", got)
 	}
 	s.cell.Add(s.record(1, wide(2)), true)
@@ -127,9 +127,9 @@
 	}
 	s := idleSite(t, 20, 2)
 	for _, chunk := range chunks {
-		s.cell.Inherit(chunk.Workers, s.now)
+		s.cell.LoadWorkers(chunk.Workers, s.now)
 	}
-	if got := len(s.cell.WorkerIDs()); got > 4 {
+	if got := len(s.cell.WorkersToPoll()); got > 4 {
 		t.Errorf("%d workers are looked at, want the two in store and the two that are kept ready", got)
 	}
 	s.hear()
@@ -144,7 +144,7 @@
 	s := idleSite(t, 6, 1)
 	s.cell.Add(s.record(1, wide(5)), true)
 	s.startAll()
-	awake := len(s.cell.WorkerIDs())
+	awake := len(s.cell.WorkersToPoll())
 	for id, runs := range s.runs {
 		for _, r := range runs {
 			s.end(id, r.Task, r.Run, "done")
@@ -153,7 +153,7 @@
 	s.pass(parkAfter / 2)
 	s.hear()
 	s.startAll()
-	if got := len(s.cell.WorkerIDs()); got != awake {
+	if got := len(s.cell.WorkersToPoll()); got != awake {
 		t.Errorf("%d of %d workers are awake after %v", got, awake, parkAfter/2)
 	}
 	for range 4 {
@@ -161,7 +161,7 @@
 		s.hear()
 		s.startAll()
 	}
-	if got := len(s.cell.WorkerIDs()); got != 1 {
+	if got := len(s.cell.WorkersToPoll()); got != 1 {
 		t.Errorf("%d workers are awake after a long time, want 1", got)
 	}
 }
@@ -186,7 +186,7 @@
 		s.hear()
 		s.plan()
 	}
-	if got := len(s.cell.WorkerIDs()); got != 1 {
+	if got := len(s.cell.WorkersToPoll()); got != 1 {
 		t.Fatalf("%d workers are awake, want 1", got)
 	}
 	s.cell.Committed(underWay)
--- a/internal/cell/plan.go
+++ b/internal/cell/plan.go
@@ -57,7 +57,7 @@
 
 // noteDue reports whether a waiting stage may start by now, and notes since when.
 func (c *Cell) noteDue(s *stage, now time.Time) bool {
-	if !s.due(now, c.settings.Early) {
+	if !s.due(now, c.settings.EarlyStart) {
 		return false
 	}
 	if s.readyAt.IsZero() {
--- a/internal/cell/quota_owners_test.go
+++ b/internal/cell/quota_owners_test.go
@@ -20,7 +20,7 @@
 	s.confirm(s.plan()[task])
 	s.report("a")
 	s.commit()
-	s.cell.settings.EarlierStopped = true
+	s.cell.settings.PreviousOwnerStopped = true
 	limit := s.cell.unseenLimit() + 500*time.Millisecond
 	began, next := s.now, s.now.Add(again)
 	for s.now.Sub(began) < 20*time.Second {
--- a/internal/cell/quotas.go
+++ b/internal/cell/quotas.go
@@ -58,11 +58,11 @@
 	waits := map[*quota.Account]*QuotaWait{}
 	for s := range c.waiting {
 		account := s.job.account
-		if account == nil || !s.due(now, c.settings.Early) || c.heldByQuota(s) == "" {
+		if account == nil || !s.due(now, c.settings.EarlyStart) || c.heldByQuota(s) == "" {
 			continue
 		}
 		if waits[account] == nil {
-			waits[account] = &QuotaWait{Workspace: account.Workspace, Used: account.Used, Unseen: account.Unseen, Cap: account.Cap, Version: c.quotas.Version()}
+			waits[account] = &QuotaWait{Workspace: account.Workspace, Used: account.Used, Unconfirmed: account.Unseen, Cap: account.Cap, Version: c.quotas.Version()}
 		}
 		waits[account].Tasks += len(s.idle)
 	}
--- a/internal/cell/quotas_test.go
+++ b/internal/cell/quotas_test.go
@@ -112,7 +112,7 @@
 // Failure: a workspace at its quota has others' work stopped, or workers kept free, for
 // tasks that must not start.
 func TestStageOverItsQuotaCostsNobodyElse(t *testing.T) {
-	s := newSiteWith(t, Settings{Term: 1, Lease: 3500 * time.Millisecond, StopGrace: 900 * time.Millisecond, EarlierStopped: true}, usualWorker("w1"), usualWorker("w2"))
+	s := newSiteWith(t, Settings{Term: 1, Lease: 3500 * time.Millisecond, StopGrace: 900 * time.Millisecond, PreviousOwnerStopped: true}, usualWorker("w1"), usualWorker("w2"))
 	s.configure(1, "north", cores(3))
 	s.report("w1")
 	s.report("w2")
@@ -138,7 +138,7 @@
 		s.plan()
 		for _, o := range s.orders {
 			switch o := o.(type) {
-			case StopOrder, AdviceOrder, LookOrder:
+			case StopOrder, AdviceOrder, PollOrder:
 				t.Fatalf("order %T %+v for a stage over its quota", o, o)
 			}
 		}
@@ -163,8 +163,8 @@
 	s := newSite(t, 2, usualWorker("w1"), usualWorker("w2"))
 	s.configure(1, "north", cores(3))
 	s.cell.Load(s.recordOf("north", 1, step(3)), &job.Progress{})
-	s.cell.Inherit([]KnownWorker{{ID: "w1", Address: "w1:1", Born: usualWorker("w1").Born}, {ID: "w2", Address: "w2:1", Born: usualWorker("w2").Born}}, s.now)
-	s.cell.InheritedAll()
+	s.cell.LoadWorkers([]KnownWorker{{ID: "w1", Address: "w1:1", Incarnation: usualWorker("w1").Born}, {ID: "w2", Address: "w2:1", Incarnation: usualWorker("w2").Born}}, s.now)
+	s.cell.WorkersLoaded()
 	s.report("w1")
 	s.cell.Add(s.recordOf("north", 2, step(3)), true)
 	if starts := s.plan(); len(starts) != 0 {
--- a/internal/cell/recover.go
+++ b/internal/cell/recover.go
@@ -13,7 +13,7 @@
 	if !c.recovering {
 		return
 	}
-	c.fenced = c.settings.EarlierStopped || !c.earlierStoppedAt.IsZero() || now.Sub(c.began) >= overtakenFor
+	c.fenced = c.settings.PreviousOwnerStopped || !c.earlierStoppedAt.IsZero() || now.Sub(c.began) >= overtakenFor
 	if now.Sub(c.began) >= c.unseenLimit() || c.allReported() {
 		c.logUnheard()
 		c.recovering = false
@@ -28,7 +28,7 @@
 // after it lost its ownership.
 func (c *Cell) unseenLimit() time.Duration {
 	limit := time.Duration(float64(c.settings.Lease)*(1+clockDrift)) + guessError + lapseMargin
-	if c.settings.EarlierStopped {
+	if c.settings.PreviousOwnerStopped {
 		return limit
 	}
 	if !c.earlierStoppedAt.IsZero() {
@@ -37,9 +37,9 @@
 	return limit + overtakenFor
 }
 
-// EarlierStopped takes in that the earlier owner gives no orders any more from now on,
+// PreviousOwnerStopped takes in that the earlier owner gives no orders any more from now on,
 // which was not known at the take-over.
-func (c *Cell) EarlierStopped(now time.Time) {
+func (c *Cell) PreviousOwnerStopped(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.earlierStoppedAt.IsZero() {
--- a/internal/cell/recover_test.go
+++ b/internal/cell/recover_test.go
@@ -108,10 +108,10 @@
 	s.end("a", task, 1, runner.Done)
 	s.report("a")
 	s.commit()
-	if _, look, _ := s.cell.NextLook("a", s.now); look.Acknowledged != 0 {
+	if _, look, _ := s.cell.NextPoll("a", s.now); look.Acknowledged != 0 {
 		t.Fatal("the end of an unknown job was acknowledged")
 	}
-	if missing := s.cell.Missing(); len(missing) != 1 || missing[0] != r.ID {
+	if missing := s.cell.UnknownJobs(); len(missing) != 1 || missing[0] != r.ID {
 		t.Fatalf("missing jobs %v", missing)
 	}
 	s.cell.Add(r, false)
@@ -136,14 +136,14 @@
 	s.runs["a"] = []runner.RunState{{Task: id + ".0.0.0", Run: 4}}
 	s.end("a", id+".0.0.1", 4, runner.Done)
 	s.report("a")
-	s.cell.Absent(id)
+	s.cell.MarkAbsent(id)
 	s.report("a")
 	s.plan()
 	if len(s.orders) != 1 || s.orders[0].(StopOrder).Stop.Run != 4 {
 		t.Errorf("orders %v, want one stop", s.orders)
 	}
 	s.commit()
-	if _, look, _ := s.cell.NextLook("a", s.now); look.Acknowledged != 1 {
+	if _, look, _ := s.cell.NextPoll("a", s.now); look.Acknowledged != 1 {
 		t.Errorf("acknowledged %d, want 1", look.Acknowledged)
 	}
 }
@@ -176,12 +176,12 @@
 	waited := func(stoppedAfter time.Duration) time.Duration {
 		s := newSite(t, 2, usualWorker("a"))
 		s.cell.Load(s.record(1, step(1)), nil)
-		s.cell.Inherit([]KnownWorker{{ID: "lost", Address: "lost:1"}}, s.now)
+		s.cell.LoadWorkers([]KnownWorker{{ID: "lost", Address: "lost:1"}}, s.now)
 		began := s.now
 		for s.now.Sub(began) < 10*time.Second {
 			s.pass(10 * time.Millisecond)
 			if stoppedAfter > 0 && s.now.Sub(began) >= stoppedAfter {
-				s.cell.EarlierStopped(s.now)
+				s.cell.PreviousOwnerStopped(s.now)
 			}
 			s.report("a")
 			if len(s.plan()) > 0 {
--- a/internal/cell/restart_site_test.go
+++ b/internal/cell/restart_site_test.go
@@ -158,9 +158,9 @@
 				s.cell.SetRoster([]roster.Worker{before}, s.now)
 			}
 			task := job.TaskID{Job: record.ID}.String()
-			s.cell.Inherit([]KnownWorker{{ID: "a", Born: before.Born, Address: before.Address, Closed: true,
+			s.cell.LoadWorkers([]KnownWorker{{ID: "a", Incarnation: before.Born, Address: before.Address, Cordoned: true,
 				Runs: []KnownRun{{Task: task, Run: 1}}}}, s.now)
-			s.cell.InheritedAll()
+			s.cell.WorkersLoaded()
 			s.report("a")
 			s.list(next)
 			s.plan()
@@ -181,7 +181,7 @@
 	before := usualWorker("a")
 	s.cell.SetRoster([]roster.Worker{s.restart("a")}, s.now)
 	task := job.TaskID{Job: record.ID}
-	s.cell.Inherit([]KnownWorker{{ID: "a", Born: before.Born, Address: before.Address, Closed: true,
+	s.cell.LoadWorkers([]KnownWorker{{ID: "a", Incarnation: before.Born, Address: before.Address, Cordoned: true,
 		Suspects: []KnownRun{{Task: task.String(), Run: 1}}}}, s.now)
 	if crashed := s.cell.task(task).crashes.crashed; len(crashed) != 1 {
 		t.Errorf("crashes %v, want that of run 1", crashed)
--- a/internal/cell/restart_upkeep_test.go
+++ b/internal/cell/restart_upkeep_test.go
@@ -20,7 +20,7 @@
 	for _, o := range s.plan() {
 		s.confirm(o)
 	}
-	s.cell.Ended("a", orderedAt, s.now)
+	s.cell.WorkerTerminated("a", orderedAt, s.now)
 	if load := s.cell.WorkerLoad("a"); load.Runs != 2 {
 		t.Errorf("%d runs are booked, want 2", load.Runs)
 	}
@@ -30,7 +30,7 @@
 func TestWorkerIsUsedAgainAfterItsUpkeep(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
-	s.cell.Ended("a", s.now, s.now)
+	s.cell.WorkerTerminated("a", s.now, s.now)
 	s.backFromUpkeep("a")
 	if n := s.startsOf(1, 2); n != 2 {
 		t.Errorf("%d starts, want 2", n)
--- a/internal/cell/roster.go
+++ b/internal/cell/roster.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// WorkerIDs returns the workers that should be looked at: all but parked ones.
-func (c *Cell) WorkerIDs() []string {
+// WorkersToPoll returns the workers that should be looked at: all but parked ones.
+func (c *Cell) WorkersToPoll() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ids := make([]string, 0, len(c.workers))
--- a/internal/cell/settings.go
+++ b/internal/cell/settings.go
@@ -9,24 +9,24 @@
 	Term uint64
 	// Lease is how far a worker's lease is extended with each look.
 	Lease time.Duration
-	// EarlierStopped says that the earlier owner is known to extend no lease any
+	// PreviousOwnerStopped says that the earlier owner is known to extend no lease any
 	// more, because its process ended or it gave the cell up.
-	EarlierStopped bool
+	PreviousOwnerStopped bool
 	// StopGrace is the longest time a stop may take on the worker.
 	StopGrace time.Duration
 	// SpareWorkers is how many idle workers are kept ready at least; idle workers
 	// beyond are parked. 0 parks none.
 	SpareWorkers int
-	// FarFactor is how many times as long a task takes far from its data; 0 and 1 mean
+	// RemoteDataFactor is how many times as long a task takes far from its data; 0 and 1 mean
 	// that this makes no difference.
-	FarFactor float64
-	// Early is how much before its time an occurrence may start.
-	Early time.Duration
-	// Without names the mechanisms that are switched off.
-	Without Without
-	// Waited is told how long a task has waited for its first start, with the priority
+	RemoteDataFactor float64
+	// EarlyStart is how much before its time an occurrence may start.
+	EarlyStart time.Duration
+	// Disabled names the mechanisms that are switched off.
+	Disabled MechanismSet
+	// ObserveWait is told how long a task has waited for its first start, with the priority
 	// of its queue; nil is nobody. It is called under the cell's lock.
-	Waited func(priority int, wait time.Duration)
+	ObserveWait func(priority int, wait time.Duration)
 }
 
 const (
--- a/internal/cell/site_test.go
+++ b/internal/cell/site_test.go
@@ -77,7 +77,7 @@
 func (s *site) report(id string) {
 	s.t.Helper()
 	sentAt := s.now
-	_, look, ok := s.cell.NextLook(id, sentAt)
+	_, look, ok := s.cell.NextPoll(id, sentAt)
 	if !ok {
 		s.t.Fatalf("worker %s is not known", id)
 	}
@@ -145,7 +145,7 @@
 			for _, id := range good {
 				tickets = append(tickets, advice.Ticket{Worker: id, Text: "ticket-" + id})
 			}
-			s.cell.Advised(ask.Stage, ask.Workers, tickets, nil, s.now)
+			s.cell.AdviceAnswered(ask.Stage, ask.Workers, tickets, nil, s.now)
 		}
 	}
 }
--- a/internal/cell/stats.go
+++ b/internal/cell/stats.go
@@ -8,19 +8,19 @@
 	Done   uint64
 	Failed uint64
 	Lost   uint64
-	// GivenUp counts the jobs that were ended because of a poison task.
-	GivenUp      uint64
-	Stops        uint64
-	Preemptions  uint64
-	Reservations uint64
-	Moves        uint64
-	Copies       uint64
-	AdviceCalls  uint64
-	ActiveJobs   int
-	Workers      int
-	Usable       int
-	Parked       int
-	WaitingTasks int
+	// PoisonJobs counts the jobs that were ended because of a poison task.
+	PoisonJobs      uint64
+	Stops           uint64
+	Preemptions     uint64
+	Reservations    uint64
+	Moves           uint64
+	SpeculativeRuns uint64
+	AdviceCalls     uint64
+	ActiveJobs      int
+	Workers         int
+	Usable          int
+	Parked          int
+	WaitingTasks    int
 	// FreeShare is the share of the usable workers' processors that is free.
 	FreeShare float64
 	// FreeMemoryShare is the same of their memory.
--- a/internal/cell/wait_reason.go
+++ b/internal/cell/wait_reason.go
@@ -6,11 +6,11 @@
 const (
 	// NoWorkerFits says that no known worker could hold one task, even when idle.
 	NoWorkerFits WaitReason = "no_worker_fits"
-	// AdviceDenies says that the adviser refused every worker that could.
-	AdviceDenies WaitReason = "advice_denies"
-	// TooFewPlaces says that a gang has more members than the workers that may run it
+	// AllWorkersDenied says that the adviser refused every worker that could.
+	AllWorkersDenied WaitReason = "advice_denies"
+	// GangTooLarge says that a gang has more members than the workers that may run it
 	// hold when they are idle.
-	TooFewPlaces WaitReason = "too_few_places"
+	GangTooLarge WaitReason = "too_few_places"
 	// OverQuota says that the workspace has as much running as it may.
 	OverQuota WaitReason = "over_quota"
 	// QuotaTooSmall says that a gang needs more than its workspace may have running.
@@ -18,6 +18,6 @@
 	// CatalogBehind says that the owner does not know yet the configuration under which the
 	// job was accepted.
 	CatalogBehind WaitReason = "catalog_behind"
-	// NoRoom says that the stage could run, and others use the room.
-	NoRoom WaitReason = "no_room"
+	// WaitsForCapacity says that the stage could run, and others use the room.
+	WaitsForCapacity WaitReason = "no_room"
 )
--- a/internal/cell/without.go
+++ b/internal/cell/without.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// Without is a set of mechanisms that are switched off. It implements flag.Value.
-type Without map[Mechanism]struct{}
+// MechanismSet is a set of mechanisms that are switched off. It implements flag.Value.
+type MechanismSet map[Mechanism]struct{}
 
 // String returns the set as Set takes it.
-func (w Without) String() string {
+func (w MechanismSet) String() string {
 	var names []string
 	for m := range w {
 		names = append(names, string(m))
@@ -20,14 +20,14 @@
 }
 
 // Has reports whether a mechanism is switched off.
-func (w Without) Has(m Mechanism) bool {
+func (w MechanismSet) Has(m Mechanism) bool {
 	_, off := w[m]
 	return off
 }
 
 // Set takes names with commas between them; an empty text is the empty set.
-func (w *Without) Set(text string) error {
-	set := Without{}
+func (w *MechanismSet) Set(text string) error {
+	set := MechanismSet{}
 	for name := range strings.SplitSeq(text, ",") {
 		m := Mechanism(strings.TrimSpace(name))
 		switch {
--- a/internal/cellowner/commit_loop.go
+++ b/internal/cellowner/commit_loop.go
@@ -84,7 +84,7 @@
 	tx, err := o.transaction(commit)
 	if err != nil {
 		o.deps.Log.WithError(err).Error("progress_not_encoded")
-		o.cell.NotCommitted(commit)
+		o.cell.CommitFailed(commit)
 		return notCommitted
 	}
 	callCtx, cancel := context.WithTimeout(ctx, commitTimeout)
@@ -129,7 +129,7 @@
 // on from there; and a late effect of the first attempt then meets a changed row.
 func (o *Owner) commitFailed(ctx context.Context, commit *cell.Commit, err error) commitResult {
 	o.deps.Metrics.CommitErrors.Inc()
-	o.cell.NotCommitted(commit)
+	o.cell.CommitFailed(commit)
 	var conflict *store.ConflictError
 	if !errors.As(err, &conflict) {
 		if ctx.Err() == nil {
@@ -150,7 +150,7 @@
 
 // expire removes jobs that ended long ago from the store.
 func (o *Owner) expire(ctx context.Context) {
-	ids := o.cell.Expired(keepEnded, time.Now(), expireMany)
+	ids := o.cell.RemoveExpired(keepEnded, time.Now(), expireMany)
 	if len(ids) == 0 {
 		return
 	}
--- a/internal/cellowner/condense_loop.go
+++ b/internal/cellowner/condense_loop.go
@@ -37,7 +37,7 @@
 // condense stores some ended jobs and reports whether there may be more. What was not
 // stored for certain is stored again later; it makes no difference which form is read.
 func (o *Owner) condense(ctx context.Context) bool {
-	list := o.cell.Condense(o.lease+condenseMargin, time.Now(), condenseMany)
+	list := o.cell.Compact(o.lease+condenseMargin, time.Now(), condenseMany)
 	if len(list) == 0 {
 		return false
 	}
@@ -49,7 +49,7 @@
 	}
 	if err != nil {
 		o.deps.Log.WithField("jobs", len(list)).WithError(err).Info("jobs_not_condensed")
-		o.cell.NotCondensed(list)
+		o.cell.CompactFailed(list)
 		return false
 	}
 	return len(list) == condenseMany
@@ -57,7 +57,7 @@
 
 // condensed returns the write of condensed jobs, which an owner makes only as long as its
 // claim stands.
-func (o *Owner) condensed(list []cell.Ended) (store.Tx, error) {
+func (o *Owner) condensed(list []cell.CompactedJob) (store.Tx, error) {
 	progress := o.deps.Jobs.ProgressPartition()
 	tx := store.Tx{Partition: progress, Checks: []store.Check{o.claim}}
 	for _, e := range list {
--- a/internal/cellowner/condense_test.go
+++ b/internal/cellowner/condense_test.go
@@ -20,7 +20,7 @@
 	o := &Owner{claim: store.Check{Table: "cells", Key: "owner", Version: 7},
 		deps: Deps{Jobs: celljobs.New(store.NewWatched(&lateStore{}), "cell-0")}}
 	r := &job.Record{ID: "00000000000000aa", Queue: "q", Spec: "text", Steps: []job.Step{{Count: 3}}, AcceptedAt: time.Now()}
-	tx, err := o.condensed([]cell.Ended{{Record: job.EndedRecord(r), Progress: &job.Progress{Final: job.Completed}}})
+	tx, err := o.condensed([]cell.CompactedJob{{Record: job.EndedRecord(r), Progress: &job.Progress{Final: job.Completed}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cellowner/flush_test.go
+++ b/internal/cellowner/flush_test.go
@@ -15,7 +15,7 @@
 	rows := &lateStore{rows: map[string]store.Row{}}
 	o.deps.Store = rows
 	o.deps.Jobs = celljobs.New(store.NewWatched(rows), "cell-0")
-	o.cell.LookFailed("w", runner.ErrNoAnswer, time.Now())
+	o.cell.PollFailed("w", runner.ErrNoAnswer, time.Now())
 	o.Flush(t.Context())
 	told := 0
 	for key, row := range rows.rows {
@@ -27,7 +27,7 @@
 			t.Fatal(err)
 		}
 		for _, w := range workers {
-			if w.LeaseLeftMillis > 0 && w.Term == o.term {
+			if w.LeaseRemainingMillis > 0 && w.Term == o.term {
 				told++
 			}
 		}
--- a/internal/cellowner/follow.go
+++ b/internal/cellowner/follow.go
@@ -78,7 +78,7 @@
 // findMissing looks in the store for jobs that workers report and the cell does
 // not know.
 func (o *Owner) findMissing(ctx context.Context) {
-	for _, id := range o.cell.Missing() {
+	for _, id := range o.cell.UnknownJobs() {
 		callCtx, cancel := context.WithTimeout(ctx, readTimeout)
 		row, err := o.deps.Store.Get(callCtx, celljobs.TableJobs, o.deps.Jobs.RecordPartition(id), celljobs.JobKey(id))
 		var kept store.Row
@@ -92,7 +92,7 @@
 			return
 		case row.Version == 0:
 			o.deps.Log.WithField("job", id).Warn("reported_job_is_nobodys")
-			o.cell.Absent(id)
+			o.cell.MarkAbsent(id)
 		default:
 			o.deps.Log.WithField("job", id).Info("missing_job_loaded")
 			o.loadJob(id, row, kept)
--- a/internal/cellowner/long_waits.go
+++ b/internal/cellowner/long_waits.go
@@ -23,7 +23,7 @@
 		}
 		o.deps.Log.WithFields(logrus.Fields{"stage": w.Stage.String(), "queue": w.Queue, "workspace": w.Workspace, "why": w.Reason,
 			"waited_ms": w.Waited.Milliseconds(), "idle": w.Idle, "tasks": w.Tasks, "need": w.Need.String(),
-			"able": w.Able, "denied": w.Denied, "unknown": w.Unknown, "places": w.Places}).Warn("stage_waits_long")
+			"able": w.Feasible, "denied": w.Denied, "unknown": w.Unknown, "places": w.TaskCapacity}).Warn("stage_waits_long")
 	}
 	o.deps.Metrics.ImpossibleTasks.Set(float64(impossible))
 }
--- a/internal/cellowner/look_loop.go
+++ b/internal/cellowner/look_loop.go
@@ -23,7 +23,7 @@
 
 // startLooking begins a look loop for each worker that has none.
 func (o *Owner) startLooking(ctx context.Context) {
-	for _, id := range o.cell.WorkerIDs() {
+	for _, id := range o.cell.WorkersToPoll() {
 		o.lookingMu.Lock()
 		_, there := o.looking[id]
 		o.looking[id] = struct{}{}
@@ -49,7 +49,7 @@
 			continue
 		}
 		sentAt := time.Now()
-		target, look, ok := o.cell.NextLook(id, sentAt)
+		target, look, ok := o.cell.NextPoll(id, sentAt)
 		if !ok {
 			return
 		}
@@ -77,7 +77,7 @@
 		case look.Wait == 0:
 			wait(ctx, lookPace)
 		}
-		if len(o.cell.Missing()) > 0 {
+		if len(o.cell.UnknownJobs()) > 0 {
 			signal(o.kickJobs)
 		}
 	}
@@ -89,7 +89,7 @@
 		return
 	}
 	o.checkFence(err)
-	o.cell.LookFailed(id, err, time.Now())
+	o.cell.PollFailed(id, err, time.Now())
 	o.wake()
 	wait(ctx, pause)
 }
--- a/internal/cellowner/orders.go
+++ b/internal/cellowner/orders.go
@@ -64,10 +64,10 @@
 	}
 }
 
-func (o *Owner) pace(ctx context.Context, order cell.PaceOrder) {
-	_, err := o.deps.Runner.Pace(ctx, order.Worker, order.Pace)
+func (o *Owner) pace(ctx context.Context, order cell.ThrottleOrder) {
+	_, err := o.deps.Runner.Pace(ctx, order.Worker, order.Throttle)
 	o.checkFence(err)
-	o.cell.PaceAnswered(order, err, time.Now())
+	o.cell.ThrottleAnswered(order, err, time.Now())
 }
 
 func (o *Owner) ask(ctx context.Context, order cell.AdviceOrder) {
@@ -79,7 +79,7 @@
 	if err != nil {
 		o.deps.Metrics.AdviceErrors.Inc()
 	}
-	o.cell.Advised(order.Stage, order.Workers, tickets, err, time.Now())
+	o.cell.AdviceAnswered(order.Stage, order.Workers, tickets, err, time.Now())
 	o.wake()
 }
 
--- a/internal/cellowner/owner.go
+++ b/internal/cellowner/owner.go
@@ -56,7 +56,7 @@
 // ownership, is unchanged.
 func New(s cell.Settings, claim store.Check, deps Deps) *Owner {
 	waits := newWaits(deps.Metrics)
-	s.Waited = waits.note
+	s.ObserveWait = waits.note
 	return &Owner{
 		waits: waits,
 		deps:  deps, claim: claim, term: s.Term, lease: s.Lease, cell: cell.New(s, time.Now(), deps.Log),
@@ -133,10 +133,10 @@
 			o.deps.Log.WithField("chunk", chunk).WithError(err).Error("workers_unreadable")
 			all = false
 		}
-		o.cell.Inherit(workers, now)
+		o.cell.LoadWorkers(workers, now)
 	}
 	if all {
-		o.cell.InheritedAll()
+		o.cell.WorkersLoaded()
 	}
 }
 
@@ -195,7 +195,7 @@
 
 // EarlierStopped takes in that the earlier owner gives no orders any more.
 func (o *Owner) EarlierStopped(now time.Time) {
-	o.cell.EarlierStopped(now)
+	o.cell.PreviousOwnerStopped(now)
 	o.wake()
 }
 
--- a/internal/cellowner/plan_loop.go
+++ b/internal/cellowner/plan_loop.go
@@ -64,7 +64,7 @@
 }
 
 func isLook(order cell.Order) bool {
-	_, ok := order.(cell.LookOrder)
+	_, ok := order.(cell.PollOrder)
 	return ok
 }
 
@@ -74,7 +74,7 @@
 	jobsNews, workersNews := o.jobsNews.of(now), o.workersNews.of(now)
 	o.deps.Log.WithFields(logrus.Fields{"jobs": s.ActiveJobs, "waiting_tasks": s.WaitingTasks, "workers": s.Workers,
 		"usable": s.Usable, "parked": s.Parked, "free_share": strconv.FormatFloat(s.FreeShare, 'f', 3, 64), "free_memory_share": strconv.FormatFloat(s.FreeMemoryShare, 'f', 3, 64), "starts": s.Starts, "done": s.Done,
-		"failed": s.Failed, "lost": s.Lost, "given_up": s.GivenUp, "stops": s.Stops, "preemptions": s.Preemptions, "reservations": s.Reservations, "moves": s.Moves, "copies": s.Copies,
+		"failed": s.Failed, "lost": s.Lost, "given_up": s.PoisonJobs, "stops": s.Stops, "preemptions": s.Preemptions, "reservations": s.Reservations, "moves": s.Moves, "copies": s.SpeculativeRuns,
 		"advice_calls": s.AdviceCalls, "jobs_news_ms": jobsNews.Milliseconds(), "workers_news_ms": workersNews.Milliseconds()}).WithFields(o.planned.take()).WithFields(o.waits.take()).Info("cell_state")
 	o.tellLongWaits(now)
 	o.tellAways(now)
@@ -92,7 +92,7 @@
 		go o.start(ctx, order)
 	case cell.StopOrder:
 		go o.stop(ctx, order)
-	case cell.PaceOrder:
+	case cell.ThrottleOrder:
 		go o.pace(ctx, order)
 	case cell.AdviceOrder:
 		o.deps.Advisers.Reserve(order)
--- a/internal/cellowner/quota_waits.go
+++ b/internal/cellowner/quota_waits.go
@@ -17,7 +17,7 @@
 		if i >= mostQuotaWaits {
 			continue
 		}
-		o.deps.Log.WithFields(logrus.Fields{"workspace": w.Workspace, "tasks": w.Tasks, "used": w.Used.String(), "unseen": w.Unseen.String(),
+		o.deps.Log.WithFields(logrus.Fields{"workspace": w.Workspace, "tasks": w.Tasks, "used": w.Used.String(), "unseen": w.Unconfirmed.String(),
 			"cap": w.Cap.String(), "version": w.Version}).Info("workspace_at_quota")
 	}
 	o.deps.Metrics.QuotaTasks.Set(float64(tasks))
--- a/internal/cellowner/upkeeper.go
+++ b/internal/cellowner/upkeeper.go
@@ -46,7 +46,7 @@
 		}
 	}
 	if len(u.trackers) == 0 {
-		u.owner.cell.Evacuate(nil)
+		u.owner.cell.SetEvacuating(nil)
 	}
 }
 
@@ -97,7 +97,7 @@
 			orders = append(orders, upkeep.Order{Machine: machine, Wave: number, Holder: u.Holder, Token: u.owner.term})
 		}
 	}
-	u.owner.cell.Evacuate(empty)
+	u.owner.cell.SetEvacuating(empty)
 	u.begin(ctx, orders)
 }
 
@@ -161,7 +161,7 @@
 	case a.err == nil:
 		now := time.Now()
 		worker, orderedAt := t.Begun(a.order.Machine, now)
-		u.owner.cell.Ended(worker, orderedAt, now)
+		u.owner.cell.WorkerTerminated(worker, orderedAt, now)
 		log.WithField("worker", worker).Info("upkeep_begun")
 		return true
 	case errors.Is(a.err, upkeep.ErrNotConcerned):
--- a/internal/command/instance.go
+++ b/internal/command/instance.go
@@ -25,7 +25,7 @@
 	settingsFile  string
 	logLevel      string
 	peerAdvertise string
-	without       cell.Without
+	without       cell.MechanismSet
 }
 
 func (f *instanceFlags) register(s *settings.Settings) {
--- a/internal/node/module.go
+++ b/internal/node/module.go
@@ -100,8 +100,8 @@
 func newLeader(s Settings, o Outside, d *cellpeer.Directory, c *cellpeer.Clients, r *relays, w *store.Watched, jobs *celljobs.Jobs, current *catalog.Current, m *cellowner.Metrics, log *logrus.Entry) *cellleader.Leader {
 	advisers := cellpeer.NewAdvicePool(d, c, o.Adviser, r.advice())
 	newOwner := func(term uint64, earlierStopped bool, claim store.Check, l cellowner.Leadership) *cellowner.Owner {
-		settings := cell.Settings{Term: term, Lease: min(lease, s.MaxLease), EarlierStopped: earlierStopped, StopGrace: s.StopGrace,
-			SpareWorkers: spareWorkers, Early: s.Early, FarFactor: s.FarFactor, Without: s.Without}
+		settings := cell.Settings{Term: term, Lease: min(lease, s.MaxLease), PreviousOwnerStopped: earlierStopped, StopGrace: s.StopGrace,
+			SpareWorkers: spareWorkers, EarlyStart: s.Early, RemoteDataFactor: s.FarFactor, Disabled: s.Without}
 		return cellowner.New(settings, claim, cellowner.Deps{
 			Store: w, Jobs: jobs, Roster: roster.NewNamed(o.Roster(w, log), namedIn(current)), Runner: r.runner(), Advisers: advisers, Catalog: current.Get,
 			Upkeep: newUpkeep(s, o, w, log), Leadership: l, Metrics: m, AcrossPartitions: s.AcrossPartitions, Log: log,
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -42,7 +42,7 @@
 	// TerminationGrace is the time between a request to stop and the end by force.
 	TerminationGrace time.Duration
 	// Without names the mechanisms of the planner that are switched off.
-	Without cell.Without
+	Without cell.MechanismSet
 	// LinkMbps is what the machine's link carries; 0 is no limit.
 	LinkMbps float64
 	// AcrossPartitions says that the store takes transactions over several partitions.
