--- a/internal/cell/adopt.go
+++ b/internal/cell/adopt.go
@@ -7,13 +7,13 @@
 	"gentianstand/internal/runner"
 )
 
-// attemptOf returns the booked attempt of a reported run. A run that is not
+// findOrAdopt returns the booked attempt of a reported run. A run that is not
 // booked was started by an earlier owner, or outlived what we took for its end:
 // it is adopted if the task still needs it, and stopped otherwise.
-func (c *Cell) attemptOf(w *worker, r runner.RunState, now time.Time) *attempt {
-	t := c.taskNamed(r.Task)
+func (c *Cell) findOrAdopt(w *worker, r runner.RunState, now time.Time) *attempt {
+	t := c.taskByName(r.Task)
 	if t == nil {
-		c.stopUnknown(w, r)
+		c.stopUnknownRun(w, r)
 		return nil
 	}
 	if a := t.find(w, r.Run); a != nil {
@@ -22,7 +22,7 @@
 	if w.reported && r.Run < t.lastRun && t.done {
 		return nil
 	}
-	c.superseded(t, r.Run, now)
+	c.dropSuperseded(t, r.Run, now)
 	a := c.adopt(t, w, r.Run, now)
 	switch {
 	case t.stage.job.final != "":
@@ -38,19 +38,19 @@
 
 // adopt books a run that another owner ordered.
 func (c *Cell) adopt(t *task, w *worker, run uint64, now time.Time) *attempt {
-	a := &attempt{task: t, run: run, worker: w, phase: running, orderedAt: now, confirmedAt: now, changedAt: now, pace: 100}
+	a := &attempt{task: t, run: run, worker: w, phase: running, orderedAt: now, confirmedAt: now, changedAt: now, speedPercent: 100}
 	t.lastRun = max(t.lastRun, run)
 	t.attempts = append(t.attempts, a)
-	t.stage.takeIdle(t.index)
-	w.add(a)
+	t.stage.removeIdle(t.index)
+	w.addAttempt(a)
 	c.isolate(a)
 	t.stage.job.started = true
-	c.wake(t.stage)
+	c.updateWaiting(t.stage)
 	return a
 }
 
-// stopUnknown stops a run of a task that no accepted job has.
-func (c *Cell) stopUnknown(w *worker, r runner.RunState) {
+// stopUnknownRun stops a run of a task that no accepted job has.
+func (c *Cell) stopUnknownRun(w *worker, r runner.RunState) {
 	id, err := job.ParseTaskID(r.Task)
 	if err != nil {
 		c.log.WithFields(workerFields(w)).WithError(err).Warn("report_with_bad_task_name")
@@ -60,16 +60,16 @@
 	c.orders = append(c.orders, StopOrder{Worker: w.target, Task: id, Stop: runner.Stop{Task: r.Task, Run: r.Run, Token: c.settings.Term}})
 }
 
-// taskNamed returns a known task by its name, or nil.
-func (c *Cell) taskNamed(name string) *task {
+// taskByName returns a known task by its name, or nil.
+func (c *Cell) taskByName(name string) *task {
 	id, err := job.ParseTaskID(name)
 	if err != nil {
 		return nil
 	}
-	return c.task(id)
+	return c.taskByID(id)
 }
 
-func (c *Cell) task(id job.TaskID) *task {
+func (c *Cell) taskByID(id job.TaskID) *task {
 	j := c.jobs[id.Job]
 	if j == nil {
 		return nil
@@ -81,34 +81,34 @@
 	return s.tasks[id.Index]
 }
 
-// progressed takes in what a worker reports of a run.
-func (c *Cell) progressed(a *attempt, r runner.RunState, now time.Time) {
+// recordProgress takes in what a worker reports of a run.
+func (c *Cell) recordProgress(a *attempt, r runner.RunState, now time.Time) {
 	if a.phase == ordered {
 		a.phase = running
 	}
 	if a.confirmedAt.IsZero() {
 		a.confirmedAt = now
 	}
-	c.noteSurvival(a, now)
-	c.noteAtWork(a, r.Percent, now)
+	c.recordSurvival(a, now)
+	c.recordWorking(a, r.Percent, now)
 	a.task.stage.job.started = true
 	if r.Percent != a.percent || a.changedAt.IsZero() {
 		a.percent = r.Percent
 		a.changedAt = now
 	}
-	a.gauge = r.Gauge
+	a.tailLatencyMillis = r.Gauge
 	if r.Saved != "" {
-		a.task.keep(r.Saved)
+		a.task.saveCheckpoint(r.Saved)
 	}
 }
 
-// keep stores a checkpoint. One of any member is valid for a whole gang.
-func (t *task) keep(saved string) {
+// saveCheckpoint stores a checkpoint. One of any member is valid for a whole gang.
+func (t *task) saveCheckpoint(checkpoint string) {
 	if !t.stage.step.Gang {
-		t.saved = saved
+		t.checkpoint = checkpoint
 		return
 	}
 	for _, member := range t.stage.tasks {
-		member.saved = saved
+		member.checkpoint = checkpoint
 	}
 }
--- a/internal/cell/advice_slots.go
+++ b/internal/cell/advice_slots.go
@@ -6,10 +6,10 @@
 	"gentianstand/internal/job"
 )
 
-// slowCall is the duration from which a call for advice counts as slow. The
+// slowCallFrom is the duration from which a call for advice counts as slow. The
 // adviser takes one call at a time for each instance, so a quick call behind a
 // slow one waits for all of it.
-const slowCall = 150 * time.Millisecond
+const slowCallFrom = 150 * time.Millisecond
 
 // AdviceSlots is how many calls for advice may begin now.
 type AdviceSlots struct {
@@ -19,12 +19,12 @@
 	Any int
 }
 
-// any reports whether a call may begin at once. A call that waits at the adviser is served
+// available reports whether a call may begin at once. A call that waits at the adviser is served
 // even after its caller has given it up, so asking again would only delay the next ones.
-func (s *AdviceSlots) any(slow bool) bool { return s.Any > 0 || (!slow && s.Quick > 0) }
+func (s *AdviceSlots) available(slow bool) bool { return s.Any > 0 || (!slow && s.Quick > 0) }
 
-// take books a call.
-func (s *AdviceSlots) take(slow bool) {
+// acquire books a call.
+func (s *AdviceSlots) acquire(slow bool) {
 	if !slow && s.Quick > 0 {
 		s.Quick--
 		return
@@ -32,4 +32,4 @@
 	s.Any--
 }
 
-func isSlow(c *job.AdviceCost) bool { return c.Duration(advisedWorkers) >= slowCall }
+func isSlowCall(c *job.AdviceCost) bool { return c.Duration(typicalCallSize) >= slowCallFrom }
--- a/internal/cell/answers.go
+++ b/internal/cell/answers.go
@@ -15,17 +15,17 @@
 func (c *Cell) StartAnswered(o StartOrder, answer runner.Answer, err error, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	a := c.attempt(o.Task, o.Worker.ID, o.Start.Run)
+	a := c.findAttempt(o.Task, o.Worker.ID, o.Start.Run)
 	if a == nil {
 		return
 	}
-	a.worker.sawClockOf(answer, now)
+	a.worker.updateClockFromAnswer(answer, now)
 	var refusal *runner.Refusal
 	switch {
 	case err == nil:
-		c.confirmed(a, now)
+		c.startConfirmed(a, now)
 	case errors.As(err, &refusal):
-		c.refused(a, refusal, now)
+		c.startRefused(a, refusal, now)
 	case errors.Is(err, runner.ErrGone):
 		// The worker's next look finds the same and drops all its runs.
 		c.drop(a, "worker_replaced", now)
@@ -35,33 +35,33 @@
 	}
 }
 
-func (c *Cell) confirmed(a *attempt, now time.Time) {
+func (c *Cell) startConfirmed(a *attempt, now time.Time) {
 	if a.phase == ordered {
 		a.phase = running
 	}
 	if a.confirmedAt.IsZero() {
 		a.confirmedAt = now
 		a.changedAt = now
-		c.noteWait(a.task, now)
+		c.observeWait(a.task, now)
 	}
 	a.task.stage.job.started = true
 }
 
-// noteWait tells how long a task has waited for its first start.
-func (c *Cell) noteWait(t *task, now time.Time) {
-	if t.begun {
+// observeWait tells how long a task has waited for its first start.
+func (c *Cell) observeWait(t *task, now time.Time) {
+	if t.startConfirmed {
 		return
 	}
-	t.begun = true
+	t.startConfirmed = true
 	if c.settings.ObserveWait != nil && !t.stage.readyAt.IsZero() {
 		c.settings.ObserveWait(t.stage.job.record.Priority, now.Sub(t.stage.readyAt))
 	}
 }
 
-// refused takes in that a worker declined a start. The run does not exist, unless the
+// startRefused takes in that a worker declined a start. The run does not exist, unless the
 // start was sent before: the first one may still arrive after the repeat was declined. So
 // a repeated start is revoked.
-func (c *Cell) refused(a *attempt, refusal *runner.Refusal, now time.Time) {
+func (c *Cell) startRefused(a *attempt, refusal *runner.Refusal, now time.Time) {
 	c.log.WithFields(attemptFields(a)).WithFields(logrus.Fields{"reason": refusal.Reason, "repeated": refusal.Repeated}).Info("start_refused")
 	s := a.task.stage
 	switch refusal.Reason {
@@ -86,11 +86,11 @@
 func (c *Cell) StopAnswered(o StopOrder, answer runner.Answer, err error, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	a := c.attempt(o.Task, o.Worker.ID, o.Stop.Run)
+	a := c.findAttempt(o.Task, o.Worker.ID, o.Stop.Run)
 	if a == nil {
 		return
 	}
-	a.worker.sawClockOf(answer, now)
+	a.worker.updateClockFromAnswer(answer, now)
 	if err == nil {
 		a.stopAnsweredAt = now
 	}
@@ -100,16 +100,16 @@
 func (c *Cell) ThrottleAnswered(o ThrottleOrder, err error, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if a := c.attempt(o.Task, o.Worker.ID, o.Throttle.Run); a != nil && err != nil {
+	if a := c.findAttempt(o.Task, o.Worker.ID, o.Throttle.Run); a != nil && err != nil {
 		// Unknown: have it sent again.
-		a.pace = -1
-		a.pacedAt = now
+		a.speedPercent = -1
+		a.throttledAt = now
 	}
 }
 
-func (c *Cell) attempt(id job.TaskID, workerID string, run uint64) *attempt {
+func (c *Cell) findAttempt(id job.TaskID, workerID string, run uint64) *attempt {
 	w := c.workers[workerID]
-	t := c.task(id)
+	t := c.taskByID(id)
 	if w == nil || t == nil {
 		return nil
 	}
--- a/internal/cell/ask_bench_test.go
+++ b/internal/cell/ask_bench_test.go
@@ -23,11 +23,11 @@
 				AcceptedAt: siteStart, Steps: []job.Step{s}, Advice: &job.AdviceCost{PerCall: time.Second, Valid: time.Minute}}
 			c.Add(r, true)
 			now := siteStart.Add(time.Second)
-			room := c.newRoom(now)
+			room := c.newPlanView(now)
 			stage := c.jobs[r.ID].stages[0]
 			b.ResetTimer()
 			for range b.N {
-				c.worthAsking(stage, room, now)
+				c.workersToAsk(stage, room, now)
 			}
 		})
 	}
--- a/internal/cell/ask_expiring.go
+++ b/internal/cell/ask_expiring.go
@@ -8,35 +8,35 @@
 )
 
 // expiringRuns counts, for each stage, the runs that are about to be lost.
-type expiringRuns struct{ lasting, ending map[*stage]int }
+type expiringRuns struct{ longRunning, finite map[*stage]int }
 
 func (e *expiringRuns) add(s *stage) {
 	if s.step.LongRunning {
-		e.lasting[s]++
+		e.longRunning[s]++
 		return
 	}
-	e.ending[s]++
+	e.finite[s]++
 }
 
-func (e *expiringRuns) any() bool { return len(e.lasting)+len(e.ending) > 0 }
+func (e *expiringRuns) any() bool { return len(e.longRunning)+len(e.finite) > 0 }
 
 // expiring counts, for each stage that needs tickets, the runs that are lost within the time
 // of a question to the adviser, as the lease of their silent worker ends. Members of gangs
 // are not placed one by one.
 func (c *Cell) expiring(now time.Time) expiringRuns {
-	runs := expiringRuns{lasting: map[*stage]int{}, ending: map[*stage]int{}}
+	runs := expiringRuns{longRunning: map[*stage]int{}, finite: map[*stage]int{}}
 	for _, w := range c.workers {
-		if len(w.attempts) == 0 || !w.clockAt.IsZero() && !w.silent(now) {
+		if len(w.attempts) == 0 || !w.clockAt.IsZero() && !w.unresponsive(now) {
 			continue
 		}
-		over := c.runsOverAt(w)
+		over := c.runsOverBy(w)
 		for a := range w.attempts {
 			s := a.task.stage
 			cost := s.job.record.Advice
-			if cost == nil || s.step.Gang || a.task.done || s.job.final != "" || a.task.pauses(over) {
+			if cost == nil || s.step.Gang || a.task.done || s.job.final != "" || a.task.backsOff(over) {
 				continue
 			}
-			if !now.Add(cost.Duration(advisedWorkers)).Before(over) {
+			if !now.Add(cost.Duration(typicalCallSize)).Before(over) {
 				runs.add(s)
 			}
 		}
@@ -46,13 +46,13 @@
 
 // askExpiring asks about stages before their runs are lost, so that they can start again at
 // once.
-func (c *Cell) askExpiring(counts map[*stage]int, room *room, now time.Time) {
+func (c *Cell) askExpiring(counts map[*stage]int, view *planView, now time.Time) {
 	stages := slices.SortedFunc(maps.Keys(counts), func(a, b *stage) int {
 		return cmp.Or(cmp.Compare(a.job.record.Priority, b.job.record.Priority), cmp.Compare(a.id.String(), b.id.String()))
 	})
 	for _, s := range stages {
 		s.expiring = counts[s]
-		c.askAdvice(s, room, now)
+		c.askAdvice(s, view, now)
 		s.expiring = 0
 	}
 }
--- a/internal/cell/ask_held_test.go
+++ b/internal/cell/ask_held_test.go
@@ -43,7 +43,7 @@
 	r := s.record(1, lasting)
 	r.Advice = &job.AdviceCost{PerCall: 560 * time.Millisecond, PerWorker: 8 * time.Millisecond, Valid: 2 * time.Second}
 	s.cell.Load(r, nil)
-	began, limit := s.now, s.cell.unseenLimit()
+	began, limit := s.now, s.cell.earlierLeaseLimit()
 	asks := &adviser{site: s}
 	for len(s.plan()) == 0 {
 		if s.now.Sub(began) > 2*limit {
@@ -109,11 +109,11 @@
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 			asks, r := s.lastingOnA()
-			over := s.cell.workers["a"].leaseOver()
+			over := s.cell.workers["a"].leaseOverAt()
 			if takenOver {
 				s.silentFor("a", time.Second, "b")
 				s.takeOver(r, "a", "b")
-				over = s.now.Add(s.cell.unseenLimit())
+				over = s.now.Add(s.cell.earlierLeaseLimit())
 			}
 			asks.asked = 0
 			limit := over.Sub(s.now)
@@ -136,10 +136,10 @@
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	asks, r := s.lastingOnA()
 	crashes := &s.cell.jobs[r.ID].stages[0].tasks[0].crashes
-	crashes.silent = []uint64{90, 91, 92}
+	crashes.unresponsive = []uint64{90, 91, 92}
 	crashes.lostAt = s.now
 	asks.asked = 0
-	for end := s.cell.workers["a"].leaseOver(); s.now.Before(end); s.pass(10 * time.Millisecond) {
+	for end := s.cell.workers["a"].leaseOverAt(); s.now.Before(end); s.pass(10 * time.Millisecond) {
 		s.cell.PollFailed("a", runner.ErrNoAnswer, s.now)
 		s.report("b")
 		s.plan()
@@ -163,7 +163,7 @@
 	for _, o := range s.plan() {
 		s.confirm(o)
 	}
-	for over := s.cell.workers["a"].leaseOver().Add(-300 * time.Millisecond); s.now.Before(over); s.pass(100 * time.Millisecond) {
+	for over := s.cell.workers["a"].leaseOverAt().Add(-300 * time.Millisecond); s.now.Before(over); s.pass(100 * time.Millisecond) {
 		s.cell.PollFailed("a", runner.ErrNoAnswer, s.now)
 		s.report("b")
 	}
--- a/internal/cell/ask_order_test.go
+++ b/internal/cell/ask_order_test.go
@@ -33,8 +33,8 @@
 // while workers stand idle.
 func TestStagesThatAskTogetherSpreadOverTheWorkers(t *testing.T) {
 	s := newSite(t, 1, manyWorkers(24)...)
-	if workers, questions := askedTogether(s, 4); questions != 4 || workers < 2*leastAsked {
-		t.Errorf("%d questions about %d workers in all, want 4 about %d at least", questions, workers, 2*leastAsked)
+	if workers, questions := askedTogether(s, 4); questions != 4 || workers < 2*minAskedWorkers {
+		t.Errorf("%d questions about %d workers in all, want 4 about %d at least", questions, workers, 2*minAskedWorkers)
 	}
 }
 
@@ -53,7 +53,7 @@
 	s.cell.Add(advised(s.record(1, step(4)), 30*time.Millisecond), true)
 	s.slots = AdviceSlots{Quick: 1}
 	s.plan()
-	for _, id := range s.questions()[0].Workers[:leastAsked] {
+	for _, id := range s.questions()[0].Workers[:minAskedWorkers] {
 		if s.cell.workers[id].Capacity.MilliCPU < 4000 {
 			t.Errorf("asked about %s, which has room for one task, among the first", id)
 		}
--- a/internal/cell/ask_test.go
+++ b/internal/cell/ask_test.go
@@ -122,7 +122,7 @@
 	if len(s.questions()) != 0 {
 		t.Error("asked again at once")
 	}
-	s.pass(adviceRetry)
+	s.pass(adviceRetryDelay)
 	s.plan()
 	if len(s.questions()) != 1 {
 		t.Error("not asked again after the pause")
--- a/internal/cell/attempt.go
+++ b/internal/cell/attempt.go
@@ -23,8 +23,8 @@
 	phase  phase
 	// orderedAt is when the start was sent, or the run was first reported.
 	orderedAt time.Time
-	// fromStart says that the run was started here and without a checkpoint.
-	fromStart bool
+	// fromScratch says that the run was started here and without a checkpoint.
+	fromScratch bool
 	// inherited says that the run is known from the store alone: it may have ended.
 	inherited bool
 	// confirmedAt is when the worker answered the start.
@@ -34,24 +34,24 @@
 	// percent and changedAt are the last reported progress and when it moved.
 	percent   int
 	changedAt time.Time
-	// gauge is the last reported figure; see runner.RunState.
-	gauge float64
-	// pace is the share of its speed that the run is allowed.
-	pace    int
-	pacedAt time.Time
+	// tailLatencyMillis is the last reported figure; see runner.RunState.
+	tailLatencyMillis float64
+	// speedPercent is the share of its speed that the run is allowed.
+	speedPercent int
+	throttledAt  time.Time
 	// stopSentAt and stopAnsweredAt are zero while there was none.
 	stopSentAt     time.Time
 	stopAnsweredAt time.Time
-	// seenStopping says that a report after the stop's answer still showed the
+	// reportedAfterStop says that a report after the stop's answer still showed the
 	// run, so that its end will be listed.
-	seenStopping bool
+	reportedAfterStop bool
 	// slow says that another run of the task would end sooner; only of tasks that may
 	// run twice, runs of others are stopped.
 	slow bool
 	// blamed says that the run was counted against its worker's health.
 	blamed bool
-	// makesRoomFor is the stage that the run was preempted for, or nil.
-	makesRoomFor *stage
+	// preemptedFor is the stage that the run was preempted for, or nil.
+	preemptedFor *stage
 }
 
 // elapsed returns how long the run has been going on.
--- a/internal/cell/away_test.go
+++ b/internal/cell/away_test.go
@@ -24,7 +24,7 @@
 		{"the adviser is asked", lasting(1, 0), true, nil, AdvicePending},
 		{"its start is not answered", lasting(1, 0), false, nil, RunStarting},
 		{"its workers were lost", lasting(1, 0), false, func(s *site, task string) {
-			s.cell.taskNamed(task).crashes = crashHistory{silent: []uint64{1, 2, 3}, lostAt: s.now}
+			s.cell.taskByName(task).crashes = crashHistory{unresponsive: []uint64{1, 2, 3}, lostAt: s.now}
 		}, CrashBackoff},
 	} {
 		s := newSite(t, 1, usualWorker("a"))
@@ -38,12 +38,12 @@
 		if test.arrange != nil {
 			test.arrange(s, r.ID+".0.0.0")
 		}
-		s.cell.taskNamed(r.ID + ".0.0.0").stage.lostWorkers = true
+		s.cell.taskByName(r.ID + ".0.0.0").stage.lostWorkers = true
 		s.plan()
-		s.pass(longAway)
+		s.pass(downAfter)
 		s.report("a")
 		aways, total := s.cell.DownTasks(4, s.now)
-		if total != 1 || aways[0].Reason != test.want || aways[0].DownFor < longAway {
+		if total != 1 || aways[0].Reason != test.want || aways[0].DownFor < downAfter {
 			t.Errorf("%s: %+v, want %s", test.name, aways, test.want)
 		}
 	}
@@ -57,7 +57,7 @@
 	s.cell.Add(r, true)
 	start := s.plan()[r.ID+".0.0.0"]
 	s.confirm(start)
-	s.runs["a"] = []runner.RunState{{Task: start.Start.Task, Run: 1, Percent: atWork}}
+	s.runs["a"] = []runner.RunState{{Task: start.Start.Task, Run: 1, Percent: workingPercent}}
 	for range 5 {
 		s.pass(time.Second)
 		s.report("a")
--- a/internal/cell/bench_test.go
+++ b/internal/cell/bench_test.go
@@ -32,7 +32,7 @@
 	c := New(Settings{Term: 1, Lease: time.Second, StopGrace: time.Second}, siteStart, quietLog())
 	for n := range workers {
 		w := newWorker(usualWorker(fmt.Sprint(n)), siteStart)
-		w.saved, w.reported, w.lastReport = true, true, siteStart.Add(time.Second)
+		w.stored, w.reported, w.lastReport = true, true, siteStart.Add(time.Second)
 		w.used = resource.Amount{MilliCPU: 15000}
 		c.workers[w.ID] = w
 	}
--- a/internal/cell/cell.go
+++ b/internal/cell/cell.go
@@ -18,33 +18,33 @@
 	settings Settings
 	log      logrus.FieldLogger
 
-	mu    sync.Mutex
-	began time.Time
-	// watchedAt is when the runs were last looked through.
-	watchedAt time.Time
-	// parkedAt is when workers were last parked, parked how many are.
-	parkedAt time.Time
-	parked   int
-	jobs     map[string]*jobState
-	active   map[string]*jobState
-	workers  map[string]*worker
+	mu        sync.Mutex
+	startedAt time.Time
+	// lastWatchAt is when the runs were last looked through.
+	lastWatchAt time.Time
+	// lastParkAt is when workers were last parked, parked how many are.
+	lastParkAt  time.Time
+	parkedCount int
+	jobs        map[string]*jobState
+	active      map[string]*jobState
+	workers     map[string]*worker
 	// waiting are the stages with tasks to place, in no order.
 	waiting map[*stage]struct{}
 	orders  []Order
 	// pass counts the planning passes; usableBuffer is used again by each of them.
-	pass         uint64
-	usableBuffer []*worker
-	// dirty are the jobs whose progress is ahead of the store.
-	dirty map[*jobState]struct{}
+	pass      uint64
+	usableBuf []*worker
+	// dirtyJobs are the jobs whose progress is ahead of the store.
+	dirtyJobs map[*jobState]struct{}
 	// recovering says that some worker of the time before this ownership has
 	// neither reported nor lapsed, so tasks of older jobs may run unseen there.
 	recovering bool
-	// inheritedAll says that all workers on which an earlier owner can have started
+	// workersLoaded says that all workers on which an earlier owner can have started
 	// runs are known.
-	inheritedAll bool
-	// earlierStoppedAt is when it was learned that the earlier owner gives no orders
+	workersLoaded bool
+	// previousOwnerStoppedAt is when it was learned that the earlier owner gives no orders
 	// any more, if Settings did not tell.
-	earlierStoppedAt time.Time
+	previousOwnerStoppedAt time.Time
 	// endedAt is when this owner gave its last order, or zero.
 	endedAt time.Time
 	// fenced says that the earlier owner can start nothing any more.
@@ -52,28 +52,28 @@
 	durations durations
 	// quotas are the books of what workspaces have running.
 	quotas *quota.Ledger
-	// unmetered are jobs that were not measured against their workspace's share yet.
-	unmetered []*jobState
-	news      rosterNews
+	// unmeteredJobs are jobs that were not measured against their workspace's share yet.
+	unmeteredJobs []*jobState
+	rosterUpdates rosterUpdates
 	// questions are those to the adviser that are under way.
-	questions questions
-	known     knownWorkers
-	// gone are the incarnations that have ended and that the roster may still list, by id.
-	gone map[string]runner.Born
-	// missing are jobs that workers report and the cell does not know; absent are
+	questions   questions
+	dirtyChunks dirtyChunks
+	// endedIncarnations are the incarnations that have ended and that the roster may still list, by id.
+	endedIncarnations map[string]runner.Born
+	// unknownJobs are jobs that workers report and the cell does not know; absent are
 	// those of them that the store does not have either.
-	missing map[string]struct{}
-	absent  map[string]struct{}
-	// lost are, by id, the workers that fell silent, until it is known what became of
+	unknownJobs map[string]struct{}
+	absentJobs  map[string]struct{}
+	// lostWorkers are, by id, the workers that fell silent, until it is known what became of
 	// them, and silences when they did. isolated are the runs beside which nothing of
 	// another job is started.
-	lost     map[string]*lostWorker
-	silences silences
-	// ownSilence says that this owner reaches few workers, so that their silence tells
+	lostWorkers    map[string]*lostWorker
+	unresponsiveAt unresponsiveTimes
+	// ownerIsolated says that this owner reaches few workers, so that their silence tells
 	// nothing of them.
-	ownSilence bool
-	isolated   map[*attempt]struct{}
-	stats      Stats
+	ownerIsolated bool
+	isolatedRuns  map[*attempt]struct{}
+	stats         Stats
 	// backlogs are those worked out at backlogsAt.
 	backlogs   []admission.Backlog
 	backlogsAt time.Time
@@ -82,11 +82,11 @@
 // New returns an empty cell that began its ownership at now.
 func New(s Settings, now time.Time, log logrus.FieldLogger) *Cell {
 	return &Cell{
-		settings: s, log: log, began: now, recovering: true,
+		settings: s, log: log, startedAt: now, recovering: true,
 		jobs: map[string]*jobState{}, active: map[string]*jobState{},
-		workers: map[string]*worker{}, waiting: map[*stage]struct{}{}, dirty: map[*jobState]struct{}{},
-		known: newKnownWorkers(), questions: questions{}, gone: map[string]runner.Born{}, missing: map[string]struct{}{}, absent: map[string]struct{}{},
-		lost: map[string]*lostWorker{}, isolated: map[*attempt]struct{}{},
+		workers: map[string]*worker{}, waiting: map[*stage]struct{}{}, dirtyJobs: map[*jobState]struct{}{},
+		dirtyChunks: newDirtyChunks(), questions: questions{}, endedIncarnations: map[string]runner.Born{}, unknownJobs: map[string]struct{}{}, absentJobs: map[string]struct{}{},
+		lostWorkers: map[string]*lostWorker{}, isolatedRuns: map[*attempt]struct{}{},
 		durations: durations{mean: map[string]time.Duration{}}, quotas: quota.NewLedger(),
 	}
 }
@@ -100,18 +100,18 @@
 		return
 	}
 	j := c.newJobState(r)
-	j.inherited, j.condensed = true, r.Ended
+	j.inherited, j.compacted = true, r.Ended
 	if p != nil {
-		j.restore(p, c.began)
+		j.restore(p, c.startedAt)
 	}
-	c.insert(j)
+	c.insertJob(j)
 }
 
 // Add takes in a newly accepted job. A job that is already known is ignored:
 // the same news may come from the accepting instance and from the store. told
 // says that the accepting instance told this owner; then it told no other one.
 // News from the store may have been told to an earlier owner that still acts.
-func (c *Cell) Add(r *job.Record, told bool) {
+func (c *Cell) Add(r *job.Record, direct bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r.Withdrawn || r.Ended || c.jobs[r.ID] != nil {
@@ -119,28 +119,28 @@
 	}
 	c.log.WithFields(logrus.Fields{"job": r.ID, "queue": r.Queue, "workspace": r.Workspace, "steps": len(r.Steps)}).Info("job_added")
 	j := c.newJobState(r)
-	_, reported := c.missing[r.ID]
-	j.inherited = c.recovering && (!told || reported)
-	c.insert(j)
+	_, reported := c.unknownJobs[r.ID]
+	j.inherited = c.recovering && (!direct || reported)
+	c.insertJob(j)
 }
 
-func (c *Cell) insert(j *jobState) {
+func (c *Cell) insertJob(j *jobState) {
 	c.jobs[j.record.ID] = j
-	delete(c.missing, j.record.ID)
+	delete(c.unknownJobs, j.record.ID)
 	if j.final != "" {
 		return
 	}
 	c.active[j.record.ID] = j
-	if j.account != nil && c.uses(FairShares) {
-		c.unmetered = append(c.unmetered, j)
+	if j.account != nil && c.enabled(FairShares) {
+		c.unmeteredJobs = append(c.unmeteredJobs, j)
 	}
 	for _, s := range j.stages {
-		c.wake(s)
+		c.updateWaiting(s)
 	}
 }
 
-// wake puts a stage among those to place if it has tasks to place.
-func (c *Cell) wake(s *stage) {
+// updateWaiting puts a stage among those to place if it has tasks to place.
+func (c *Cell) updateWaiting(s *stage) {
 	if s.job.final == "" && len(s.idle) > 0 && s.predecessorsDone() {
 		c.waiting[s] = struct{}{}
 		return
@@ -158,9 +158,9 @@
 		return false
 	}
 	if j.final == "" {
-		c.end(j, job.Cancelled, now)
+		c.endJob(j, job.Cancelled, now)
 		// The cancellation is stored before this call, so it may be shown.
-		j.visible = job.Cancelled
+		j.storedState = job.Cancelled
 	}
 	return true
 }
@@ -191,12 +191,12 @@
 	return n
 }
 
-// end gives a job its final state and stops what runs of it.
-func (c *Cell) end(j *jobState, state job.State, now time.Time) {
+// endJob gives a job its final state and stops what runs of it.
+func (c *Cell) endJob(j *jobState, state job.State, now time.Time) {
 	j.final = state
 	j.endedAt = now
 	delete(c.active, j.record.ID)
-	c.dirty[j] = struct{}{}
+	c.dirtyJobs[j] = struct{}{}
 	for _, s := range j.stages {
 		delete(c.waiting, s)
 		for _, t := range s.tasks {
--- a/internal/cell/closing_test.go
+++ b/internal/cell/closing_test.go
@@ -24,7 +24,7 @@
 		}
 	}
 	before.cell.PollFailed("b", runner.ErrNoAnswer, before.now)
-	before.pass(closeAfter)
+	before.pass(unresponsiveAfter)
 	before.plan()
 	commit := before.cell.NextCommit(10)
 	waiting := before.record(2, step(3))
@@ -46,7 +46,7 @@
 	if again, ok := starts[onB]; ok {
 		t.Errorf("run %d of the task on b was started", again.Start.Run)
 	}
-	s.pass(s.cell.unseenLimit())
+	s.pass(s.cell.earlierLeaseLimit())
 	s.report("a")
 	s.report("c")
 	if _, ok := s.plan()[onB]; !ok {
@@ -77,7 +77,7 @@
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
 	s.cell.PollFailed("a", runner.ErrNoAnswer, s.now)
-	s.pass(closeAfter)
+	s.pass(unresponsiveAfter)
 	s.plan()
 	s.commit()
 	s.cell.Add(s.record(1, step(1)), true)
--- a/internal/cell/commit.go
+++ b/internal/cell/commit.go
@@ -8,7 +8,7 @@
 	// Chunks are the parts of the known workers that have changed.
 	Chunks []WorkerChunk
 	// acks are the ends that are covered when the transaction is stored.
-	acks map[*life]uint64
+	acks map[*incarnationState]uint64
 }
 
 // NextCommit returns what to store, at most limit jobs and chunks, or nil if
@@ -16,19 +16,19 @@
 func (c *Cell) NextCommit(limit int) *Commit {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.dirty) == 0 && len(c.known.unsaved) == 0 {
+	if len(c.dirtyJobs) == 0 && len(c.dirtyChunks.numbers) == 0 {
 		c.acknowledgeAll()
 		return nil
 	}
-	commit := &Commit{Chunks: c.takeChunks(), acks: map[*life]uint64{}}
+	commit := &Commit{Chunks: c.takeChunks(), acks: map[*incarnationState]uint64{}}
 	c.takeDirty(commit, limit, true)
 	c.takeDirty(commit, limit, false)
-	if len(c.dirty) > 0 || !c.fenced {
+	if len(c.dirtyJobs) > 0 || !c.fenced {
 		return commit
 	}
 	// Only now does the commit, with those before it, cover all ends seen so far.
 	for _, w := range c.workers {
-		commit.acks[w.life] = w.seen
+		commit.acks[w.incarnationState] = w.seenEnd
 	}
 	return commit
 }
@@ -36,14 +36,14 @@
 // takeDirty moves jobs into a commit, those that have ended or the others. In a slow store
 // all jobs are dirty all the time, and those that have ended should be shown first.
 func (c *Cell) takeDirty(commit *Commit, limit int, ended bool) {
-	for j := range c.dirty {
+	for j := range c.dirtyJobs {
 		if len(commit.Items)+len(commit.Chunks) >= limit {
 			return
 		}
 		if (j.final != "") != ended {
 			continue
 		}
-		delete(c.dirty, j)
+		delete(c.dirtyJobs, j)
 		commit.Items = append(commit.Items, CommitItem{Job: j.record.ID, Progress: j.progress(), state: j})
 	}
 }
@@ -56,7 +56,7 @@
 		return
 	}
 	for _, w := range c.workers {
-		w.acked = w.seen
+		w.ackedEnd = w.seenEnd
 	}
 }
 
@@ -66,12 +66,12 @@
 	defer c.mu.Unlock()
 	for _, item := range commit.Items {
 		if item.Progress.Final != "" {
-			item.state.visible = item.Progress.Final
+			item.state.storedState = item.Progress.Final
 		}
 	}
 	c.chunksStored(commit.Chunks)
 	for of, seen := range commit.acks {
-		of.acked = max(of.acked, seen)
+		of.ackedEnd = max(of.ackedEnd, seen)
 	}
 }
 
@@ -81,10 +81,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, chunk := range commit.Chunks {
-		c.known.unsaved[chunk.Number] = struct{}{}
+		c.dirtyChunks.numbers[chunk.Number] = struct{}{}
 	}
 	for _, item := range commit.Items {
-		c.dirty[item.state] = struct{}{}
+		c.dirtyJobs[item.state] = struct{}{}
 	}
 }
 
@@ -98,7 +98,7 @@
 		if len(ids) == limit {
 			break
 		}
-		if j.visible != "" && now.Sub(j.endedAt) > keep && j.idle() {
+		if j.storedState != "" && now.Sub(j.endedAt) > keep && j.idle() {
 			ids = append(ids, id)
 			delete(c.jobs, id)
 		}
@@ -109,7 +109,7 @@
 // idle reports whether nothing of the job may still run.
 func (j *jobState) idle() bool {
 	for _, s := range j.stages {
-		if s.runs() > 0 {
+		if s.runCount() > 0 {
 			return false
 		}
 	}
--- a/internal/cell/condense.go
+++ b/internal/cell/condense.go
@@ -25,13 +25,13 @@
 		if len(list) == limit {
 			break
 		}
-		if j.visible == "" || j.condensed || now.Sub(j.endedAt) < after || !j.idle() {
+		if j.storedState == "" || j.compacted || now.Sub(j.endedAt) < after || !j.idle() {
 			continue
 		}
-		if _, dirty := c.dirty[j]; dirty {
+		if _, dirty := c.dirtyJobs[j]; dirty {
 			continue
 		}
-		j.condensed = true
+		j.compacted = true
 		j.record = job.EndedRecord(j.record)
 		j.stages = nil
 		list = append(list, CompactedJob{Record: j.record, Progress: j.progress(), state: j})
@@ -44,6 +44,6 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, e := range list {
-		e.state.condensed = false
+		e.state.compacted = false
 	}
 }
--- a/internal/cell/crash_blame_test.go
+++ b/internal/cell/crash_blame_test.go
@@ -84,7 +84,7 @@
 			}
 		})
 		for _, id := range others {
-			if w.mostCrashesUnder(id) < mostCrashes {
+			if w.mostCrashesUnder(id) < maxCrashes {
 				w.checkState(id, job.Completed)
 			}
 		}
--- a/internal/cell/crash_history.go
+++ b/internal/cell/crash_history.go
@@ -6,29 +6,29 @@
 )
 
 const (
-	// mostCrashes is after how many crashed workers a task is given up in any case.
-	mostCrashes = 4
-	// crashesAlone is the same where the last crash has no other suspect and is not
+	// maxCrashes is after how many crashed workers a task is given up in any case.
+	maxCrashes = 4
+	// maxCrashesSoleSuspect is the same where the last crash has no other suspect and is not
 	// correlated with others. Where it is, crashesAtOnce of them must have come as soon as
 	// the task began.
-	crashesAlone  = 2
-	crashesAtOnce = 3
-	// atOnceWithin is how soon after a start its worker falls silent if the task crashes
+	maxCrashesSoleSuspect = 2
+	minImmediateCrashes   = 3
+	// immediateCrashWindow is how soon after a start its worker falls silent if the task crashes
 	// it: one call, and a look that breaks off.
-	atOnceWithin = 100 * time.Millisecond
-	// mostLosses is after how many lost workers a task is given up although it is not known
+	immediateCrashWindow = 100 * time.Millisecond
+	// maxLosses is after how many lost workers a task is given up although it is not known
 	// of all that they crashed: they may be back elsewhere, or never.
-	mostLosses = 5
-	// manyLosses is from how many lost workers on it does not matter whether they had
+	maxLosses = 5
+	// countUnconfirmedFrom is from how many lost workers on it does not matter whether they had
 	// confirmed the starts.
-	manyLosses = 3
-	// pauseLosses is from how many lost workers on, of which some may yet turn out to
+	countUnconfirmedFrom = 3
+	// backoffLosses is from how many lost workers on, of which some may yet turn out to
 	// have crashed, a task pauses before a further start: for lossPause, by when most
 	// workers that crashed are back, and then for longPause. Lasting tasks must not be
 	// away for that long, and pause for lossPause each time.
-	pauseLosses = 2
-	lossPause   = 5 * time.Second
-	longPause   = 10 * time.Second
+	backoffLosses = 2
+	shortBackoff  = 5 * time.Second
+	longBackoff   = 10 * time.Second
 )
 
 // crashHistory is what is known of the workers that were lost while a task was starting
@@ -38,33 +38,33 @@
 type crashHistory struct {
 	// crashed are the runs whose worker has crashed under them.
 	crashed []uint64
-	// atOnce is how many of those workers fell silent as soon as the run had begun.
-	atOnce int
-	// silent are the runs whose worker fell silent; whether it crashed is not known.
-	silent []uint64
+	// immediate is how many of those workers fell silent as soon as the run had begun.
+	immediate int
+	// unresponsive are the runs whose worker fell unresponsive; whether it crashed is not known.
+	unresponsive []uint64
 	// lostAt is when a worker was last lost.
 	lostAt time.Time
 }
 
-func (h *crashHistory) losses() int { return len(h.crashed) + len(h.silent) }
+func (h *crashHistory) losses() int { return len(h.crashed) + len(h.unresponsive) }
 
 func (h *crashHistory) any() bool { return h.losses() > 0 }
 
 func (h *crashHistory) clear() { *h = crashHistory{lostAt: h.lostAt} }
 
-// workerSilent notes that a run's worker fell silent, and reports whether that is new.
-func (h *crashHistory) workerSilent(run uint64, now time.Time) bool {
-	if slices.Contains(h.silent, run) || slices.Contains(h.crashed, run) {
+// addUnresponsive notes that a run's worker fell silent, and reports whether that is new.
+func (h *crashHistory) addUnresponsive(run uint64, now time.Time) bool {
+	if slices.Contains(h.unresponsive, run) || slices.Contains(h.crashed, run) {
 		return false
 	}
-	h.silent = append(h.silent, run)
+	h.unresponsive = append(h.unresponsive, run)
 	h.lostAt = now
 	return true
 }
 
 // lostAtMillis returns when a worker was last lost, as it is stored.
 func (h *crashHistory) lostAtMillis() int64 {
-	if len(h.silent) == 0 {
+	if len(h.unresponsive) == 0 {
 		return 0
 	}
 	return h.lostAt.UnixMilli()
@@ -79,56 +79,56 @@
 	return now.Add(-max(0, now.Sub(time.UnixMilli(millis))))
 }
 
-// workerLives takes a loss back: the worker did not crash under the run.
-func (h *crashHistory) workerLives(run uint64) {
-	h.silent = slices.DeleteFunc(h.silent, func(r uint64) bool { return r == run })
+// removeUnresponsive takes a loss back: the worker did not crash under the run.
+func (h *crashHistory) removeUnresponsive(run uint64) {
+	h.unresponsive = slices.DeleteFunc(h.unresponsive, func(r uint64) bool { return r == run })
 }
 
-// workerCrashed takes in that the worker crashed under the run; atOnce, as soon as it had
+// addCrashed takes in that the worker crashed under the run; atOnce, as soon as it had
 // begun.
-func (h *crashHistory) workerCrashed(run uint64, atOnce bool) {
-	h.workerLives(run)
+func (h *crashHistory) addCrashed(run uint64, atOnce bool) {
+	h.removeUnresponsive(run)
 	if slices.Contains(h.crashed, run) {
 		return
 	}
 	h.crashed = append(h.crashed, run)
 	if atOnce {
-		h.atOnce++
+		h.immediate++
 	}
 }
 
-// pauses reports whether a task that ends must not be started yet.
-func (h *crashHistory) pauses(now time.Time) bool { return h.pausesAtMost(longPause, now) }
+// backsOff reports whether a task that ends must not be started yet.
+func (h *crashHistory) backsOff(now time.Time) bool { return h.backsOffAtMost(longBackoff, now) }
 
-// pausesAtMost is pauses for a task that pauses for no longer than most.
-func (h *crashHistory) pausesAtMost(most time.Duration, now time.Time) bool {
-	if len(h.silent) == 0 || h.losses() < pauseLosses {
+// backsOffAtMost is pauses for a task that pauses for no longer than most.
+func (h *crashHistory) backsOffAtMost(limit time.Duration, now time.Time) bool {
+	if len(h.unresponsive) == 0 || h.losses() < backoffLosses {
 		return false
 	}
-	pause := lossPause
-	if h.losses() > pauseLosses {
-		pause = most
+	pause := shortBackoff
+	if h.losses() > backoffLosses {
+		pause = limit
 	}
 	return now.Sub(h.lostAt) < pause
 }
 
 // isHopeless reports whether so many workers were lost that the task must not be started
 // again, whatever became of them.
-func (h *crashHistory) isHopeless() bool { return h.losses() >= mostLosses }
+func (h *crashHistory) isHopeless() bool { return h.losses() >= maxLosses }
 
 // lostMany reports whether so many workers were lost that a start without an answer counts
 // like one that was confirmed.
-func (h *crashHistory) lostMany() bool { return h.losses() >= manyLosses }
+func (h *crashHistory) lostMany() bool { return h.losses() >= countUnconfirmedFrom }
 
 // isPoison reports whether the task crashes its workers. onlySuspect says that the last
 // crash had no suspect of another job, correlated that other workers fell silent with it.
 func (h *crashHistory) isPoison(onlySuspect, correlated bool) bool {
 	n := len(h.crashed)
 	switch {
-	case n >= mostCrashes:
+	case n >= maxCrashes:
 		return true
-	case !onlySuspect || n < crashesAlone:
+	case !onlySuspect || n < maxCrashesSoleSuspect:
 		return false
 	}
-	return !correlated || h.atOnce >= crashesAtOnce
+	return !correlated || h.immediate >= minImmediateCrashes
 }
--- a/internal/cell/crash_test.go
+++ b/internal/cell/crash_test.go
@@ -141,8 +141,8 @@
 func TestCrashHistoryPauses(t *testing.T) {
 	var h crashHistory
 	for n, want := range []time.Duration{0, 5 * time.Second, 10 * time.Second, 10 * time.Second} {
-		h.workerSilent(uint64(n+1), siteStart)
-		if h.pauses(siteStart.Add(want)) || want > 0 && !h.pauses(siteStart.Add(want-time.Millisecond)) {
+		h.addUnresponsive(uint64(n+1), siteStart)
+		if h.backsOff(siteStart.Add(want)) || want > 0 && !h.backsOff(siteStart.Add(want-time.Millisecond)) {
 			t.Errorf("after %d lost workers the pause is not %v", n+1, want)
 		}
 	}
--- a/internal/cell/durations.go
+++ b/internal/cell/durations.go
@@ -20,9 +20,9 @@
 	d.mean[queue] = old + time.Duration(durationWeight*float64(took-old))
 }
 
-// generous returns the longer of an estimate for a chain of stages and what as many usual
+// conservative returns the longer of an estimate for a chain of stages and what as many usual
 // tasks of the queue take. Late work waits for work that can still be in time, so a job
 // whose estimate is far too short would count as late from the start.
-func (d *durations) generous(queue string, estimate time.Duration, stages int) time.Duration {
+func (d *durations) conservative(queue string, estimate time.Duration, stages int) time.Duration {
 	return max(estimate, time.Duration(stages)*d.mean[queue])
 }
--- a/internal/cell/ends.go
+++ b/internal/cell/ends.go
@@ -10,22 +10,22 @@
 	"gentianstand/internal/runner"
 )
 
-// ended takes in the end of a run that a worker lists, and reports whether it
+// recordEnd takes in the end of a run that a worker lists, and reports whether it
 // could: the end of a job that has yet to be looked for has to wait.
-func (c *Cell) ended(w *worker, e runner.End, now time.Time) bool {
+func (c *Cell) recordEnd(w *worker, e runner.End, now time.Time) bool {
 	if !c.knowsJob(e.Task) {
 		return false
 	}
-	t := c.taskNamed(e.Task)
+	t := c.taskByName(e.Task)
 	if t == nil {
 		c.log.WithFields(workerFields(w)).WithField("task", e.Task).Warn("end_of_unknown_task")
 		return true
 	}
 	a := t.find(w, e.Run)
 	if e.Saved != "" {
-		t.keep(e.Saved)
+		t.saveCheckpoint(e.Saved)
 		if a != nil {
-			t.percent = max(t.percent, a.percent)
+			t.checkpointPercent = max(t.checkpointPercent, a.percent)
 		}
 	}
 	t.lastRun = max(t.lastRun, e.Run)
@@ -39,14 +39,14 @@
 		c.clearCrashes(t)
 		c.taskFailed(t, w, e.Run, now)
 	}
-	c.dirty[t.stage.job] = struct{}{}
+	c.dirtyJobs[t.stage.job] = struct{}{}
 	if a != nil {
 		c.drop(a, string(e.How), now)
 	}
 	if e.How != runner.Done && t.stage.step.Gang {
 		c.breakGang(t.stage, now)
 	}
-	c.finish(t.stage.job, now)
+	c.completeIfDone(t.stage.job, now)
 	return true
 }
 
@@ -55,8 +55,8 @@
 func (c *Cell) runDone(t *task, a *attempt, w *worker, now time.Time) {
 	c.clearCrashes(t)
 	if a != nil {
-		t.stage.markSuccessors()
-		c.noteDuration(a, now)
+		t.stage.markSuccessorsFresh()
+		c.recordDuration(a, now)
 	}
 	if a == nil || !a.blamed {
 		w.health.succeeded()
@@ -66,24 +66,24 @@
 	}
 }
 
-// noteDuration learns how long a task took, if the run was seen from its start
+// recordDuration learns how long a task took, if the run was seen from its start
 // and did not resume from a checkpoint.
-func (c *Cell) noteDuration(a *attempt, now time.Time) {
+func (c *Cell) recordDuration(a *attempt, now time.Time) {
 	step := a.task.stage.step
-	if a.fromStart && !step.LongRunning && !step.Gang && !step.Fills {
-		if a.elapsed(now) > suspectFactor*c.usualDuration(a) {
+	if a.fromScratch && !step.LongRunning && !step.Gang && !step.Fills {
+		if a.elapsed(now) > slowWorkerFactor*c.usualDuration(a) {
 			c.blameWorker(a, now)
 		}
 		c.durations.add(a.task.stage.job.record.Queue, now.Sub(a.orderedAt))
 	}
 }
 
-// markSuccessors notes that the stages after s were not started before now: one
+// markSuccessorsFresh notes that the stages after s were not started before now: one
 // of its runs was seen under this owner and has only now ended.
-func (s *stage) markSuccessors() {
+func (s *stage) markSuccessorsFresh() {
 	for _, next := range s.job.stages {
 		if slices.Contains(next.after, s) {
-			next.fresh = true
+			next.noEarlierRuns = true
 		}
 	}
 }
@@ -101,7 +101,7 @@
 		m.done = true
 		c.stats.Done++
 		t.stage.done++
-		t.stage.takeIdle(m.index)
+		t.stage.removeIdle(m.index)
 	}
 	if !t.stage.step.Gang {
 		for _, other := range t.attempts {
@@ -110,10 +110,10 @@
 			}
 		}
 	}
-	c.wake(t.stage)
+	c.updateWaiting(t.stage)
 	if t.stage.isDone() {
 		for _, s := range t.stage.job.stages {
-			c.wake(s)
+			c.updateWaiting(s)
 		}
 	}
 }
@@ -134,18 +134,18 @@
 		return
 	}
 	c.stats.Failed++
-	if a := t.find(w, run); a != nil && a.showsSoundWorker(now) {
+	if a := t.find(w, run); a != nil && a.provesWorkerHealthy(now) {
 		w.health.succeeded()
 	} else {
-		c.noteFailure(w, t.stage.id.Job, now)
+		c.recordFailure(w, t.stage.id.Job, now)
 	}
 	t.failedOn = append(t.failedOn, w.ID)
-	t.forgetOldFailures()
-	counted.forgetOldFailures()
+	t.trimFailures()
+	counted.trimFailures()
 	j := t.stage.job
 	if j.final == "" && !t.stage.step.LongRunning && counted.failures() >= max(1, j.record.MaxAttempts) {
 		c.log.WithFields(logrus.Fields{"job": j.record.ID, "task": t.id().String(), "failures": counted.failures()}).Info("job_out_of_attempts")
-		c.end(j, job.Failed, now)
+		c.endJob(j, job.Failed, now)
 	}
 }
 
@@ -162,15 +162,15 @@
 	}
 }
 
-// finish completes a job whose tasks are all done.
-func (c *Cell) finish(j *jobState, now time.Time) {
+// completeIfDone completes a job whose tasks are all done.
+func (c *Cell) completeIfDone(j *jobState, now time.Time) {
 	if j.final == "" && j.allDone() {
-		c.end(j, job.Completed, now)
+		c.endJob(j, job.Completed, now)
 	}
 }
 
 // drop takes a run out of the books: it is certain that it does not go on.
-func (c *Cell) drop(a *attempt, why string, now time.Time) {
+func (c *Cell) drop(a *attempt, reason string, now time.Time) {
 	t := a.task
 	for i, other := range t.attempts {
 		if other == a {
@@ -178,15 +178,15 @@
 			break
 		}
 	}
-	a.worker.remove(a)
-	delete(c.isolated, a)
-	if a.worker.closed {
+	a.worker.removeAttempt(a)
+	delete(c.isolatedRuns, a)
+	if a.worker.cordoned {
 		// The store lists the run.
-		c.known.changed(a.worker.ID)
+		c.dirtyChunks.mark(a.worker.ID)
 	}
-	if a.makesRoomFor != nil {
-		a.makesRoomFor.preempting--
-		a.makesRoomFor = nil
+	if a.preemptedFor != nil {
+		a.preemptedFor.preempting--
+		a.preemptedFor = nil
 	}
 	if !t.done && len(t.attempts) == 0 {
 		t.stage.addIdle(t.index)
@@ -194,18 +194,18 @@
 	if t.stage.step.Gang && !t.done {
 		c.breakGang(t.stage, now)
 	}
-	c.wake(t.stage)
-	c.log.WithFields(attemptFields(a)).WithField("why", why).Debug("run_over")
+	c.updateWaiting(t.stage)
+	c.log.WithFields(attemptFields(a)).WithField("why", reason).Debug("run_over")
 }
 
 // stop orders the end of a run.
-func (c *Cell) stop(a *attempt, why string, now time.Time) {
+func (c *Cell) stop(a *attempt, reason string, now time.Time) {
 	if a.phase == stopping {
 		return
 	}
 	a.phase = stopping
 	c.stats.Stops++
-	c.log.WithFields(attemptFields(a)).WithField("why", why).Debug("run_stopped")
+	c.log.WithFields(attemptFields(a)).WithField("why", reason).Debug("run_stopped")
 	c.sendStop(a, now)
 }
 
--- a/internal/cell/evacuate.go
+++ b/internal/cell/evacuate.go
@@ -6,12 +6,12 @@
 	"gentianstand/internal/upkeep"
 )
 
-// evacuateWorth is how much longer a run has to need for a stop and a start elsewhere
+// minEvacuationGain is how much longer a run has to need for a stop and a start elsewhere
 // to be worth it on a worker that is being emptied.
-const evacuateWorth = 1500 * time.Millisecond
+const minEvacuationGain = 1500 * time.Millisecond
 
-// atWork is the progress in percent that a lasting task reports when it works.
-const atWork = 100
+// workingPercent is the progress in percent that a lasting task reports when it works.
+const workingPercent = 100
 
 // SetEvacuating names all workers that are to be emptied; others are used again.
 func (c *Cell) SetEvacuating(workers []string) {
@@ -42,7 +42,7 @@
 	}
 	load := upkeep.Load{Runs: len(w.attempts)}
 	for a := range w.attempts {
-		load.Protected = load.Protected || a.phase != stopping && !c.mayEnd(a)
+		load.Protected = load.Protected || a.phase != stopping && !c.mayInterrupt(a)
 	}
 	return load
 }
@@ -59,7 +59,7 @@
 	}
 	c.clearSuspects(id)
 	if w != nil {
-		c.remove(w, now)
+		c.removeReplaced(w, now)
 	}
 }
 
@@ -68,33 +68,33 @@
 	step := a.task.stage.step
 	switch {
 	case a.phase != running || step.Gang:
-	case step.LongRunning && c.mayEnd(a), step.Checkpoint && c.expectedLeft(a, now) > evacuateWorth:
+	case step.LongRunning && c.mayInterrupt(a), step.Checkpoint && c.expectedRemaining(a, now) > minEvacuationGain:
 		c.stats.Moves++
 		c.stop(a, "evacuated", now)
 	}
 }
 
-// mayEnd reports whether a run may be ended by the owner's choice. Callers say how many
+// mayInterrupt reports whether a run may be ended by the owner's choice. Callers say how many
 // tasks of a lasting step may be away for that; workers that are emptied together may have
 // several.
-func (c *Cell) mayEnd(a *attempt) bool {
+func (c *Cell) mayInterrupt(a *attempt) bool {
 	s := a.task.stage
 	if !s.step.LongRunning || s.step.MayMiss == 0 {
 		return true
 	}
-	away := 0
+	down := 0
 	for _, t := range s.tasks {
-		if t != a.task && !t.works() {
-			away++
+		if t != a.task && !t.isWorking() {
+			down++
 		}
 	}
-	return away < s.step.MayMiss
+	return down < s.step.MayMiss
 }
 
-// works reports whether a lasting task is at work, as far as its worker has told.
-func (t *task) works() bool {
+// isWorking reports whether a lasting task is at work, as far as its worker has told.
+func (t *task) isWorking() bool {
 	for _, a := range t.attempts {
-		if a.phase == running && a.percent >= atWork && a.worker.failingAt.IsZero() {
+		if a.phase == running && a.percent >= workingPercent && a.worker.unresponsiveSince.IsZero() {
 			return true
 		}
 	}
--- a/internal/cell/evacuate_test.go
+++ b/internal/cell/evacuate_test.go
@@ -84,7 +84,7 @@
 	s.report("b")
 	starts := s.started(s.record(1, lasting(2, 1)))
 	for _, o := range starts {
-		s.progress(o, atWork)
+		s.progress(o, workingPercent)
 	}
 	s.report("c")
 	s.look("a", "b", "c")
@@ -119,7 +119,7 @@
 			s.t.Fatalf("moved to %s, want %s", o.Worker.ID, worker)
 		}
 		s.confirm(o)
-		s.progress(o, atWork)
+		s.progress(o, workingPercent)
 	}
 }
 
@@ -143,7 +143,7 @@
 		t.Errorf("workers %v after the end of their lives", ids)
 	}
 	s.cell.UpdateRoster(roster.Change{Removed: []string{"a"}}, s.now)
-	if len(s.cell.gone) > 0 {
+	if len(s.cell.endedIncarnations) > 0 {
 		t.Error("it is remembered after the roster has dropped it")
 	}
 }
--- a/internal/cell/isolation.go
+++ b/internal/cell/isolation.go
@@ -16,9 +16,9 @@
 // crash.
 const startingWeight = 1000
 
-// noteSurvival takes in that a run was seen at work: if it were one that crashes its worker,
+// recordSurvival takes in that a run was seen at work: if it were one that crashes its worker,
 // it would have done so.
-func (c *Cell) noteSurvival(a *attempt, now time.Time) {
+func (c *Cell) recordSurvival(a *attempt, now time.Time) {
 	if a.survived || now.Sub(a.confirmedAt) < survivedAfter {
 		return
 	}
@@ -31,7 +31,7 @@
 func (c *Cell) clearCrashes(t *task) {
 	if t.crashes.any() {
 		t.crashes.clear()
-		c.dirty[t.stage.job] = struct{}{}
+		c.dirtyJobs[t.stage.job] = struct{}{}
 	}
 }
 
@@ -42,7 +42,7 @@
 // isolate keeps other jobs off the worker of a new run if its task has a crash history.
 func (c *Cell) isolate(a *attempt) {
 	if a.isolated() {
-		c.isolated[a] = struct{}{}
+		c.isolatedRuns[a] = struct{}{}
 		a.worker.isolatedFor = a.task.stage.job
 	}
 }
@@ -58,20 +58,20 @@
 
 // markIsolated notes on each worker for which job it is isolated.
 func (c *Cell) markIsolated() {
-	for a := range c.isolated {
+	for a := range c.isolatedRuns {
 		if !a.isolated() {
-			delete(c.isolated, a)
+			delete(c.isolatedRuns, a)
 			continue
 		}
 		a.worker.isolatedFor = a.task.stage.job
 	}
 }
 
-// openTo reports whether a job's tasks may be started on a worker that may be isolated.
-func (w *worker) openTo(j *jobState) bool { return w.isolatedFor == nil || w.isolatedFor == j }
+// acceptsJob reports whether a job's tasks may be started on a worker that may be isolated.
+func (w *worker) acceptsJob(j *jobState) bool { return w.isolatedFor == nil || w.isolatedFor == j }
 
-// atRisk tells how much of other jobs would be lost with a worker.
-func (w *worker) atRisk(j *jobState) int {
+// weightAtRisk tells how much of other jobs would be lost with a worker.
+func (w *worker) weightAtRisk(j *jobState) int {
 	n := 0
 	for a := range w.attempts {
 		switch {
@@ -92,10 +92,10 @@
 	// The emptiest come last.
 	for i := len(fitting) - 1; i >= 0; i-- {
 		w := fitting[i].w
-		if !c.takesNow(s, t, w, now) {
+		if !c.canPlace(s, t, w, now) {
 			continue
 		}
-		n := w.atRisk(s.job)
+		n := w.weightAtRisk(s.job)
 		if n == 0 {
 			return i
 		}
@@ -106,25 +106,25 @@
 	return best
 }
 
-// leastAtRisk sorts the candidates for a gang of which a task has a crash history.
-func (s *stage) leastAtRisk(fitting []candidate) []candidate {
+// sortByRisk sorts the candidates for a gang of which a task has a crash history.
+func (s *stage) sortByRisk(fitting []candidate) []candidate {
 	if !s.lostWorkers || !slices.ContainsFunc(s.tasks, func(t *task) bool { return t.crashes.any() }) {
 		return fitting
 	}
 	sorted := slices.Clone(fitting)
-	slices.SortStableFunc(sorted, func(a, b candidate) int { return cmp.Compare(a.w.atRisk(s.job), b.w.atRisk(s.job)) })
+	slices.SortStableFunc(sorted, func(a, b candidate) int { return cmp.Compare(a.w.weightAtRisk(s.job), b.w.weightAtRisk(s.job)) })
 	return sorted
 }
 
-// pauses reports whether a stage has nothing to start now because workers were lost under
+// backsOff reports whether a stage has nothing to start now because workers were lost under
 // its tasks time and again. A gang starts whole.
-func (s *stage) pauses(now time.Time) bool {
+func (s *stage) backsOff(now time.Time) bool {
 	if !s.lostWorkers {
 		return false
 	}
 	pausing := 0
 	for _, index := range s.idle {
-		if s.tasks[index].pauses(now) {
+		if s.tasks[index].backsOff(now) {
 			pausing++
 		}
 	}
--- a/internal/cell/job_state.go
+++ b/internal/cell/job_state.go
@@ -13,22 +13,22 @@
 	// account is that of the job's workspace, or nil if it has none.
 	account *quota.Account
 	stages  []*stage
-	// beyondShare says that its workspace had sent more than its share when it was accepted.
-	beyondShare bool
+	// overShare says that its workspace had sent more than its share when it was accepted.
+	overShare bool
 	// inherited jobs were accepted under an earlier owner.
 	inherited bool
 	// started says that a task has been confirmed as running.
 	started bool
 	final   job.State
 	endedAt time.Time
-	// visible is the final state that is stored and may be shown.
-	visible job.State
-	// condensed says that its record and progress were condensed, or are about to be.
-	condensed bool
-	// chain is the ideal duration of the longest chain of steps.
-	chain time.Duration
-	// depth is the number of stages on the longest chain.
-	depth int
+	// storedState is the final state that is stored and may be shown.
+	storedState job.State
+	// compacted says that its record and progress were compacted, or are about to be.
+	compacted bool
+	// criticalPath is the ideal duration of the longest criticalPath of steps.
+	criticalPath time.Duration
+	// criticalDepth is the number of stages on the longest chain.
+	criticalDepth int
 }
 
 func (c *Cell) newJobState(r *job.Record) *jobState {
@@ -48,22 +48,22 @@
 			}
 		}
 	}
-	j.measureChain()
+	j.computeCriticalPath()
 	return j
 }
 
-// measureChain finds, for each stage, the ideal time from its start to the end
+// computeCriticalPath finds, for each stage, the ideal time from its start to the end
 // of the job.
-func (j *jobState) measureChain() {
+func (j *jobState) computeCriticalPath() {
 	for i := len(j.stages) - 1; i >= 0; i-- {
 		s := j.stages[i]
-		s.toEnd += s.ideal()
-		s.depth++
-		j.chain = max(j.chain, s.toEnd)
-		j.depth = max(j.depth, s.depth)
+		s.remainingPath += s.ideal()
+		s.remainingDepth++
+		j.criticalPath = max(j.criticalPath, s.remainingPath)
+		j.criticalDepth = max(j.criticalDepth, s.remainingDepth)
 		for _, before := range s.after {
-			before.toEnd = max(before.toEnd, s.toEnd)
-			before.depth = max(before.depth, s.depth)
+			before.remainingPath = max(before.remainingPath, s.remainingPath)
+			before.remainingDepth = max(before.remainingDepth, s.remainingDepth)
 		}
 	}
 }
@@ -79,8 +79,8 @@
 
 func (j *jobState) state() job.State {
 	switch {
-	case j.visible != "":
-		return j.visible
+	case j.storedState != "":
+		return j.storedState
 	case j.started:
 		return job.Running
 	}
@@ -98,7 +98,7 @@
 	if due := j.record.DueAt(s.id.Occurrence); due.After(from) {
 		from = due
 	}
-	chain := d.generous(j.record.Queue, j.chain, j.depth)
+	chain := d.conservative(j.record.Queue, j.criticalPath, j.criticalDepth)
 	return from.Add(time.Duration(j.record.Stretch*float64(chain)) + j.record.Target)
 }
 
--- a/internal/cell/known_workers.go
+++ b/internal/cell/known_workers.go
@@ -12,13 +12,13 @@
 // that 3,000 of them fit into values of 64 KiB and a change writes little.
 const workerChunks = 16
 
-// knownWorkers tells which chunks are ahead of the store. Every worker is stored before
+// dirtyChunks tells which chunks are ahead of the store. Every worker is stored before
 // the first run is placed on it, and stays stored until nothing can run there any more, or
 // it is parked: one that is cut off from the store vanishes from the roster and goes on
 // running.
-type knownWorkers struct{ unsaved map[int]struct{} }
+type dirtyChunks struct{ numbers map[int]struct{} }
 
-func newKnownWorkers() knownWorkers { return knownWorkers{unsaved: map[int]struct{}{}} }
+func newDirtyChunks() dirtyChunks { return dirtyChunks{numbers: map[int]struct{}{}} }
 
 func chunkOf(workerID string) int {
 	h := fnv.New32a()
@@ -26,7 +26,7 @@
 	return int(h.Sum32() % workerChunks)
 }
 
-func (k *knownWorkers) changed(workerID string) { k.unsaved[chunkOf(workerID)] = struct{}{} }
+func (k *dirtyChunks) mark(workerID string) { k.numbers[chunkOf(workerID)] = struct{}{} }
 
 // LoadWorkers takes in the workers that an earlier owner stored in a chunk. Those
 // that the roster lacks are looked at like the others. It must be called after
@@ -42,35 +42,35 @@
 			c.unregister(w, now)
 		}
 		if k.Incarnation != 0 && k.Incarnation < w.incarnation {
-			c.inheritCrash(w, k, now)
+			c.restoreCrash(w, k, now)
 			continue
 		}
 		if w.parked {
 			c.setParked(w, false)
 		}
-		w.named = true
-		c.inheritLease(w, k, now)
+		w.storedByEarlier = true
+		c.restoreLease(w, k, now)
 		if k.Incarnation > w.incarnation {
 			// The roster is behind.
 			c.setIncarnation(w, k.Incarnation)
 		}
-		w.saved = !k.Cordoned && (k.Incarnation == 0 || k.Incarnation == w.incarnation)
-		if !w.saved {
-			c.known.changed(w.ID)
+		w.stored = !k.Cordoned && (k.Incarnation == 0 || k.Incarnation == w.incarnation)
+		if !w.stored {
+			c.dirtyChunks.mark(w.ID)
 		}
 		if k.Cordoned {
-			c.inheritRuns(w, k.Runs, now)
+			c.restoreRuns(w, k.Runs, now)
 		}
-		c.inheritSuspects(w, k.Suspects)
+		c.restoreSuspects(w, k.Suspects)
 	}
 }
 
-// inheritCrash takes in what was stored of a worker that has restarted since: what ran there
+// restoreCrash takes in what was stored of a worker that has restarted since: what ran there
 // has ended, and on the new incarnation nothing was started.
-func (c *Cell) inheritCrash(w *worker, k KnownWorker, now time.Time) {
-	c.inheritSuspects(w, k.Suspects)
+func (c *Cell) restoreCrash(w *worker, k KnownWorker, now time.Time) {
+	c.restoreSuspects(w, k.Suspects)
 	c.workerCrashed(w.ID, now)
-	c.known.changed(w.ID)
+	c.dirtyChunks.mark(w.ID)
 }
 
 // WorkersLoaded tells that Inherit was called with every chunk. On other workers no earlier
@@ -79,27 +79,27 @@
 func (c *Cell) WorkersLoaded() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.inheritedAll = true
+	c.workersLoaded = true
 	for _, w := range c.workers {
-		w.accounted = w.accounted || !w.named
+		w.accounted = w.accounted || !w.storedByEarlier
 	}
 }
 
 // takeChunks returns the chunks to store; c.mu is held.
 func (c *Cell) takeChunks() []WorkerChunk {
-	if len(c.known.unsaved) == 0 {
+	if len(c.dirtyChunks.numbers) == 0 {
 		return nil
 	}
 	byNumber := map[int]*WorkerChunk{}
-	for n := range c.known.unsaved {
+	for n := range c.dirtyChunks.numbers {
 		byNumber[n] = &WorkerChunk{Number: n, Workers: []KnownWorker{}}
 	}
 	for id, w := range c.workers {
 		if chunk := byNumber[chunkOf(id)]; chunk != nil && !w.parked {
-			k := w.known()
-			c.tellLease(&k, w)
-			if lost := c.lost[id]; lost != nil {
-				k.Suspects = lost.known()
+			k := w.knownWorker()
+			c.addRemainingLease(&k, w)
+			if lost := c.lostWorkers[id]; lost != nil {
+				k.Suspects = lost.knownRuns()
 			}
 			chunk.Workers = append(chunk.Workers, k)
 		}
@@ -109,7 +109,7 @@
 		chunks = append(chunks, *chunk)
 	}
 	sort.Slice(chunks, func(a, b int) bool { return chunks[a].Number < chunks[b].Number })
-	c.known.unsaved = map[int]struct{}{}
+	c.dirtyChunks.numbers = map[int]struct{}{}
 	return chunks
 }
 
@@ -118,7 +118,7 @@
 	for _, chunk := range chunks {
 		for _, k := range chunk.Workers {
 			if w := c.workers[k.ID]; w != nil && w.incarnation == k.Incarnation {
-				w.saved = !k.Cordoned
+				w.stored = !k.Cordoned
 			}
 		}
 	}
--- a/internal/cell/lasting_failure_test.go
+++ b/internal/cell/lasting_failure_test.go
@@ -17,9 +17,9 @@
 		{"after a long time", 10 * time.Second, 1},
 		{"soon", 300 * time.Millisecond, 0},
 	} {
-		w := newLastingWorld(t, badStreak)
+		w := newLastingWorld(t, avoidAfterFailures)
 		w.run(test.atWork)
-		for n := range badStreak {
+		for n := range avoidAfterFailures {
 			w.fail(w.record(n, job.Step{}).ID)
 		}
 		w.report("a")
--- a/internal/cell/lasting_failures_test.go
+++ b/internal/cell/lasting_failures_test.go
@@ -28,7 +28,7 @@
 		s.confirm(o)
 		s.commit()
 	}
-	task := s.cell.taskNamed(o.Start.Task)
+	task := s.cell.taskByName(o.Start.Task)
 	kept := encodeAndDecode(t, task.stage.job.progress()).Stages[0].Tasks[0].FailedRuns
 	if len(kept) > most || len(task.failedOn) > most {
 		t.Errorf("%d runs are stored and %d workers kept after %d failures, want %d at most", len(kept), len(task.failedOn), failures, most)
--- a/internal/cell/lasting_parked_test.go
+++ b/internal/cell/lasting_parked_test.go
@@ -13,10 +13,10 @@
 		s.commit()
 		s.hear()
 	}
-	if s.cell.parked == 0 {
+	if s.cell.parkedCount == 0 {
 		t.Fatal("no worker is parked")
 	}
-	for n := range wakersPerPass {
+	for n := range maxUnparkingStages {
 		impossible := step(1)
 		impossible.RequiredLabel = "none"
 		s.cell.Add(s.record(n+10, impossible), true)
@@ -37,6 +37,6 @@
 		s.hear()
 	}
 	if got != 3 {
-		t.Errorf("%d of 3 lasting tasks started within 4 s beside %d parked workers", got, s.cell.parked)
+		t.Errorf("%d of 3 lasting tasks started within 4 s beside %d parked workers", got, s.cell.parkedCount)
 	}
 }
--- a/internal/cell/lasting_retry_test.go
+++ b/internal/cell/lasting_retry_test.go
@@ -45,7 +45,7 @@
 			}
 		}
 		for i := range w.runs["a"] {
-			w.runs["a"][i].Percent = atWork
+			w.runs["a"][i].Percent = workingPercent
 		}
 		for _, since := range w.away {
 			if w.calm.After(since) {
@@ -95,8 +95,8 @@
 
 // avoid has a worker avoided for the failures of several jobs.
 func (s *site) avoid(id string) {
-	for n := range badStreak {
-		s.cell.noteFailure(s.cell.workers[id], s.record(100+n, job.Step{}).ID, s.now)
+	for n := range avoidAfterFailures {
+		s.cell.recordFailure(s.cell.workers[id], s.record(100+n, job.Step{}).ID, s.now)
 	}
 }
 
@@ -165,7 +165,7 @@
 	s.pass(5 * time.Second)
 	s.cell.workers["a"].health.refused(s.now)
 	s.cell.Add(s.record(1, lasting(1, 0)), true)
-	s.pass(refusedFor - 50*time.Millisecond)
+	s.pass(refusalPeriod - 50*time.Millisecond)
 	s.report("a")
 	if starts := s.plan(); len(starts) > 0 {
 		t.Errorf("started right after the worker declined: %v", starts)
--- a/internal/cell/lease_left.go
+++ b/internal/cell/lease_left.go
@@ -10,47 +10,47 @@
 	defer c.mu.Unlock()
 	c.endedAt = now
 	for _, w := range c.workers {
-		if !w.parked && (w.clockAt.IsZero() || !w.failingAt.IsZero()) {
-			c.known.changed(w.ID)
+		if !w.parked && (w.clockAt.IsZero() || !w.unresponsiveSince.IsZero()) {
+			c.dirtyChunks.mark(w.ID)
 		}
 	}
 }
 
-// runsOverAt returns when the runs on a worker must be over whose lease no owner extends.
-func (c *Cell) runsOverAt(w *worker) time.Time {
+// runsOverBy returns when the runs on a worker must be over whose lease no owner extends.
+func (c *Cell) runsOverBy(w *worker) time.Time {
 	if w.clockAt.IsZero() {
-		return c.unseenUntil(w)
+		return c.earlierRunsUntil(w)
 	}
-	return w.leaseOver()
+	return w.leaseOverAt()
 }
 
-// unseenUntil returns until when runs of an earlier owner may go on on a worker that this
+// earlierRunsUntil returns until when runs of an earlier owner may go on on a worker that this
 // one has not heard.
-func (c *Cell) unseenUntil(w *worker) time.Time {
-	limit := c.began.Add(c.unseenLimit())
-	if w.inheritedUntil.IsZero() || w.inheritedUntil.After(limit) {
+func (c *Cell) earlierRunsUntil(w *worker) time.Time {
+	limit := c.startedAt.Add(c.earlierLeaseLimit())
+	if w.earlierLeaseUntil.IsZero() || w.earlierLeaseUntil.After(limit) {
 		return limit
 	}
-	return w.inheritedUntil
+	return w.earlierLeaseUntil
 }
 
-// inheritLease takes in how long the lease of a worker lasts. That holds only if the last
+// restoreLease takes in how long the lease of a worker lasts. That holds only if the last
 // owner has told it: one after it may have extended the lease.
-func (c *Cell) inheritLease(w *worker, k KnownWorker, now time.Time) {
+func (c *Cell) restoreLease(w *worker, k KnownWorker, now time.Time) {
 	if k.LeaseRemainingMillis == 0 || k.Term+1 != c.settings.Term {
 		return
 	}
-	left := time.Duration(k.LeaseRemainingMillis) * time.Millisecond
-	w.inheritedUntil = now.Add(time.Duration(float64(left) * (1 + clockDrift)))
+	remaining := time.Duration(k.LeaseRemainingMillis) * time.Millisecond
+	w.earlierLeaseUntil = now.Add(time.Duration(float64(remaining) * (1 + maxClockDrift)))
 }
 
-// tellLease adds to what is stored of a worker how long its lease still lasts.
-func (c *Cell) tellLease(k *KnownWorker, w *worker) {
+// addRemainingLease adds to what is stored of a worker how long its lease still lasts.
+func (c *Cell) addRemainingLease(k *KnownWorker, w *worker) {
 	if c.endedAt.IsZero() {
 		return
 	}
-	left := max(0, c.runsOverAt(w).Sub(c.endedAt))
+	remaining := max(0, c.runsOverBy(w).Sub(c.endedAt))
 	// Rounded up, and never 0, which is for an owner that did not tell.
-	k.LeaseRemainingMillis = left.Milliseconds() + 1
+	k.LeaseRemainingMillis = remaining.Milliseconds() + 1
 	k.Term = c.settings.Term
 }
--- a/internal/cell/load_adviser_test.go
+++ b/internal/cell/load_adviser_test.go
@@ -20,7 +20,7 @@
 // ask begins a question.
 func (l *load) ask(order AdviceOrder) {
 	quick := l.adviser.lanes.Quick
-	l.adviser.lanes.take(order.Slow)
+	l.adviser.lanes.acquire(order.Slow)
 	l.adviser.under = append(l.adviser.under, loadQuestion{
 		order: order, quick: l.adviser.lanes.Quick < quick, answerAt: l.now.Add(order.Cost.Duration(len(order.Workers))),
 	})
--- a/internal/cell/long_wait.go
+++ b/internal/cell/long_wait.go
@@ -42,7 +42,7 @@
 	var waits []LongWait
 	for s := range c.waiting {
 		if !s.readyAt.IsZero() && now.Sub(s.readyAt) >= longWaitAfter {
-			waits = append(waits, c.explain(s, now))
+			waits = append(waits, c.describeWait(s, now))
 		}
 	}
 	sort.Slice(waits, func(i, k int) bool {
@@ -58,16 +58,16 @@
 	return waits
 }
 
-// explain finds out why a stage waits.
-func (c *Cell) explain(s *stage, now time.Time) LongWait {
+// describeWait finds out why a stage waits.
+func (c *Cell) describeWait(s *stage, now time.Time) LongWait {
 	l := LongWait{Stage: s.id, Queue: s.job.record.Queue, Workspace: s.job.record.Workspace, Waited: now.Sub(s.readyAt),
 		Idle: len(s.idle), Tasks: len(s.tasks), Need: s.step.Occupied()}
 	for _, w := range c.workers {
-		if !c.hasRoomEmpty(s, w) {
+		if !c.fitsWhenIdle(s, w) {
 			continue
 		}
 		l.Feasible++
-		verdict, known := s.advice.about(w)
+		verdict, known := s.advice.verdictFor(w)
 		switch {
 		case s.job.record.Advice == nil:
 		case !known:
@@ -76,7 +76,7 @@
 			l.Denied++
 			continue
 		}
-		l.TaskCapacity += s.placesEmpty(w)
+		l.TaskCapacity += s.capacityWhenIdle(w)
 	}
 	l.Reason = l.reason(s.step.Gang)
 	if held := c.heldByQuota(s); held != "" && l.Reason == WaitsForCapacity {
@@ -85,8 +85,8 @@
 	return l
 }
 
-// placesEmpty returns how many of the stage's tasks an idle worker holds.
-func (s *stage) placesEmpty(w *worker) int {
+// capacityWhenIdle returns how many of the stage's tasks an idle worker holds.
+func (s *stage) capacityWhenIdle(w *worker) int {
 	limit := len(s.tasks)
 	if s.step.MaxPerWorker > 0 {
 		limit = min(limit, s.step.MaxPerWorker)
--- a/internal/cell/looks.go
+++ b/internal/cell/looks.go
@@ -18,40 +18,40 @@
 	if w == nil || w.parked {
 		return target, look, false
 	}
-	look = runner.Look{Token: c.settings.Term, Acknowledged: w.acked}
-	if w.clockAt.IsZero() || !w.failingAt.IsZero() {
+	look = runner.Look{Token: c.settings.Term, Acknowledged: w.ackedEnd}
+	if w.clockAt.IsZero() || !w.unresponsiveSince.IsZero() {
 		// A look without an answer may have been carried out. If each one carried
 		// a later lease end, the lease of a lost worker would never be over.
 		return w.target, look, true
 	}
 	end := w.extendLease(c.settings.Lease, now)
 	look.LeaseUntil = &end
-	if w.reported && !w.unsettled() {
-		look.Wait = c.lookWait(w, now)
+	if w.reported && !w.awaitsStopReport() {
+		look.Wait = c.pollWait(w, now)
 	}
 	return w.target, look, true
 }
 
-// lookWait is how long a look may wait for an end: until a little after the next one is
+// pollWait is how long a look may wait for an end: until a little after the next one is
 // expected. If an answer gets lost, a longer wait would delay every end on its worker.
-func (c *Cell) lookWait(w *worker, now time.Time) time.Duration {
-	wait := longLook
+func (c *Cell) pollWait(w *worker, now time.Time) time.Duration {
+	wait := maxPollWait
 	for a := range w.attempts {
 		if a.phase == running && !a.task.stage.step.LongRunning {
-			wait = min(wait, c.expectedLeft(a, now)+lookSlack)
+			wait = min(wait, c.expectedRemaining(a, now)+pollSlack)
 		}
 		if a.isolated() {
 			wait = min(wait, survivedAfter)
 		}
 	}
-	return max(wait, shortLook).Truncate(time.Millisecond)
+	return max(wait, minPollWait).Truncate(time.Millisecond)
 }
 
-// unsettled reports whether the next report should come at once, because a stop
+// awaitsStopReport reports whether the next report should come at once, because a stop
 // was answered and the run may be one that never began and will not be listed.
-func (w *worker) unsettled() bool {
+func (w *worker) awaitsStopReport() bool {
 	for a := range w.attempts {
-		if a.phase == stopping && !a.stopAnsweredAt.IsZero() && !a.seenStopping {
+		if a.phase == stopping && !a.stopAnsweredAt.IsZero() && !a.reportedAfterStop {
 			return true
 		}
 	}
@@ -63,38 +63,38 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	w := c.workers[id]
-	if w == nil || w.parked || !c.heardFrom(w, report.Born, sentAt, now) {
+	if w == nil || w.parked || !c.checkIncarnation(w, report.Born, sentAt, now) {
 		return
 	}
 	if w.clockAt.IsZero() {
 		// An earlier owner may have granted a lease just before.
-		w.leaseEnd = max(w.leaseEnd, report.Clock+c.settings.Lease+guessError)
+		w.leaseEnd = max(w.leaseEnd, report.Clock+c.settings.Lease+clockEstimateError)
 	}
-	w.sawClock(report.Clock, now)
-	if !w.failingAt.IsZero() {
-		c.log.WithFields(workerFields(w)).WithField("silent_ms", now.Sub(w.failingAt).Milliseconds()).Info("worker_answers_again")
-		w.failingAt = time.Time{}
+	w.updateClock(report.Clock, now)
+	if !w.unresponsiveSince.IsZero() {
+		c.log.WithFields(workerFields(w)).WithField("silent_ms", now.Sub(w.unresponsiveSince).Milliseconds()).Info("worker_answers_again")
+		w.unresponsiveSince = time.Time{}
 	}
 	c.clearSuspects(w.ID)
-	w.failedLooks = 0
+	w.failedPolls = 0
 	w.lastReport = now
 	ended := map[runKey]bool{}
 	// complete says that the books on this worker will be right after the report.
-	complete := !listIsFull(report)
+	complete := !endListFull(report)
 	for _, e := range report.Ended {
 		ended[runKey{e.Task, e.Run}] = true
 	}
 	for _, e := range report.Ended {
-		if e.Sequence <= w.seen {
+		if e.Sequence <= w.seenEnd {
 			continue
 		}
-		if !c.ended(w, e, now) {
+		if !c.recordEnd(w, e, now) {
 			complete = false
 			break
 		}
-		w.seen = e.Sequence
+		w.seenEnd = e.Sequence
 	}
-	if !c.matchRunning(w, report, ended, sentAt, now) {
+	if !c.reconcileRuns(w, report, ended, sentAt, now) {
 		complete = false
 	}
 	if complete && !w.reported {
@@ -109,9 +109,9 @@
 	run  uint64
 }
 
-// matchRunning compares what the worker runs with the cell's books, and reports
+// reconcileRuns compares what the worker runs with the cell's books, and reports
 // whether it could: a run of a job that has yet to be looked for is not booked.
-func (c *Cell) matchRunning(w *worker, report runner.Report, ended map[runKey]bool, sentAt, now time.Time) bool {
+func (c *Cell) reconcileRuns(w *worker, report runner.Report, ended map[runKey]bool, sentAt, now time.Time) bool {
 	complete := true
 	present := make(map[*attempt]bool, len(report.Running))
 	for _, r := range report.Running {
@@ -122,29 +122,29 @@
 			complete = false
 			continue
 		}
-		if a := c.attemptOf(w, r, now); a != nil {
+		if a := c.findOrAdopt(w, r, now); a != nil {
 			present[a] = true
-			a.seenStopping = !a.stopAnsweredAt.IsZero() && a.stopAnsweredAt.Before(sentAt)
-			c.progressed(a, r, now)
+			a.reportedAfterStop = !a.stopAnsweredAt.IsZero() && a.stopAnsweredAt.Before(sentAt)
+			c.recordProgress(a, r, now)
 		}
 	}
-	if listIsFull(report) {
+	if endListFull(report) {
 		// A run that is not shown may have an end that is not listed yet.
 		return complete
 	}
 	for a := range w.attempts {
 		if !present[a] {
-			c.notShown(a, len(report.Ended), sentAt, now)
+			c.handleUnlisted(a, len(report.Ended), sentAt, now)
 		}
 	}
 	return complete
 }
 
-// listIsFull reports whether a worker may have more ends than it lists.
-func listIsFull(report runner.Report) bool { return len(report.Ended) >= runner.MostListed }
+// endListFull reports whether a worker may have more ends than it lists.
+func endListFull(report runner.Report) bool { return len(report.Ended) >= runner.MostListed }
 
-// notShown deals with a booked run that a report, which lists some ends, does not show.
-func (c *Cell) notShown(a *attempt, listed int, sentAt, now time.Time) {
+// handleUnlisted deals with a booked run that a report, which lists some ends, does not show.
+func (c *Cell) handleUnlisted(a *attempt, listed int, sentAt, now time.Time) {
 	switch {
 	case !a.stopAnsweredAt.IsZero() && a.stopAnsweredAt.Before(sentAt):
 		// The stop was answered before the look was sent: the run has ended or
@@ -154,7 +154,7 @@
 		// The worker confirmed the run earlier, does not show it now and does not
 		// list its end either. Revoking it makes sure before it starts elsewhere.
 		c.log.WithFields(attemptFields(a)).WithFields(logrus.Fields{"born": a.worker.incarnation, "listed": listed,
-			"seen": a.worker.seen, "acknowledged": a.worker.acked}).Warn("run_vanished")
+			"seen": a.worker.seenEnd, "acknowledged": a.worker.ackedEnd}).Warn("run_vanished")
 		c.stop(a, "vanished", now)
 	}
 }
@@ -168,36 +168,36 @@
 		return
 	}
 	if errors.Is(err, runner.ErrGone) {
-		if c.lost[w.ID] == nil {
-			c.noteSuspects(w, now)
+		if c.lostWorkers[w.ID] == nil {
+			c.recordSuspects(w, now)
 		}
 		c.workerCrashed(w.ID, now)
-		c.remove(w, now)
+		c.removeReplaced(w, now)
 		return
 	}
-	w.failedLooks++
-	if w.failingAt.IsZero() {
-		w.failingAt = now
+	w.failedPolls++
+	if w.unresponsiveSince.IsZero() {
+		w.unresponsiveSince = now
 		c.log.WithFields(workerFields(w)).WithError(err).Warn("worker_silent")
 	}
 }
 
-// remove takes a worker out whose life has ended. Until the roster drops it, news of it
+// removeReplaced takes a worker out whose life has ended. Until the roster drops it, news of it
 // there is old: taken for a worker again, it would be stored as one that may have runs,
 // and hold the next owner up.
-func (c *Cell) remove(w *worker, now time.Time) {
+func (c *Cell) removeReplaced(w *worker, now time.Time) {
 	c.log.WithFields(workerFields(w)).WithField("runs", len(w.attempts)).Info("worker_replaced")
-	c.loseAll(w, "worker_replaced", now)
-	c.gone[w.ID] = w.incarnation
-	c.takeOut(w)
+	c.dropAllRuns(w, "worker_replaced", now)
+	c.endedIncarnations[w.ID] = w.incarnation
+	c.deleteWorker(w)
 }
 
-// loseAll drops every run of a worker: it is certain that none goes on.
-func (c *Cell) loseAll(w *worker, why string, now time.Time) {
-	c.logLost(w, why)
+// dropAllRuns drops every run of a worker: it is certain that none goes on.
+func (c *Cell) dropAllRuns(w *worker, reason string, now time.Time) {
+	c.logLost(w, reason)
 	for a := range w.attempts {
 		c.stats.Lost++
-		c.drop(a, why, now)
+		c.drop(a, reason, now)
 	}
 	w.reported = false
 }
--- a/internal/cell/lost_runs.go
+++ b/internal/cell/lost_runs.go
@@ -8,12 +8,12 @@
 	"github.com/sirupsen/logrus"
 )
 
-// mostLostLogged bounds the lines about the runs that went with one worker.
-const mostLostLogged = 5
+// maxLostLogged bounds the lines about the runs that went with one worker.
+const maxLostLogged = 5
 
 // logLost logs the youngest runs that go with a worker, and how long each had been at
 // work when the worker fell silent. A run that crashes its worker is always one of them.
-func (c *Cell) logLost(w *worker, why string) {
+func (c *Cell) logLost(w *worker, reason string) {
 	runs := make([]*attempt, 0, len(w.attempts))
 	for a := range w.attempts {
 		runs = append(runs, a)
@@ -21,14 +21,14 @@
 	slices.SortFunc(runs, func(a, b *attempt) int {
 		return cmp.Or(b.orderedAt.Compare(a.orderedAt), cmp.Compare(a.task.index, b.task.index))
 	})
-	for _, a := range runs[:min(len(runs), mostLostLogged)] {
-		c.log.WithFields(attemptFields(a)).WithFields(logrus.Fields{"why": why, "confirmed": !a.confirmedAt.IsZero(),
-			"work_ms": w.heardOf(a).Milliseconds()}).Info("run_lost")
+	for _, a := range runs[:min(len(runs), maxLostLogged)] {
+		c.log.WithFields(attemptFields(a)).WithFields(logrus.Fields{"why": reason, "confirmed": !a.confirmedAt.IsZero(),
+			"work_ms": w.workedFor(a).Milliseconds()}).Info("run_lost")
 	}
 }
 
-// heardOf returns how long a run was known to be at work before its worker fell silent.
-func (w *worker) heardOf(a *attempt) time.Duration {
+// workedFor returns how long a run was known to be at work before its worker fell silent.
+func (w *worker) workedFor(a *attempt) time.Duration {
 	if a.confirmedAt.IsZero() {
 		return 0
 	}
--- a/internal/cell/lost_worker.go
+++ b/internal/cell/lost_worker.go
@@ -14,11 +14,11 @@
 func (l *lostWorker) suspect(a *attempt) {
 	confirmed := !a.confirmedAt.IsZero()
 	l.suspects = append(l.suspects, suspectRun{task: a.task, run: a.run, confirmed: confirmed,
-		atOnce: confirmed && l.since.Sub(a.confirmedAt) <= atOnceWithin})
+		immediate: confirmed && l.since.Sub(a.confirmedAt) <= immediateCrashWindow})
 }
 
-// known returns the suspects as they are stored.
-func (l *lostWorker) known() []KnownRun {
+// knownRuns returns the suspects as they are stored.
+func (l *lostWorker) knownRuns() []KnownRun {
 	var runs []KnownRun
 	for _, r := range l.suspects {
 		if r.confirmed {
@@ -33,7 +33,7 @@
 func (l *lostWorker) blamed() []suspectRun {
 	var begun, repeated []suspectRun
 	for _, r := range l.suspects {
-		if r.cleared() || !r.begun() {
+		if r.cleared() || !r.hasBegun() {
 			continue
 		}
 		begun = append(begun, r)
--- a/internal/cell/many_ends_test.go
+++ b/internal/cell/many_ends_test.go
@@ -13,7 +13,7 @@
 // reportSome is report by a worker that lists no more ends than it may at a time: the oldest
 // that are not acknowledged.
 func (s *site) reportSome(id string) {
-	acked := s.cell.workers[id].acked
+	acked := s.cell.workers[id].ackedEnd
 	all := slices.DeleteFunc(s.ends[id], func(e runner.End) bool { return e.Sequence <= acked })
 	s.ends[id] = slices.Clone(all[:min(len(all), runner.MostListed)])
 	s.report(id)
@@ -54,7 +54,7 @@
 			}
 		}
 	}
-	s.pass(overtakenFor)
+	s.pass(overtakenOwnerLimit)
 	s.cell.Plan(s.now, s.slots)
 	s.commit()
 	s.reportSome("a")
--- a/internal/cell/mechanism.go
+++ b/internal/cell/mechanism.go
@@ -47,5 +47,5 @@
 	return strings.Join(names, ", ")
 }
 
-// uses reports whether a mechanism is in use.
-func (c *Cell) uses(m Mechanism) bool { return !c.settings.Disabled.Has(m) }
+// enabled reports whether a mechanism is in use.
+func (c *Cell) enabled(m Mechanism) bool { return !c.settings.Disabled.Has(m) }
--- a/internal/cell/missing.go
+++ b/internal/cell/missing.go
@@ -9,8 +9,8 @@
 func (c *Cell) UnknownJobs() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ids := make([]string, 0, len(c.missing))
-	for id := range c.missing {
+	ids := make([]string, 0, len(c.unknownJobs))
+	for id := range c.unknownJobs {
 		ids = append(ids, id)
 	}
 	return ids
@@ -20,8 +20,8 @@
 func (c *Cell) MarkAbsent(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.missing, id)
-	c.absent[id] = struct{}{}
+	delete(c.unknownJobs, id)
+	c.absentJobs[id] = struct{}{}
 }
 
 // knowsJob reports whether a task's job is known or known to be absent;
@@ -32,9 +32,9 @@
 	if err != nil || c.jobs[id.Job] != nil {
 		return true
 	}
-	if _, ok := c.absent[id.Job]; ok {
+	if _, ok := c.absentJobs[id.Job]; ok {
 		return true
 	}
-	c.missing[id.Job] = struct{}{}
+	c.unknownJobs[id.Job] = struct{}{}
 	return false
 }
--- a/internal/cell/model_ends_test.go
+++ b/internal/cell/model_ends_test.go
@@ -84,7 +84,7 @@
 // crashedUnder reports whether two workers have crashed under one task of a job.
 func (m *model) crashedUnder(r *job.Record) bool {
 	for task, crashes := range m.crashes {
-		if strings.HasPrefix(task, r.ID) && crashes >= crashesAlone {
+		if strings.HasPrefix(task, r.ID) && crashes >= maxCrashesSoleSuspect {
 			return true
 		}
 	}
--- a/internal/cell/model_test.go
+++ b/internal/cell/model_test.go
@@ -154,7 +154,7 @@
 func (m *model) anyOwner() *modelOwner {
 	if n := len(m.owners); n > 1 {
 		before := m.owners[n-2]
-		if !before.lost && m.now.Sub(m.current().since) < overtakenFor && rapid.Bool().Draw(m.rt, "overtaken acts") {
+		if !before.lost && m.now.Sub(m.current().since) < overtakenOwnerLimit && rapid.Bool().Draw(m.rt, "overtaken acts") {
 			return before
 		}
 	}
@@ -283,7 +283,7 @@
 		for _, chunk := range commit.Chunks {
 			m.chunks[chunk.Number] = chunk
 		}
-		if len(o.cell.dirty) == 0 && len(o.cell.known.unsaved) == 0 {
+		if len(o.cell.dirtyJobs) == 0 && len(o.cell.dirtyChunks.numbers) == 0 {
 			m.heard = nil
 		}
 	}
--- a/internal/cell/model_worker_test.go
+++ b/internal/cell/model_worker_test.go
@@ -38,7 +38,7 @@
 
 // clock is the worker's own clock, 2% slow.
 func (w *modelWorker) clock() time.Duration {
-	return time.Duration(float64(w.world.now.Sub(w.startedAt)) * (1 - clockDrift)).Truncate(time.Millisecond)
+	return time.Duration(float64(w.world.now.Sub(w.startedAt)) * (1 - maxClockDrift)).Truncate(time.Millisecond)
 }
 
 // lapse ends everything when the lease is over.
--- a/internal/cell/on_trial.go
+++ b/internal/cell/on_trial.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// placesOnTrial reports whether a stage's tasks are tried on avoided workers: lasting ones
+// usesTrialWorkers reports whether a stage's tasks are tried on avoided workers: lasting ones
 // are, where no other worker that may run them has room. Their failures use up no attempts,
 // and a worker that runs lasting tasks alone never shows a success.
-func (c *Cell) placesOnTrial(s *stage, room *room, now time.Time) bool {
-	if !s.step.LongRunning || s.step.Gang || len(room.onTrial) == 0 {
+func (c *Cell) usesTrialWorkers(s *stage, view *planView, now time.Time) bool {
+	if !s.step.LongRunning || s.step.Gang || len(view.trialWorkers) == 0 {
 		return false
 	}
-	for _, w := range room.usable {
-		if s.step.Occupied().Fits(w.free()) && c.mayRunNear(s, w) && w.openTo(s.job) && c.leftFor(s, w, now) {
+	for _, w := range view.usable {
+		if s.step.Occupied().Fits(w.free()) && c.mayRunWhenFree(s, w) && w.acceptsJob(s.job) && c.allowedByReservation(s, w, now) {
 			return false
 		}
 	}
-	return !c.mayWakeFor(s, now)
+	return !c.canUnparkFor(s, now)
 }
 
-// mayWakeFor reports whether parked workers may run a stage, or are coming.
-func (c *Cell) mayWakeFor(s *stage, now time.Time) bool {
+// canUnparkFor reports whether parked workers may run a stage, or are coming.
+func (c *Cell) canUnparkFor(s *stage, now time.Time) bool {
 	if c.settings.SpareWorkers == 0 {
 		return false
 	}
 	for _, w := range c.workers {
-		if (w.mayWake() || w.coming(now)) && c.mayRunNear(s, w) {
+		if (w.canUnpark() || w.unparking(now)) && c.mayRunWhenFree(s, w) {
 			return true
 		}
 	}
--- a/internal/cell/owners_in_a_row_test.go
+++ b/internal/cell/owners_in_a_row_test.go
@@ -114,8 +114,8 @@
 			s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 			r, task := s.lastingOn("a")
 			s.cell.settings.PreviousOwnerStopped = true
-			limit := s.cell.unseenLimit() + losses
-			lease := time.Duration(float64(s.cell.settings.Lease) / (1 - clockDrift))
+			limit := s.cell.earlierLeaseLimit() + losses
+			lease := time.Duration(float64(s.cell.settings.Lease) / (1 - maxClockDrift))
 			took := s.startedAfter(task, "a", first, 2*time.Second, r)
 			if took > limit {
 				t.Errorf("started after %v, want %v at most", took, limit)
@@ -153,17 +153,17 @@
 	s.cell.Add(r, true)
 	j := s.cell.jobs[r.ID]
 	crashes := &j.stages[0].tasks[0].crashes
-	crashes.workerSilent(1, s.now)
-	crashes.workerSilent(2, s.now)
+	crashes.addUnresponsive(1, s.now)
+	crashes.addUnresponsive(2, s.now)
 	j.stages[0].lostWorkers = true
 	j.stages[0].tasks[0].lastRun = 2
 	lostAt := s.now
 	for len(s.plan()) == 0 {
-		if s.now.Sub(lostAt) > 2*longPause {
+		if s.now.Sub(lostAt) > 2*longBackoff {
 			t.Fatalf("not started %v after the last worker was lost", s.now.Sub(lostAt))
 		}
 		stored := encodeAndDecode(t, s.cell.jobs[r.ID].progress())
-		s.pass(lossPause / 2)
+		s.pass(shortBackoff / 2)
 		settings := s.cell.settings
 		settings.Term++
 		s.cell = New(settings, s.now, quietLog())
@@ -173,8 +173,8 @@
 		s.commit()
 		s.report("b")
 	}
-	if took := s.now.Sub(lostAt); took < lossPause || took > lossPause*3/2 {
-		t.Errorf("started %v after the last worker was lost, want %v", took, lossPause)
+	if took := s.now.Sub(lostAt); took < shortBackoff || took > shortBackoff*3/2 {
+		t.Errorf("started %v after the last worker was lost, want %v", took, shortBackoff)
 	}
 }
 
@@ -196,19 +196,19 @@
 // time of day was an hour ahead.
 func TestPauseOfACrashHistoryIsBoundedWhereClocksJump(t *testing.T) {
 	for name, c := range map[string]struct{ ahead, want time.Duration }{
-		"an hour ahead":  {time.Hour, lossPause},
+		"an hour ahead":  {time.Hour, shortBackoff},
 		"an hour behind": {-time.Hour, 0},
-		"not kept":       {0, lossPause},
+		"not kept":       {0, shortBackoff},
 	} {
 		millis := int64(0)
 		if c.ahead != 0 {
 			millis = siteStart.Add(c.ahead).UnixMilli()
 		}
-		h := crashHistory{silent: []uint64{1, 2}, lostAt: lostAtFrom(millis, siteStart)}
-		if h.pauses(siteStart.Add(c.want)) {
+		h := crashHistory{unresponsive: []uint64{1, 2}, lostAt: lostAtFrom(millis, siteStart)}
+		if h.backsOff(siteStart.Add(c.want)) {
 			t.Errorf("%s: pauses after %v", name, c.want)
 		}
-		if c.want > 0 && !h.pauses(siteStart.Add(c.want-time.Millisecond)) {
+		if c.want > 0 && !h.backsOff(siteStart.Add(c.want-time.Millisecond)) {
 			t.Errorf("%s: does not pause for %v", name, c.want)
 		}
 	}
--- a/internal/cell/pacing_test.go
+++ b/internal/cell/pacing_test.go
@@ -27,7 +27,7 @@
 // pace that is ordered then, or -1.
 func (s *site) tail(serving, filling StartOrder, ms float64) int {
 	s.t.Helper()
-	s.pass(paceEvery)
+	s.pass(throttleInterval)
 	s.runs["a"] = []runner.RunState{
 		{Task: serving.Start.Task, Run: serving.Start.Run, Percent: 100, Gauge: ms},
 		{Task: filling.Start.Task, Run: filling.Start.Run, Percent: 10},
@@ -63,13 +63,13 @@
 	s := newSite(t, 1, usualWorker("a"))
 	serving, filling := besideServing(t, s)
 	s.tail(serving, filling, 120)
-	for want := paceUp; want <= 60; want += paceUp {
+	for want := speedUpStep; want <= 60; want += speedUpStep {
 		if pace := s.tail(serving, filling, 30); pace != want {
 			t.Fatalf("paced to %d, want %d", pace, want)
 		}
 	}
 	s.finish(serving, runner.FailedRun)
-	s.pass(paceEvery)
+	s.pass(throttleInterval)
 	s.report("a")
 	// The serving task is not started again beside the filling one.
 	s.cell.SetEvacuating([]string{"a"})
@@ -104,9 +104,9 @@
 		want  int
 	}{
 		{100, 0.5, 100}, {100, 0.7, 100}, {100, 0.8, 50}, {50, 0.9, 25}, {100, 1, 0}, {0, 2, 0},
-		{0, 0.5, paceUp}, {95, 0.1, 100}, {-1, 0.1, 0},
+		{0, 0.5, speedUpStep}, {95, 0.1, 100}, {-1, 0.1, 0},
 	} {
-		if got := nextPace(test.pace, test.worst); got != test.want {
+		if got := nextSpeed(test.pace, test.worst); got != test.want {
 			t.Errorf("pace %d at %.1f of the target: %d, want %d", test.pace, test.worst, got, test.want)
 		}
 	}
--- a/internal/cell/parking.go
+++ b/internal/cell/parking.go
@@ -15,15 +15,15 @@
 	parkAfter = 2 * time.Second
 	// parkPeriod is how often workers are parked.
 	parkPeriod = time.Second
-	// wakersPerPass is for how many stages, the most urgent ones, a planning pass wakes
+	// maxUnparkingStages is for how many stages, the most urgent ones, a planning pass wakes
 	// parked workers. Each of them goes through all workers.
-	wakersPerPass = 8
-	// wakePause is how long a stage that no parked worker can hold is passed over, so that
+	maxUnparkingStages = 8
+	// unparkRetryDelay is how long a stage that no parked worker can hold is passed over, so that
 	// its place among those stages is another's.
-	wakePause = time.Second
-	// comingFor is how long a woken worker counts as room that is about to come: a
+	unparkRetryDelay = time.Second
+	// unparkTimeout is how long a woken worker counts as room that is about to come: a
 	// commit and a look, also where the store is slow.
-	comingFor = 500 * time.Millisecond
+	unparkTimeout = 500 * time.Millisecond
 )
 
 // park takes idle workers out of use until they are needed. A parked worker gets no run
@@ -31,10 +31,10 @@
 // ones would take most of the owner's processor, and a new owner would have to hear them
 // all.
 func (c *Cell) park(now time.Time) {
-	if c.settings.SpareWorkers == 0 || !c.uses(Parking) || c.recovering || now.Sub(c.parkedAt) < parkPeriod {
+	if c.settings.SpareWorkers == 0 || !c.enabled(Parking) || c.recovering || now.Sub(c.lastParkAt) < parkPeriod {
 		return
 	}
-	c.parkedAt = now
+	c.lastParkAt = now
 	busy := 0
 	var idle []*worker
 	for _, w := range c.workers {
@@ -45,7 +45,7 @@
 			w.idleSince = time.Time{}
 		case w.idleSince.IsZero():
 			w.idleSince = now
-		case w.mayPark(now):
+		case w.canPark(now):
 			idle = append(idle, w)
 		}
 	}
@@ -61,7 +61,7 @@
 	})
 	for _, w := range idle[:len(idle)-spare] {
 		c.setParked(w, true)
-		c.known.changed(w.ID)
+		c.dirtyChunks.mark(w.ID)
 	}
 }
 
@@ -69,90 +69,90 @@
 // store names it and it has reported: a commit that was under way when it was parked
 // may have marked it as stored since.
 func (c *Cell) setParked(w *worker, parked bool) {
-	w.parked, w.saved, w.reported = parked, false, false
+	w.parked, w.stored, w.reported = parked, false, false
 	if parked {
-		c.parked++
+		c.parkedCount++
 		return
 	}
-	c.parked--
+	c.parkedCount--
 }
 
-// mayPark reports whether nothing of ours can be on an idle worker and nothing is
+// canPark reports whether nothing of ours can be on an idle worker and nothing is
 // left to tell it.
-func (w *worker) mayPark(now time.Time) bool {
-	return w.reported && w.saved && !w.closed && w.unlistedAt.IsZero() && w.acked == w.seen && now.Sub(w.idleSince) >= parkAfter
+func (w *worker) canPark(now time.Time) bool {
+	return w.reported && w.stored && !w.cordoned && w.unlistedAt.IsZero() && w.ackedEnd == w.seenEnd && now.Sub(w.idleSince) >= parkAfter
 }
 
-// wakeUp has a parked worker looked at, and used as soon as the store names it and
+// unpark has a parked worker looked at, and used as soon as the store names it and
 // it has answered.
-func (c *Cell) wakeUp(w *worker, now time.Time) {
+func (c *Cell) unpark(w *worker, now time.Time) {
 	c.setParked(w, false)
-	w.wokenAt, w.idleSince = now, now
-	c.known.changed(w.ID)
+	w.unparkedAt, w.idleSince = now, now
+	c.dirtyChunks.mark(w.ID)
 	c.orders = append(c.orders, PollOrder{Worker: w.ID})
 }
 
-// mayWake reports whether a worker is parked and may be used again.
-func (w *worker) mayWake() bool {
+// canUnpark reports whether a worker is parked and may be used again.
+func (w *worker) canUnpark() bool {
 	return w.parked && !w.Draining && !w.evacuating && w.unlistedAt.IsZero()
 }
 
-// coming reports whether a worker was woken and will be usable in a moment.
-func (w *worker) coming(now time.Time) bool {
-	return !w.parked && !w.wokenAt.IsZero() && now.Sub(w.wokenAt) < comingFor && !w.usable(now)
+// unparking reports whether a worker was woken and will be usable in a moment.
+func (w *worker) unparking(now time.Time) bool {
+	return !w.parked && !w.unparkedAt.IsZero() && now.Sub(w.unparkedAt) < unparkTimeout && !w.usable(now)
 }
 
-// wakeFor wakes parked workers for the idle tasks of a stage that the usable ones
+// unparkFor wakes parked workers for the idle tasks of a stage that the usable ones
 // have no room for, and reports whether some are coming.
-func (c *Cell) wakeFor(s *stage, room *room, now time.Time) bool {
-	if c.parked == 0 || room.woken == wakersPerPass || now.Before(s.wakesAgainAt) {
+func (c *Cell) unparkFor(s *stage, view *planView, now time.Time) bool {
+	if c.parkedCount == 0 || view.unparkingStages == maxUnparkingStages || now.Before(s.unparkRetryAt) {
 		return false
 	}
-	room.woken++
-	wanted := c.shortOf(s, room)
+	view.unparkingStages++
+	wanted := c.missingCapacity(s, view)
 	if wanted <= 0 {
 		return false
 	}
-	share := s.guessedShare()
+	share := s.assumedShare()
 	var parked []*worker
 	for _, w := range c.workers {
-		if !c.hasRoomEmpty(s, w) {
+		if !c.fitsWhenIdle(s, w) {
 			continue
 		}
 		switch {
-		case w.coming(now):
-			wanted -= c.takes(s, w) * share
-		case w.mayWake():
+		case w.unparking(now):
+			wanted -= c.capacityFor(s, w) * share
+		case w.canUnpark():
 			parked = append(parked, w)
 		}
 	}
 	if len(parked) == 0 && wanted > 0 {
-		s.wakesAgainAt = now.Add(wakePause)
+		s.unparkRetryAt = now.Add(unparkRetryDelay)
 		return false
 	}
-	sort.Slice(parked, func(a, b int) bool { return s.wakesFirst(parked[a], parked[b]) })
-	c.wakeSome(s, parked, wanted, share, now)
+	sort.Slice(parked, func(a, b int) bool { return s.unparksBefore(parked[a], parked[b]) })
+	c.unparkSome(s, parked, wanted, share, now)
 	return true
 }
 
-// wakeSome wakes workers in their order until the tasks that are wanted have room,
+// unparkSome wakes workers in their order until the tasks that are wanted have room,
 // share of which is counted, and returns how many it woke.
-func (c *Cell) wakeSome(s *stage, parked []*worker, wanted, share float64, now time.Time) int {
+func (c *Cell) unparkSome(s *stage, parked []*worker, wanted, share float64, now time.Time) int {
 	for i, w := range parked {
 		if wanted <= 0 {
 			return i
 		}
-		c.wakeUp(w, now)
-		wanted -= c.takes(s, w) * share
+		c.unpark(w, now)
+		wanted -= c.capacityFor(s, w) * share
 	}
 	return len(parked)
 }
 
-// wakesFirst reports whether a stage has a woken before b: near its data, and
+// unparksBefore reports whether a stage has a woken before b: near its data, and
 // whole racks, for gangs that belong into one.
-func (s *stage) wakesFirst(a, b *worker) bool {
-	if near := s.near(a); near != s.near(b) {
-		return near
+func (s *stage) unparksBefore(a, b *worker) bool {
+	if local := s.isLocal(a); local != s.isLocal(b) {
+		return local
 	}
 	if a.Rack != b.Rack {
 		return a.Rack < b.Rack
@@ -160,32 +160,32 @@
 	return a.ID < b.ID
 }
 
-// guessedShare is the assumed share of workers, of which the adviser was not
+// assumedShare is the assumed share of workers, of which the adviser was not
 // asked, that may run the stage.
-func (s *stage) guessedShare() float64 {
+func (s *stage) assumedShare() float64 {
 	if s.job.record.Advice == nil {
 		return 1
 	}
-	return guessedGood
+	return assumedAllowedShare
 }
 
-// shortOf returns for how many tasks of a stage the usable workers have no room.
+// missingCapacity returns for how many tasks of a stage the usable workers have no room.
 // Where the urgent reserve keeps the stage out, that is all of them.
-func (c *Cell) shortOf(s *stage, room *room) float64 {
+func (c *Cell) missingCapacity(s *stage, view *planView) float64 {
 	wanted := float64(c.startable(s))
 	if s.job.record.Advice != nil {
-		wanted *= wantedRoom
+		wanted *= ticketOversupply
 	}
-	if !room.allows(s, s.step.Occupied().MilliCPU) {
+	if !view.allowsCPU(s, s.step.Occupied().MilliCPU) {
 		return wanted
 	}
-	for _, w := range room.usable {
+	for _, w := range view.usable {
 		if !c.eligible(s, w) {
 			continue
 		}
-		offered := c.takes(s, w)
-		if v, known := s.advice.about(w); !known {
-			offered *= s.guessedShare()
+		offered := c.capacityFor(s, w)
+		if v, known := s.advice.verdictFor(w); !known {
+			offered *= s.assumedShare()
 		} else if !v.good {
 			continue
 		}
@@ -194,28 +194,28 @@
 	return wanted
 }
 
-// wakeNear wakes parked workers near a stage's data, and reports whether the stage
+// unparkLocal wakes parked workers near a stage's data, and reports whether the stage
 // should wait for them: far from its data a task takes several times as long.
-func (c *Cell) wakeNear(s *stage, now time.Time) bool {
-	if c.parked == 0 || s.step.DataRack == "" {
+func (c *Cell) unparkLocal(s *stage, now time.Time) bool {
+	if c.parkedCount == 0 || s.step.DataRack == "" {
 		return false
 	}
 	wanted := float64(c.startable(s))
 	coming := false
 	var parked []*worker
 	for _, w := range c.workers {
-		if !s.near(w) || !c.eligible(s, w) {
+		if !s.isLocal(w) || !c.eligible(s, w) {
 			continue
 		}
 		switch {
-		case w.mayWake():
+		case w.canUnpark():
 			parked = append(parked, w)
-		case w.coming(now):
+		case w.unparking(now):
 			coming = true
-			wanted -= c.takes(s, w)
+			wanted -= c.capacityFor(s, w)
 		case w.usable(now):
-			wanted -= c.takes(s, w)
+			wanted -= c.capacityFor(s, w)
 		}
 	}
-	return c.wakeSome(s, parked, wanted, 1, now) > 0 || coming
+	return c.unparkSome(s, parked, wanted, 1, now) > 0 || coming
 }
--- a/internal/cell/parking_test.go
+++ b/internal/cell/parking_test.go
@@ -120,7 +120,7 @@
 	}
 	chunks := map[int]WorkerChunk{}
 	for id := range before.cell.workers {
-		before.cell.known.changed(id)
+		before.cell.dirtyChunks.mark(id)
 	}
 	for _, chunk := range before.cell.NextCommit(100).Chunks {
 		chunks[chunk.Number] = chunk
@@ -171,14 +171,14 @@
 	s := idleSite(t, 2, 1)
 	for _, w := range s.cell.workers {
 		if w.parked {
-			s.cell.wakeUp(w, s.now)
+			s.cell.unpark(w, s.now)
 		}
 	}
 	s.commit()
 	s.hear()
 	s.plan()
 	for id := range s.cell.workers {
-		s.cell.known.changed(id)
+		s.cell.dirtyChunks.mark(id)
 	}
 	underWay := s.cell.NextCommit(100)
 	for range 4 {
--- a/internal/cell/place.go
+++ b/internal/cell/place.go
@@ -10,40 +10,40 @@
 
 // placeStage starts what it can of a stage and asks for advice or makes room
 // for the rest.
-func (c *Cell) placeStage(s *stage, room *room, now time.Time) {
-	if c.wakeNear(s, now) {
+func (c *Cell) placeStage(s *stage, view *planView, now time.Time) {
+	if c.unparkLocal(s, now) {
 		return
 	}
 	var fitting []candidate
-	if s.step.Occupied().Fits(room.most) {
-		fitting = c.fitting(s, room, now)
+	if s.step.Occupied().Fits(view.maxFree) {
+		fitting = c.fitting(s, view, now)
 	}
 	if len(fitting) == 0 {
-		c.waitForRoom(s, room, now)
+		c.waitForCapacity(s, view, now)
 		return
 	}
 	if s.step.Gang {
-		c.placeGang(s, room, fitting, now)
+		c.placeGang(s, view, fitting, now)
 	} else {
-		c.placeTasks(s, room, fitting, now)
+		c.placeTasks(s, view, fitting, now)
 	}
 	if len(s.idle) == 0 {
 		delete(c.waiting, s)
 		return
 	}
 	if c.startable(s) > 0 {
-		c.waitForRoom(s, room, now)
+		c.waitForCapacity(s, view, now)
 	}
 }
 
-// waitForRoom does what brings a stage nearer to a place.
-func (c *Cell) waitForRoom(s *stage, room *room, now time.Time) {
-	c.askAdvice(s, room, now)
-	if c.wakeFor(s, room, now) {
+// waitForCapacity does what brings a stage nearer to a place.
+func (c *Cell) waitForCapacity(s *stage, view *planView, now time.Time) {
+	c.askAdvice(s, view, now)
+	if c.unparkFor(s, view, now) {
 		return
 	}
-	c.reserve(s, room, now)
-	c.preempt(s, room, now)
+	c.reserve(s, view, now)
+	c.preempt(s, view, now)
 }
 
 // candidate is a worker that may take a task of a stage now.
@@ -55,16 +55,16 @@
 
 // fitting returns the workers that may run the stage now and have room for a
 // task, best first.
-func (c *Cell) fitting(s *stage, room *room, now time.Time) []candidate {
+func (c *Cell) fitting(s *stage, view *planView, now time.Time) []candidate {
 	var list []candidate
 	need := s.step.Occupied()
-	nearOnly := c.waitsForNear(s, room, now)
-	workers := c.allowed(s, room, now)
-	if c.placesOnTrial(s, room, now) {
-		workers = s.advised(room.onTrial, now)
+	localOnly := c.waitsForLocality(s, view, now)
+	workers := c.allowed(s, view, now)
+	if c.usesTrialWorkers(s, view, now) {
+		workers = s.advised(view.trialWorkers, now)
 	}
 	for _, w := range workers {
-		if !w.openTo(s.job) || !need.Fits(w.free()) || !c.eligible(s, w) || nearOnly && !s.near(w) || !c.leftFor(s, w, now) {
+		if !w.acceptsJob(s.job) || !need.Fits(w.free()) || !c.eligible(s, w) || localOnly && !s.isLocal(w) || !c.allowedByReservation(s, w, now) {
 			continue
 		}
 		ticket := ""
@@ -81,13 +81,13 @@
 
 // allowed returns the usable workers for which the stage needs no ticket or has
 // one that is valid until later than until.
-func (c *Cell) allowed(s *stage, room *room, until time.Time) []*worker {
+func (c *Cell) allowed(s *stage, view *planView, until time.Time) []*worker {
 	if s.job.record.Advice == nil {
-		return room.usable
+		return view.usable
 	}
 	var list []*worker
 	for w := range s.advice.verdicts {
-		if w.usableIn == room.pass && s.advice.allows(w, until) {
+		if w.usablePass == view.pass && s.advice.allows(w, until) {
 			list = append(list, w)
 		}
 	}
@@ -102,20 +102,20 @@
 	if s.step.RequiredLabel != "" && !w.HasLabel(s.step.RequiredLabel) {
 		return false
 	}
-	return s.step.MaxPerWorker == 0 || s.perWorker[w] < s.step.MaxPerWorker
+	return s.step.MaxPerWorker == 0 || s.runsPerWorker[w] < s.step.MaxPerWorker
 }
 
-// hasRoomEmpty reports whether a worker may ever run the stage and has room for a task
+// fitsWhenIdle reports whether a worker may ever run the stage and has room for a task
 // of it when nothing else runs there.
-func (c *Cell) hasRoomEmpty(s *stage, w *worker) bool {
+func (c *Cell) fitsWhenIdle(s *stage, w *worker) bool {
 	return c.eligible(s, w) && s.step.Occupied().Fits(w.Capacity)
 }
 
 // The weights of score, in shares of a worker: being far from the data counts
 // more than any fit, disturbing a serving task more than fit.
 const (
-	farWeight     = 10.0
-	disturbWeight = 3.0
+	remoteWeight       = 10.0
+	interferenceWeight = 3.0
 )
 
 // score tells how well a worker suits a stage; less is better. The fullest
@@ -126,30 +126,30 @@
 	score := float64(free.MilliCPU)/float64(max(1, w.Capacity.MilliCPU)) +
 		0.5*float64(free.MemoryMiB)/float64(max(1, w.Capacity.MemoryMiB))
 	if s.step.DataRack != "" && w.Rack != s.step.DataRack {
-		score += farWeight
+		score += remoteWeight
 	}
-	if s.step.Fills && w.servers > 0 || s.step.TailTarget > 0 && w.fillers > 0 {
-		score += disturbWeight
+	if s.step.Fills && w.latencySensitive > 0 || s.step.TailTarget > 0 && w.bestEffort > 0 {
+		score += interferenceWeight
 	}
 	if s.step.Fills {
-		score += float64(w.fillers)
+		score += float64(w.bestEffort)
 	}
 	return score
 }
 
 // placeTasks starts as many idle tasks as fit, one after the other.
-func (c *Cell) placeTasks(s *stage, room *room, fitting []candidate, now time.Time) {
+func (c *Cell) placeTasks(s *stage, view *planView, fitting []candidate, now time.Time) {
 	need := s.step.Occupied()
 	idle := append([]int(nil), s.idle...)
-	left := c.startable(s)
+	remaining := c.startable(s)
 	// The candidates are avoided workers, or none of them is.
-	onTrial := fitting[0].w.onTrialIn == room.pass
+	onTrial := fitting[0].w.trialPass == view.pass
 	for _, index := range idle {
-		if left == 0 || !room.allows(s, need.MilliCPU) {
+		if remaining == 0 || !view.allowsCPU(s, need.MilliCPU) {
 			return
 		}
 		t := s.tasks[index]
-		if t.pauses(now) {
+		if t.backsOff(now) {
 			continue
 		}
 		at := c.pick(s, t, fitting, now)
@@ -162,9 +162,9 @@
 		}
 		c.start(t, fitting[at], t.nextRun(c.settings.Term), now)
 		if !onTrial {
-			room.free -= need.MilliCPU
+			view.free -= need.MilliCPU
 		}
-		left--
+		remaining--
 	}
 }
 
@@ -177,7 +177,7 @@
 	second := -1
 	for i := range fitting {
 		w := fitting[i].w
-		if !c.takesNow(s, t, w, now) {
+		if !c.canPlace(s, t, w, now) {
 			continue
 		}
 		if !slices.Contains(t.failedOn, w.ID) {
@@ -190,25 +190,25 @@
 	return second
 }
 
-// takesNow reports whether a worker has room for a task, and it may take that.
-func (c *Cell) takesNow(s *stage, t *task, w *worker, now time.Time) bool {
-	return s.step.Occupied().Fits(w.free()) && c.eligible(s, w) && t.mayTake(w) && c.leftFor(s, w, now)
+// canPlace reports whether a worker has room for a task, and it may take that.
+func (c *Cell) canPlace(s *stage, t *task, w *worker, now time.Time) bool {
+	return s.step.Occupied().Fits(w.free()) && c.eligible(s, w) && t.allowsWorker(w) && c.allowedByReservation(s, w, now)
 }
 
 // placeGang starts all tasks of a gang or none: members that wait for others
 // hold room for nothing.
-func (c *Cell) placeGang(s *stage, room *room, fitting []candidate, now time.Time) {
+func (c *Cell) placeGang(s *stage, view *planView, fitting []candidate, now time.Time) {
 	if len(s.idle) < len(s.tasks) {
 		return
 	}
 	need := s.step.Occupied()
-	if !room.allows(s, need.MilliCPU*int64(len(s.tasks))) {
+	if !view.allowsCPU(s, need.MilliCPU*int64(len(s.tasks))) {
 		return
 	}
-	fitting = s.leastAtRisk(fitting)
-	seats := c.seats(s, fitting)
+	fitting = s.sortByRisk(fitting)
+	seats := c.assignGang(s, fitting)
 	if s.step.RackLocal {
-		seats = c.rackSeats(s, fitting)
+		seats = c.assignGangToRack(s, fitting)
 	}
 	if len(seats) < len(s.tasks) {
 		return
@@ -219,18 +219,18 @@
 	}
 	for i, t := range s.tasks {
 		c.start(t, seats[i], run, now)
-		room.free -= need.MilliCPU
+		view.free -= need.MilliCPU
 	}
 }
 
-// seats returns a place for each member of a gang, or fewer if there are none.
-func (c *Cell) seats(s *stage, fitting []candidate) []candidate {
+// assignGang returns a place for each member of a gang, or fewer if there are none.
+func (c *Cell) assignGang(s *stage, fitting []candidate) []candidate {
 	var seats []candidate
 	need := s.step.Occupied()
 	for _, f := range fitting {
 		limit := len(s.tasks) - len(seats)
 		if s.step.MaxPerWorker > 0 {
-			limit = min(limit, s.step.MaxPerWorker-s.perWorker[f.w])
+			limit = min(limit, s.step.MaxPerWorker-s.runsPerWorker[f.w])
 		}
 		for range need.CountIn(f.w.free(), int64(limit)) {
 			seats = append(seats, f)
@@ -242,9 +242,9 @@
 	return seats
 }
 
-// rackSeats is seats within one rack, if one has room; otherwise anywhere, as
+// assignGangToRack is seats within one rack, if one has room; otherwise anywhere, as
 // slow work is better than none.
-func (c *Cell) rackSeats(s *stage, fitting []candidate) []candidate {
+func (c *Cell) assignGangToRack(s *stage, fitting []candidate) []candidate {
 	byRack := map[string][]candidate{}
 	var racks []string
 	for _, f := range fitting {
@@ -254,29 +254,29 @@
 		byRack[f.w.Rack] = append(byRack[f.w.Rack], f)
 	}
 	for _, rack := range racks {
-		if seats := c.seats(s, byRack[rack]); len(seats) == len(s.tasks) {
+		if seats := c.assignGang(s, byRack[rack]); len(seats) == len(s.tasks) {
 			return seats
 		}
 	}
-	return c.seats(s, fitting)
+	return c.assignGang(s, fitting)
 }
 
 // start books a run and orders it.
-func (c *Cell) start(t *task, on candidate, run uint64, now time.Time) {
-	a := &attempt{task: t, run: run, worker: on.w, phase: ordered, orderedAt: now, pace: 100, fromStart: t.saved == ""}
+func (c *Cell) start(t *task, target candidate, run uint64, now time.Time) {
+	a := &attempt{task: t, run: run, worker: target.w, phase: ordered, orderedAt: now, speedPercent: 100, fromScratch: t.checkpoint == ""}
 	t.lastRun = run
 	t.attempts = append(t.attempts, a)
-	t.stage.takeIdle(t.index)
-	on.w.add(a)
+	t.stage.removeIdle(t.index)
+	target.w.addAttempt(a)
 	c.isolate(a)
-	if r := on.w.reserved; r != nil && r.stage == t.stage {
-		on.w.reserved = nil
+	if r := target.w.reserved; r != nil && r.stage == t.stage {
+		target.w.reserved = nil
 	} else if r != nil {
 		r.spare = r.spare.Sub(t.stage.step.Occupied())
 	}
 	c.stats.Starts++
-	c.orders = append(c.orders, StartOrder{Worker: on.w.target, Task: t.id(), Start: runner.Start{
+	c.orders = append(c.orders, StartOrder{Worker: target.w.target, Task: t.id(), Start: runner.Start{
 		Task: t.id().String(), Run: run, Spec: t.stage.job.record.Spec, Token: c.settings.Term,
-		LeaseUntil: on.w.extendLease(c.settings.Lease, now), Saved: t.saved, Ticket: on.ticket,
+		LeaseUntil: target.w.extendLease(c.settings.Lease, now), Saved: t.checkpoint, Ticket: target.ticket,
 	}})
 }
--- a/internal/cell/plan.go
+++ b/internal/cell/plan.go
@@ -13,14 +13,14 @@
 	defer c.mu.Unlock()
 	c.recover(now)
 	c.meterJobs()
-	if now.Sub(c.watchedAt) >= watchPeriod {
-		c.watchedAt = now
-		c.ownSilence = c.isolatedFromWorkers()
+	if now.Sub(c.lastWatchAt) >= watchPeriod {
+		c.lastWatchAt = now
+		c.ownerIsolated = c.reachesFewWorkers()
 		for _, w := range c.workers {
 			c.watch(w, now)
 		}
 		c.park(now)
-		c.countUnseen(now)
+		c.countUnconfirmed(now)
 	}
 	c.placeAll(now, slots)
 	orders := c.orders
@@ -34,29 +34,29 @@
 	if len(c.waiting) == 0 && !expiring.any() {
 		return
 	}
-	room := c.newRoom(now)
-	room.slots = slots
+	view := c.newPlanView(now)
+	view.slots = slots
 	if c.recovering {
-		room.recoversBy = c.recoversBy()
+		view.recoveryDeadline = c.recoveryDeadline()
 	}
-	c.renewReservations(room, now)
-	stages := c.inOrder(now)
-	c.askForLasting(stages, room, now)
-	c.askExpiring(expiring.lasting, room, now)
+	c.renewReservations(view, now)
+	stages := c.sortedWaiting(now)
+	c.askForLongRunning(stages, view, now)
+	c.askExpiring(expiring.longRunning, view, now)
 	for _, s := range stages {
 		switch {
-		case !c.noteDue(s, now):
+		case !c.checkDue(s, now):
 		case c.heldBack(s):
-			c.askHeld(s, room, now)
+			c.askHeld(s, view, now)
 		case c.mayPlace(s, now):
-			c.placeStage(s, room, now)
+			c.placeStage(s, view, now)
 		}
 	}
-	c.askExpiring(expiring.ending, room, now)
+	c.askExpiring(expiring.finite, view, now)
 }
 
-// noteDue reports whether a waiting stage may start by now, and notes since when.
-func (c *Cell) noteDue(s *stage, now time.Time) bool {
+// checkDue reports whether a waiting stage may start by now, and notes since when.
+func (c *Cell) checkDue(s *stage, now time.Time) bool {
 	if !s.due(now, c.settings.EarlyStart) {
 		return false
 	}
@@ -69,16 +69,16 @@
 // mayPlace reports whether tasks of a stage that is due may be started now if there is room. It
 // gives the job of a hopeless one up.
 func (c *Cell) mayPlace(s *stage, now time.Time) bool {
-	return !c.heldBack(s) && s.job.final == "" && !c.giveUpHopeless(s, now) && !s.pauses(now) && c.startable(s) > 0
+	return !c.heldBack(s) && s.job.final == "" && !c.failHopelessJob(s, now) && !s.backsOff(now) && c.startable(s) > 0
 }
 
-// inOrder sorts the waiting stages. Queues with a lower priority number go first, and within
+// sortedWaiting sorts the waiting stages. Queues with a lower priority number go first, and within
 // a priority the jobs that are within the share of their workspace. Among those, work that
 // can still meet its objective goes by the time at which it has to start; work that is late
 // anyway goes after it, shortest first, or a burst would make every job late. Of either kind,
 // stages that have begun go before others: new jobs would take the room of those that are
 // half done.
-func (c *Cell) inOrder(now time.Time) []*stage {
+func (c *Cell) sortedWaiting(now time.Time) []*stage {
 	type entry struct {
 		s     *stage
 		start time.Time
@@ -87,14 +87,14 @@
 	entries := make([]entry, 0, len(c.waiting))
 	for s := range c.waiting {
 		start := s.latestStart(&c.durations)
-		entries = append(entries, entry{s, start, start.Before(now) && c.uses(LateLast)})
+		entries = append(entries, entry{s, start, start.Before(now) && c.enabled(LateLast)})
 	}
 	slices.SortFunc(entries, func(a, b entry) int {
 		switch {
 		case a.s.job.record.Priority != b.s.job.record.Priority:
 			return cmp.Compare(a.s.job.record.Priority, b.s.job.record.Priority)
-		case a.s.job.beyondShare != b.s.job.beyondShare:
-			if b.s.job.beyondShare {
+		case a.s.job.overShare != b.s.job.overShare:
+			if b.s.job.overShare {
 				return -1
 			}
 			return 1
@@ -102,13 +102,13 @@
 			return 1
 		case b.late && !a.late:
 			return -1
-		case a.s.begun() != b.s.begun():
-			if a.s.begun() {
+		case a.s.hasStarted() != b.s.hasStarted():
+			if a.s.hasStarted() {
 				return -1
 			}
 			return 1
-		case a.late && a.s.toEnd != b.s.toEnd:
-			return cmp.Compare(a.s.toEnd, b.s.toEnd)
+		case a.late && a.s.remainingPath != b.s.remainingPath:
+			return cmp.Compare(a.s.remainingPath, b.s.remainingPath)
 		}
 		return cmp.Or(a.start.Compare(b.start), cmp.Compare(a.s.id.Job, b.s.id.Job))
 	})
--- a/internal/cell/preempt.go
+++ b/internal/cell/preempt.go
@@ -6,35 +6,35 @@
 	// preemptAfter is how long a stage of the most urgent queue waits for an end of a run
 	// before others are stopped for it.
 	preemptAfter = 60 * time.Millisecond
-	// preemptEvery is the least time between two looks for victims for one stage. Each looks
+	// preemptInterval is the least time between two looks for victims for one stage. Each looks
 	// through the runs of all workers that the stage may use.
-	preemptEvery = 30 * time.Millisecond
+	preemptInterval = 30 * time.Millisecond
 )
 
 // preempt stops less urgent runs for the idle tasks of a stage of the most urgent queue,
 // where the next end of a run is too far away.
-func (c *Cell) preempt(s *stage, room *room, now time.Time) {
-	if !c.uses(Preemption) || s.job.record.Priority > 0 || s.step.Gang || c.startable(s) <= s.preempting || s.job.age(now) < preemptAfter {
+func (c *Cell) preempt(s *stage, view *planView, now time.Time) {
+	if !c.enabled(Preemption) || s.job.record.Priority > 0 || s.step.Gang || c.startable(s) <= s.preempting || s.job.age(now) < preemptAfter {
 		return
 	}
 	if tooLate := s.job.objective(s, &c.durations).Sub(s.job.record.AcceptedAt); s.latestStart(&c.durations).Add(tooLate).Before(now) {
 		return
 	}
-	if now.Sub(s.preemptedAt) < preemptEvery {
+	if now.Sub(s.preemptedAt) < preemptInterval {
 		return
 	}
 	s.preemptedAt = now
 	wanted := c.startable(s) - s.preempting
 	// The tickets have to outlast a stop.
-	for _, w := range c.allowed(s, room, now.Add(c.settings.StopGrace)) {
+	for _, w := range c.allowed(s, view, now.Add(c.settings.StopGrace)) {
 		if wanted == 0 {
 			return
 		}
-		if !w.openTo(s.job) || !c.eligible(s, w) {
+		if !w.acceptsJob(s.job) || !c.eligible(s, w) {
 			continue
 		}
 		if victim := c.victim(s, w, now); victim != nil {
-			victim.makesRoomFor = s
+			victim.preemptedFor = s
 			s.preempting++
 			wanted--
 			c.stats.Preemptions++
@@ -53,7 +53,7 @@
 		if a.phase != running || !step.Checkpoint || step.Gang || step.LongRunning {
 			continue
 		}
-		if a.task.stage.job.record.Priority <= s.job.record.Priority || c.expectedLeft(a, now) < c.settings.StopGrace {
+		if a.task.stage.job.record.Priority <= s.job.record.Priority || c.expectedRemaining(a, now) < c.settings.StopGrace {
 			continue
 		}
 		if !need.Fits(w.free().Add(step.Occupied())) {
--- a/internal/cell/progress.go
+++ b/internal/cell/progress.go
@@ -28,10 +28,10 @@
 			p.SetDone(t.index)
 			continue
 		}
-		if len(t.failedRuns) > 0 || t.saved != "" || t.lastRun > 0 {
+		if len(t.failedRuns) > 0 || t.checkpoint != "" || t.lastRun > 0 {
 			p.Tasks = append(p.Tasks, job.TaskProgress{Index: t.index, FailedRuns: t.failedRuns,
-				LastRun: t.lastRun, Saved: t.saved, CrashedRuns: slices.Clone(t.crashes.crashed), CrashedAtOnce: t.crashes.atOnce,
-				LostRuns: slices.Clone(t.crashes.silent), LostAtMillis: t.crashes.lostAtMillis()})
+				LastRun: t.lastRun, Saved: t.checkpoint, CrashedRuns: slices.Clone(t.crashes.crashed), CrashedAtOnce: t.crashes.immediate,
+				LostRuns: slices.Clone(t.crashes.unresponsive), LostAtMillis: t.crashes.lostAtMillis()})
 		}
 	}
 	return p, len(p.Done) > 0 || len(p.Tasks) > 0
@@ -40,7 +40,7 @@
 // restore puts stored progress into a new job.
 func (j *jobState) restore(p *job.Progress, now time.Time) {
 	j.final = p.Final
-	j.visible = p.Final
+	j.storedState = p.Final
 	if p.EndedAtMillis > 0 {
 		j.endedAt = time.UnixMilli(p.EndedAtMillis)
 	}
@@ -58,7 +58,7 @@
 		if p.IsDone(t.index) {
 			t.done = true
 			s.done++
-			s.takeIdle(t.index)
+			s.removeIdle(t.index)
 		}
 	}
 	for _, kept := range p.Tasks {
@@ -68,8 +68,8 @@
 		t := s.tasks[kept.Index]
 		t.failedRuns = kept.FailedRuns
 		t.lastRun = kept.LastRun
-		t.saved = kept.Saved
-		t.crashes = crashHistory{crashed: kept.CrashedRuns, atOnce: kept.CrashedAtOnce, silent: kept.LostRuns, lostAt: lostAtFrom(kept.LostAtMillis, now)}
+		t.checkpoint = kept.Saved
+		t.crashes = crashHistory{crashed: kept.CrashedRuns, immediate: kept.CrashedAtOnce, unresponsive: kept.LostRuns, lostAt: lostAtFrom(kept.LostAtMillis, now)}
 		s.lostWorkers = s.lostWorkers || t.crashes.any()
 	}
 }
--- a/internal/cell/quota_owners_test.go
+++ b/internal/cell/quota_owners_test.go
@@ -21,7 +21,7 @@
 	s.report("a")
 	s.commit()
 	s.cell.settings.PreviousOwnerStopped = true
-	limit := s.cell.unseenLimit() + 500*time.Millisecond
+	limit := s.cell.earlierLeaseLimit() + 500*time.Millisecond
 	began, next := s.now, s.now.Add(again)
 	for s.now.Sub(began) < 20*time.Second {
 		if !s.now.Before(next) {
--- a/internal/cell/quotas.go
+++ b/internal/cell/quotas.go
@@ -79,56 +79,56 @@
 // gangNeed is what all tasks of a gang occupy together.
 func (s *stage) gangNeed() resource.Amount { return s.step.Need.Times(int64(len(s.tasks))) }
 
-// countUnseen works out what workspaces may have running on workers that this owner has not
+// countUnconfirmed works out what workspaces may have running on workers that this owner has not
 // heard: what an earlier owner can have started there of their jobs, and no more than those
 // workers hold.
-func (c *Cell) countUnseen(now time.Time) {
+func (c *Cell) countUnconfirmed(now time.Time) {
 	accounts := c.quotas.Accounts()
 	for _, account := range accounts {
 		account.Unseen = resource.Amount{}
 	}
-	if len(accounts) == 0 || now.Sub(c.began) >= c.unseenLimit() {
+	if len(accounts) == 0 || now.Sub(c.startedAt) >= c.earlierLeaseLimit() {
 		return
 	}
-	room := c.unheardRoom(now)
-	if room.IsZero() {
+	capacity := c.unreportedCapacity(now)
+	if capacity.IsZero() {
 		return
 	}
 	for _, j := range c.jobs {
-		if j.account != nil && j.inherited && !j.condensed {
-			j.account.Unseen = j.account.Unseen.Add(j.unbooked())
+		if j.account != nil && j.inherited && !j.compacted {
+			j.account.Unseen = j.account.Unseen.Add(j.unaccounted())
 		}
 	}
 	for _, account := range accounts {
-		account.Unseen = account.Unseen.Min(room)
+		account.Unseen = account.Unseen.Min(capacity)
 	}
 }
 
-// unheardRoom returns what the workers hold on which an earlier owner can have started runs
+// unreportedCapacity returns what the workers hold on which an earlier owner can have started runs
 // that are not booked.
-func (c *Cell) unheardRoom(now time.Time) resource.Amount {
-	var room resource.Amount
+func (c *Cell) unreportedCapacity(now time.Time) resource.Amount {
+	var capacity resource.Amount
 	for _, w := range c.workers {
-		if w.parked || w.reported || c.inheritedAll && !w.named || !now.Before(c.runsOverAt(w)) {
+		if w.parked || w.reported || c.workersLoaded && !w.storedByEarlier || !now.Before(c.runsOverBy(w)) {
 			continue
 		}
-		if !w.described() || w.Capacity.IsZero() {
+		if !w.entryIsCurrent() || w.Capacity.IsZero() {
 			// Nothing is known of its room.
-			return unknownRoom
+			return unknownCapacity
 		}
-		room = room.Add(w.Capacity)
+		capacity = capacity.Add(w.Capacity)
 	}
-	return room
+	return capacity
 }
 
-// unknownRoom stands for more room than any fleet has.
-var unknownRoom = resource.Amount{MilliCPU: 1 << 50, MemoryMiB: 1 << 50, Accelerators: 1 << 50}
+// unknownCapacity stands for more room than any fleet has.
+var unknownCapacity = resource.Amount{MilliCPU: 1 << 50, MemoryMiB: 1 << 50, Accelerators: 1 << 50}
 
-// unbooked returns what the tasks of a job occupy that are neither done nor booked.
-func (j *jobState) unbooked() resource.Amount {
+// unaccounted returns what the tasks of a job occupy that are neither done nor booked.
+func (j *jobState) unaccounted() resource.Amount {
 	var sum resource.Amount
 	for _, s := range j.stages {
-		if !s.fresh {
+		if !s.noEarlierRuns {
 			sum = sum.Add(s.step.Need.Times(int64(len(s.idle))))
 		}
 	}
--- a/internal/cell/recover.go
+++ b/internal/cell/recover.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// mostUnheardLogged bounds the lines about workers that a recovery waited for.
-const mostUnheardLogged = 5
+// maxUnreportedLogged bounds the lines about workers that a recovery waited for.
+const maxUnreportedLogged = 5
 
 // recover ends the time in which runs of an earlier owner may go on unseen: it
 // is over when every known worker has reported or its runs are known from the
@@ -13,28 +13,28 @@
 	if !c.recovering {
 		return
 	}
-	c.fenced = c.settings.PreviousOwnerStopped || !c.earlierStoppedAt.IsZero() || now.Sub(c.began) >= overtakenFor
-	if now.Sub(c.began) >= c.unseenLimit() || c.allReported() {
-		c.logUnheard()
+	c.fenced = c.settings.PreviousOwnerStopped || !c.previousOwnerStoppedAt.IsZero() || now.Sub(c.startedAt) >= overtakenOwnerLimit
+	if now.Sub(c.startedAt) >= c.earlierLeaseLimit() || c.allWorkersAccounted() {
+		c.logUnreported()
 		c.recovering = false
 		c.fenced = true
-		c.log.WithField("took_ms", now.Sub(c.began).Milliseconds()).Info("recovered")
+		c.log.WithField("took_ms", now.Sub(c.startedAt).Milliseconds()).Info("recovered")
 	}
 }
 
-// unseenLimit is how long runs of an earlier owner may go on where this one
+// earlierLeaseLimit is how long runs of an earlier owner may go on where this one
 // cannot see them: every owner grants the same lease, the worker's clock may be
 // slow, and an earlier owner that still lives may extend leases for overtakenFor
 // after it lost its ownership.
-func (c *Cell) unseenLimit() time.Duration {
-	limit := time.Duration(float64(c.settings.Lease)*(1+clockDrift)) + guessError + lapseMargin
+func (c *Cell) earlierLeaseLimit() time.Duration {
+	limit := time.Duration(float64(c.settings.Lease)*(1+maxClockDrift)) + clockEstimateError + expiryMargin
 	if c.settings.PreviousOwnerStopped {
 		return limit
 	}
-	if !c.earlierStoppedAt.IsZero() {
-		return limit + min(overtakenFor, c.earlierStoppedAt.Sub(c.began))
+	if !c.previousOwnerStoppedAt.IsZero() {
+		return limit + min(overtakenOwnerLimit, c.previousOwnerStoppedAt.Sub(c.startedAt))
 	}
-	return limit + overtakenFor
+	return limit + overtakenOwnerLimit
 }
 
 // PreviousOwnerStopped takes in that the earlier owner gives no orders any more from now on,
@@ -42,32 +42,32 @@
 func (c *Cell) PreviousOwnerStopped(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.earlierStoppedAt.IsZero() {
-		c.earlierStoppedAt = now
+	if c.previousOwnerStoppedAt.IsZero() {
+		c.previousOwnerStoppedAt = now
 	}
 }
 
-// logUnheard logs the workers that held the recovery up.
-func (c *Cell) logUnheard() {
+// logUnreported logs the workers that held the recovery up.
+func (c *Cell) logUnreported() {
 	logged := 0
 	for _, w := range c.workers {
-		if w.unheard() && logged < mostUnheardLogged {
+		if w.mayHaveEarlierRuns() && logged < maxUnreportedLogged {
 			logged++
 			c.log.WithFields(workerFields(w)).Warn("worker_not_heard")
 		}
 	}
 }
 
-// unheard reports whether an earlier owner may have left runs on a worker that are not
+// mayHaveEarlierRuns reports whether an earlier owner may have left runs on a worker that are not
 // booked.
-func (w *worker) unheard() bool { return !w.parked && !w.reported && !w.accounted }
+func (w *worker) mayHaveEarlierRuns() bool { return !w.parked && !w.reported && !w.accounted }
 
-func (c *Cell) allReported() bool {
+func (c *Cell) allWorkersAccounted() bool {
 	if len(c.workers) == 0 {
 		return false
 	}
 	for _, w := range c.workers {
-		if w.unheard() {
+		if w.mayHaveEarlierRuns() {
 			return false
 		}
 	}
@@ -79,5 +79,5 @@
 // stage whose predecessors were seen to end under this owner, and some stages
 // may run twice.
 func (c *Cell) heldBack(s *stage) bool {
-	return c.recovering && s.job.inherited && !s.fresh && !s.step.AllowDuplicates
+	return c.recovering && s.job.inherited && !s.noEarlierRuns && !s.step.AllowDuplicates
 }
--- a/internal/cell/recover_test.go
+++ b/internal/cell/recover_test.go
@@ -70,7 +70,7 @@
 	if _, ok := s.plan()[newer.ID+".0.0.0"]; !ok {
 		t.Fatal("a job of this owner's own time was held back, too")
 	}
-	s.pass(s.cell.unseenLimit() - 100*time.Millisecond)
+	s.pass(s.cell.earlierLeaseLimit() - 100*time.Millisecond)
 	s.report("a")
 	if _, ok := s.plan()[older.ID+".0.0.0"]; ok {
 		t.Fatal("a task of an older job was started before the silent worker's lease must have ended")
@@ -192,7 +192,7 @@
 		return 0
 	}
 	unknown, soon, late := waited(0), waited(300*time.Millisecond), waited(3*time.Second)
-	if gain := unknown - soon; gain < time.Second || gain > overtakenFor {
+	if gain := unknown - soon; gain < time.Second || gain > overtakenOwnerLimit {
 		t.Errorf("waited %v, and %v where the earlier owner is known to have stopped", unknown, soon)
 	}
 	if soon < 3500*time.Millisecond {
--- a/internal/cell/restart.go
+++ b/internal/cell/restart.go
@@ -8,47 +8,47 @@
 	"gentianstand/internal/runner"
 )
 
-// heardFrom notes which incarnation of a worker answered a look, and reports whether it is
+// checkIncarnation notes which incarnation of a worker answered a look, and reports whether it is
 // the present one.
-func (c *Cell) heardFrom(w *worker, born runner.Born, sentAt, now time.Time) bool {
+func (c *Cell) checkIncarnation(w *worker, incarnation runner.Born, sentAt, now time.Time) bool {
 	switch {
-	case born == 0 || born == w.incarnation:
+	case incarnation == 0 || incarnation == w.incarnation:
 	case w.incarnation == 0:
-		c.setIncarnation(w, born)
-	case w.before != 0 && sentAt.Before(w.knownSince):
+		c.setIncarnation(w, incarnation)
+	case w.previous != 0 && sentAt.Before(w.knownSince):
 		// A late answer of one that has ended.
 		return false
 	default:
-		c.restarted(w, born, now)
+		c.workerRestarted(w, incarnation, now)
 	}
 	return true
 }
 
 // setIncarnation notes which incarnation of a worker the books are about.
-func (c *Cell) setIncarnation(w *worker, born runner.Born) {
-	w.incarnation, w.target.Born = born, born
-	c.known.changed(w.ID)
+func (c *Cell) setIncarnation(w *worker, incarnation runner.Born) {
+	w.incarnation, w.target.Born = incarnation, incarnation
+	c.dirtyChunks.mark(w.ID)
 }
 
-// restarted begins the books on a new incarnation of a worker. The one before has crashed
+// workerRestarted begins the books on a new incarnation of a worker. The one before has crashed
 // with all that ran there, and no order that was meant for it reaches the new one.
-func (c *Cell) restarted(w *worker, born runner.Born, now time.Time) {
-	c.log.WithFields(workerFields(w)).WithFields(logrus.Fields{"now_born": born, "runs": len(w.attempts),
-		"seen": w.seen, "acknowledged": w.acked}).Info("worker_restarted")
-	if c.lost[w.ID] == nil {
-		c.noteSuspects(w, now)
+func (c *Cell) workerRestarted(w *worker, incarnation runner.Born, now time.Time) {
+	c.log.WithFields(workerFields(w)).WithFields(logrus.Fields{"now_born": incarnation, "runs": len(w.attempts),
+		"seen": w.seenEnd, "acknowledged": w.ackedEnd}).Info("worker_restarted")
+	if c.lostWorkers[w.ID] == nil {
+		c.recordSuspects(w, now)
 	}
 	c.workerCrashed(w.ID, now)
-	c.loseAll(w, "worker_restarted", now)
-	w.life = &life{knownSince: now, before: w.incarnation}
+	c.dropAllRuns(w, "worker_restarted", now)
+	w.incarnationState = &incarnationState{knownSince: now, previous: w.incarnation}
 	w.Draining = false
 	// No earlier owner can have stored this incarnation, and so started anything there.
 	w.accounted = true
 	// An overtaken owner may have heard of it, too: the one that can store that it is
 	// known may use it.
-	w.saved = false
-	c.setIncarnation(w, born)
-	if w.unmatched.Born == born {
-		c.describe(w, w.unmatched, now)
+	w.stored = false
+	c.setIncarnation(w, incarnation)
+	if w.pendingEntry.Born == incarnation {
+		c.updateEntry(w, w.pendingEntry, now)
 	}
 }
--- a/internal/cell/restart_site_test.go
+++ b/internal/cell/restart_site_test.go
@@ -41,7 +41,7 @@
 		s.finish(o, runner.Done)
 	}
 	s.report("a")
-	s.cell.known.changed("a")
+	s.cell.dirtyChunks.mark("a")
 	before := s.cell.NextCommit(40)
 	s.list(s.restart("a"))
 	s.report("a")
@@ -129,13 +129,13 @@
 // of its start, when its clock shows 0.
 func TestWorkerWhoseClockShowsNothingKeepsItsLease(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
-	s.pass(s.cell.unseenLimit())
+	s.pass(s.cell.earlierLeaseLimit())
 	s.cell.Reported("a", runner.Report{Born: usualWorker("a").Born}, s.now, s.now)
 	s.cell.Add(s.record(1, step(2)), true)
 	for _, o := range s.plan() {
 		s.confirm(o)
 	}
-	s.pass(reportFresh + 100*time.Millisecond)
+	s.pass(maxReportAge + 100*time.Millisecond)
 	s.plan()
 	if load := s.cell.WorkerLoad("a"); load.Runs != 2 {
 		t.Errorf("%d runs are booked within the lease, want 2", load.Runs)
@@ -183,7 +183,7 @@
 	task := job.TaskID{Job: record.ID}
 	s.cell.LoadWorkers([]KnownWorker{{ID: "a", Incarnation: before.Born, Address: before.Address, Cordoned: true,
 		Suspects: []KnownRun{{Task: task.String(), Run: 1}}}}, s.now)
-	if crashed := s.cell.task(task).crashes.crashed; len(crashed) != 1 {
+	if crashed := s.cell.taskByID(task).crashes.crashed; len(crashed) != 1 {
 		t.Errorf("crashes %v, want that of run 1", crashed)
 	}
 }
--- a/internal/cell/room.go
+++ b/internal/cell/room.go
@@ -13,72 +13,72 @@
 	urgentReserve = 0.06
 )
 
-// room is the view of the workers during one planning pass.
-type room struct {
+// planView is the view of the workers during one planning pass.
+type planView struct {
 	// pass is the number of the planning pass.
 	pass   uint64
 	usable []*worker
-	// onTrial are workers that are avoided, on which lasting tasks may be tried.
-	onTrial []*worker
+	// trialWorkers are workers that are avoided, on which lasting tasks may be tried.
+	trialWorkers []*worker
 	// byRack are the usable workers by their racks, once somebody asked for a rack.
 	byRack map[string][]*worker
 	// total and free are thousandths of a core over all usable workers.
 	total, free int64
-	// most is the largest free amount of each kind on any worker, so that stages
+	// maxFree is the largest free amount of each kind on any worker, so that stages
 	// that fit nowhere are passed over without a look at each worker.
-	most resource.Amount
-	// least is the smallest capacity of each kind of any worker, so that reservations are
+	maxFree resource.Amount
+	// minCapacity is the smallest capacity of each kind of any worker, so that reservations are
 	// passed over for stages whose tasks are large on none.
-	least resource.Amount
-	slots AdviceSlots
+	minCapacity resource.Amount
+	slots       AdviceSlots
 	// unreserved says that no processors are kept for the most urgent queue.
 	unreserved bool
 	// reserved counts the workers that are reserved for each stage.
 	reserved map[*stage]int
-	// recoversBy is when the recovery is over at the latest; see recover.
-	recoversBy time.Time
-	// woken counts the stages that had parked workers woken.
-	woken int
+	// recoveryDeadline is when the recovery is over at the latest; see recover.
+	recoveryDeadline time.Time
+	// unparkingStages counts the stages that had parked workers unparkingStages.
+	unparkingStages int
 }
 
-func (c *Cell) newRoom(now time.Time) *room {
+func (c *Cell) newPlanView(now time.Time) *planView {
 	c.pass++
-	r := &room{pass: c.pass, usable: c.usableBuffer[:0], reserved: map[*stage]int{}, unreserved: !c.uses(UrgentReserve)}
+	r := &planView{pass: c.pass, usable: c.usableBuf[:0], reserved: map[*stage]int{}, unreserved: !c.enabled(UrgentReserve)}
 	for _, w := range c.workers {
 		if !w.usable(now) {
-			r.addOnTrial(w, now)
+			r.addTrialWorker(w, now)
 			continue
 		}
-		w.usableIn = c.pass
+		w.usablePass = c.pass
 		w.isolatedFor = nil
 		r.usable = append(r.usable, w)
 		r.total += w.Capacity.MilliCPU
 		free := w.free()
 		r.free += max(0, free.MilliCPU)
-		r.most = r.most.Max(free)
+		r.maxFree = r.maxFree.Max(free)
 		if len(r.usable) == 1 {
-			r.least = w.Capacity
+			r.minCapacity = w.Capacity
 		}
-		r.least = r.least.Min(w.Capacity)
+		r.minCapacity = r.minCapacity.Min(w.Capacity)
 	}
-	c.usableBuffer = r.usable
+	c.usableBuf = r.usable
 	c.markIsolated()
 	return r
 }
 
-// addOnTrial notes a worker that is not usable if lasting tasks may be tried there.
-func (r *room) addOnTrial(w *worker, now time.Time) {
-	if !w.ready(now) || !w.health.mayTry(now) {
+// addTrialWorker notes a worker that is not usable if lasting tasks may be tried there.
+func (r *planView) addTrialWorker(w *worker, now time.Time) {
+	if !w.isReady(now) || !w.health.allowsTrial(now) {
 		return
 	}
-	w.onTrialIn = r.pass
+	w.trialPass = r.pass
 	w.isolatedFor = nil
-	r.onTrial = append(r.onTrial, w)
-	r.most = r.most.Max(w.free())
+	r.trialWorkers = append(r.trialWorkers, w)
+	r.maxFree = r.maxFree.Max(w.free())
 }
 
 // rack returns the usable workers of a rack.
-func (r *room) rack(name string) []*worker {
+func (r *planView) rack(name string) []*worker {
 	if r.byRack == nil {
 		r.byRack = map[string][]*worker{}
 		for _, w := range r.usable {
@@ -88,9 +88,9 @@
 	return r.byRack[name]
 }
 
-// allows reports whether a stage may take more processors. No room is kept from lasting
+// allowsCPU reports whether a stage may take more processors. No room is kept from lasting
 // tasks: one that waits for others to end is away for as long as these come.
-func (r *room) allows(s *stage, milliCPU int64) bool {
+func (r *planView) allowsCPU(s *stage, milliCPU int64) bool {
 	if s.job.record.Priority <= 0 || s.step.LongRunning || r.unreserved {
 		return true
 	}
--- a/internal/cell/roster.go
+++ b/internal/cell/roster.go
@@ -10,7 +10,7 @@
 func (c *Cell) SetRoster(all []roster.Worker, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.news.came(now)
+	c.rosterUpdates.record(now)
 	listed := map[string]bool{}
 	for _, r := range all {
 		listed[r.ID] = true
@@ -21,9 +21,9 @@
 			c.unregister(w, now)
 		}
 	}
-	for id := range c.gone {
+	for id := range c.endedIncarnations {
 		if !listed[id] {
-			delete(c.gone, id)
+			delete(c.endedIncarnations, id)
 		}
 	}
 }
@@ -32,12 +32,12 @@
 func (c *Cell) UpdateRoster(change roster.Change, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.news.came(now)
+	c.rosterUpdates.record(now)
 	for _, r := range change.Workers {
 		c.register(r, now)
 	}
 	for _, id := range change.Removed {
-		delete(c.gone, id)
+		delete(c.endedIncarnations, id)
 		if w := c.workers[id]; w != nil {
 			c.unregister(w, now)
 		}
@@ -45,41 +45,41 @@
 }
 
 func (c *Cell) register(r roster.Worker, now time.Time) {
-	if ended, gone := c.gone[r.ID]; gone {
+	if ended, gone := c.endedIncarnations[r.ID]; gone {
 		if r.Born == ended || r.Born == 0 {
 			return
 		}
-		delete(c.gone, r.ID)
+		delete(c.endedIncarnations, r.ID)
 	}
 	w := c.workers[r.ID]
 	if w == nil {
-		c.replacedAt(r.Address, r.ID, now)
+		c.addressReused(r.Address, r.ID, now)
 		w = newWorker(r, now)
-		w.accounted = c.inheritedAll
+		w.accounted = c.workersLoaded
 		c.workers[r.ID] = w
-		if awake := len(c.workers) - 1 - c.parked; c.settings.SpareWorkers > 0 && c.uses(Parking) && awake >= c.settings.SpareWorkers {
+		if polled := len(c.workers) - 1 - c.parkedCount; c.settings.SpareWorkers > 0 && c.enabled(Parking) && polled >= c.settings.SpareWorkers {
 			c.setParked(w, true)
 		} else {
-			c.known.changed(r.ID)
+			c.dirtyChunks.mark(r.ID)
 		}
 		c.log.WithFields(workerFields(w)).Info("worker_added")
 	}
 	switch {
 	// The last one is of workers whose entries do not tell.
 	case r.Born == w.incarnation, w.incarnation == 0, r.Born == 0 && w.Worker.Born == 0:
-		c.describe(w, r, now)
-	case r.Born > w.incarnation && r.Born != w.before:
-		c.restarted(w, r.Born, now)
-		c.describe(w, r, now)
+		c.updateEntry(w, r, now)
+	case r.Born > w.incarnation && r.Born != w.previous:
+		c.workerRestarted(w, r.Born, now)
+		c.updateEntry(w, r, now)
 	default:
 		// News that is old, of another writer, or of a worker whose time of day was set
 		// back: the worker itself will tell.
-		w.unmatched = r
+		w.pendingEntry = r
 	}
 }
 
-// describe takes in an entry of a worker's present incarnation.
-func (c *Cell) describe(w *worker, r roster.Worker, now time.Time) {
+// updateEntry takes in an entry of a worker's present incarnation.
+func (c *Cell) updateEntry(w *worker, r roster.Worker, now time.Time) {
 	if r.Born == w.Worker.Born {
 		// A heartbeat that was written before the draining one may be read after it.
 		r.Draining = r.Draining || w.Draining
@@ -90,8 +90,8 @@
 	}
 	w.target.Address, w.target.Zone = r.Address, r.Zone
 	w.unlistedAt = time.Time{}
-	if r.Draining && w.drainSeen.IsZero() {
-		w.drainSeen = now
+	if r.Draining && w.drainingSince.IsZero() {
+		w.drainingSince = now
 		c.log.WithFields(workerFields(w)).WithField("remaining_ms", r.Remaining.Milliseconds()).Info("worker_draining")
 	}
 }
@@ -99,7 +99,7 @@
 func (c *Cell) unregister(w *worker, now time.Time) {
 	if w.unlistedAt.IsZero() {
 		w.unlistedAt = now
-		w.lapsedInOutage = c.news.inOutage(now)
+		w.expiredInOutage = c.rosterUpdates.duringOutage(now)
 		c.log.WithFields(workerFields(w)).WithField("runs", len(w.attempts)).Info("worker_unlisted")
 	}
 }
@@ -118,17 +118,17 @@
 	return ids
 }
 
-// forget drops a worker that is not registered and on which nothing can run.
-func (c *Cell) forget(w *worker) {
-	c.takeOut(w)
+// forgetWorker drops a worker that is not registered and on which nothing can run.
+func (c *Cell) forgetWorker(w *worker) {
+	c.deleteWorker(w)
 	c.log.WithFields(workerFields(w)).Info("worker_forgotten")
 }
 
-// takeOut ends the books on a worker that has no runs.
-func (c *Cell) takeOut(w *worker) {
+// deleteWorker ends the books on a worker that has no runs.
+func (c *Cell) deleteWorker(w *worker) {
 	if w.parked {
-		c.parked--
+		c.parkedCount--
 	}
 	delete(c.workers, w.ID)
-	c.known.changed(w.ID)
+	c.dirtyChunks.mark(w.ID)
 }
--- a/internal/cell/settings.go
+++ b/internal/cell/settings.go
@@ -30,28 +30,28 @@
 }
 
 const (
-	// clockDrift is how much slower than ours a worker's steady clock may run;
+	// maxClockDrift is how much slower than ours a worker's steady clock may run;
 	// the platform promises 2%.
-	clockDrift = 0.02
-	// lapseMargin is added when a lease is taken as over, for rounding to whole
+	maxClockDrift = 0.02
+	// expiryMargin is added when a lease is taken as over, for rounding to whole
 	// milliseconds and late timers.
-	lapseMargin = 50 * time.Millisecond
-	// guessError is how much later than meant a lease can end because an earlier
+	expiryMargin = 50 * time.Millisecond
+	// clockEstimateError is how much later than meant a lease can end because an earlier
 	// owner guessed the worker's clock from an old report.
-	guessError = 150 * time.Millisecond
-	// overtakenFor is how long an overtaken owner may go on extending leases: it
+	clockEstimateError = 150 * time.Millisecond
+	// overtakenOwnerLimit is how long an overtaken owner may go on extending leases: it
 	// stops when nobody confirmed its ownership for this long.
-	overtakenFor = 1500 * time.Millisecond
-	// reportFresh is how old a worker's last report may be for new starts. A
+	overtakenOwnerLimit = 1500 * time.Millisecond
+	// maxReportAge is how old a worker's last report may be for new starts. A
 	// report comes at least every longLook; a missed one means trouble.
-	reportFresh = 1500 * time.Millisecond
-	// longLook and shortLook bound how long a worker may hold the answer to a look.
+	maxReportAge = 1500 * time.Millisecond
+	// maxPollWait and shortLook bound how long a worker may hold the answer to a look.
 	// Shorter costs looks, longer delays the news of a stalled task, of a lost
 	// look and the lease.
-	longLook  = time.Second
-	shortLook = 300 * time.Millisecond
-	// lookSlack is added to the time at which the next end is expected.
-	lookSlack = 150 * time.Millisecond
+	maxPollWait = time.Second
+	minPollWait = 300 * time.Millisecond
+	// pollSlack is added to the time at which the next end is expected.
+	pollSlack = 150 * time.Millisecond
 	// unlistedGrace keeps a worker in the books that vanished from the roster but still
 	// answers, and usable if its entry lapsed in an outage of the store: those return
 	// within 2 s.
--- a/internal/cell/shares.go
+++ b/internal/cell/shares.go
@@ -5,9 +5,9 @@
 // meterJobs measures new jobs against the shares of their workspaces, in the order in which
 // they were accepted. After a take-over these are all jobs that have not ended.
 func (c *Cell) meterJobs() {
-	slices.SortFunc(c.unmetered, func(a, b *jobState) int { return a.record.AcceptedAt.Compare(b.record.AcceptedAt) })
-	for _, j := range c.unmetered {
-		j.beyondShare = !j.account.Meter.Within(j.account.Weight, j.record.AcceptedAt)
+	slices.SortFunc(c.unmeteredJobs, func(a, b *jobState) int { return a.record.AcceptedAt.Compare(b.record.AcceptedAt) })
+	for _, j := range c.unmeteredJobs {
+		j.overShare = !j.account.Meter.Within(j.account.Weight, j.record.AcceptedAt)
 	}
-	c.unmetered = nil
+	c.unmeteredJobs = nil
 }
--- a/internal/cell/shares_test.go
+++ b/internal/cell/shares_test.go
@@ -71,8 +71,8 @@
 	}
 	s.plan()
 	for id, j := range s.cell.jobs {
-		if first := id == "0000000000000001"; j.beyondShare == first {
-			t.Errorf("job %s beyond the share: %v", id, j.beyondShare)
+		if first := id == "0000000000000001"; j.overShare == first {
+			t.Errorf("job %s beyond the share: %v", id, j.overShare)
 		}
 	}
 }
--- a/internal/cell/stage.go
+++ b/internal/cell/stage.go
@@ -20,23 +20,23 @@
 	done int
 	// readyAt is when its tasks could first have been started.
 	readyAt time.Time
-	// toEnd is the ideal time from the stage's start to the end of the job.
-	toEnd time.Duration
-	// depth is the number of stages on the longest chain to the end of the job.
-	depth int
-	// perWorker counts runs on each worker, for limits per worker.
-	perWorker map[*worker]int
-	advice    adviceBook
+	// remainingPath is the ideal time from the stage's start to the end of the job.
+	remainingPath time.Duration
+	// remainingDepth is the number of stages on the longest chain to the end of the job.
+	remainingDepth int
+	// runsPerWorker counts runs on each worker, for limits per worker.
+	runsPerWorker map[*worker]int
+	advice        adviceState
 	// expiring is, while it is asked about, how many of its runs are about to be lost.
 	expiring int
-	// fresh says that no earlier owner can have started the stage.
-	fresh bool
+	// noEarlierRuns says that no earlier owner can have started the stage.
+	noEarlierRuns bool
 	// lostWorkers says that a worker was lost while one of its tasks was starting. Few
 	// stages are, so the others' tasks need not be looked through in each planning pass.
 	lostWorkers bool
-	// wakesAgainAt is when parked workers are looked for again, after there were none that
+	// unparkRetryAt is when parked workers are looked for again, after there were none that
 	// could hold a task.
-	wakesAgainAt time.Time
+	unparkRetryAt time.Time
 	// preempting is how many runs are being stopped to make room for the stage.
 	preempting int
 	// preemptedAt is when victims were last looked for.
@@ -46,8 +46,8 @@
 func newStage(j *jobState, occurrence, step int) *stage {
 	s := &stage{
 		id:  job.StageID{Job: j.record.ID, Occurrence: occurrence, Step: step},
-		job: j, step: &j.record.Steps[step], perWorker: map[*worker]int{},
-		advice: adviceBook{verdicts: map[*worker]verdict{}},
+		job: j, step: &j.record.Steps[step], runsPerWorker: map[*worker]int{},
+		advice: adviceState{verdicts: map[*worker]verdict{}},
 	}
 	for i := range s.step.Count {
 		s.tasks = append(s.tasks, &task{stage: s, index: i})
@@ -60,7 +60,7 @@
 func (s *stage) ideal() time.Duration {
 	d := s.step.Estimate
 	if cost := s.job.record.Advice; cost != nil {
-		d += cost.Duration(advisedWorkers)
+		d += cost.Duration(typicalCallSize)
 	}
 	return d
 }
@@ -85,25 +85,27 @@
 // latestStart returns when the stage has to start for the job to meet its
 // objective, as far as the caller's estimates and the queue's durations tell.
 func (s *stage) latestStart(d *durations) time.Time {
-	left := d.generous(s.job.record.Queue, s.toEnd, s.depth) - s.savedWork()
-	return s.job.objective(s, d).Add(-left)
+	remaining := d.conservative(s.job.record.Queue, s.remainingPath, s.remainingDepth) - s.checkpointedWork()
+	return s.job.objective(s, d).Add(-remaining)
 }
 
-// begun reports whether a task of the stage has run.
-func (s *stage) begun() bool { return len(s.idle) < len(s.tasks) || s.tasks[s.idle[0]].lastRun > 0 }
+// hasStarted reports whether a task of the stage has run.
+func (s *stage) hasStarted() bool {
+	return len(s.idle) < len(s.tasks) || s.tasks[s.idle[0]].lastRun > 0
+}
 
-// savedWork returns how much less than usual its idle tasks take, as they go on from
+// checkpointedWork returns how much less than usual its idle tasks take, as they go on from
 // checkpoints.
-func (s *stage) savedWork() time.Duration {
+func (s *stage) checkpointedWork() time.Duration {
 	least := 100
 	for _, index := range s.idle {
-		least = min(least, s.tasks[index].percent)
+		least = min(least, s.tasks[index].checkpointPercent)
 	}
 	return s.step.Estimate * time.Duration(least) / 100
 }
 
-// takeIdle removes a task from the idle ones.
-func (s *stage) takeIdle(index int) {
+// removeIdle removes a task from the idle ones.
+func (s *stage) removeIdle(index int) {
 	at := sort.SearchInts(s.idle, index)
 	if at < len(s.idle) && s.idle[at] == index {
 		s.idle = append(s.idle[:at], s.idle[at+1:]...)
@@ -122,8 +124,8 @@
 	return true
 }
 
-// runs returns how many runs of the stage exist.
-func (s *stage) runs() int {
+// runCount returns how many runCount of the stage exist.
+func (s *stage) runCount() int {
 	n := 0
 	for _, t := range s.tasks {
 		n += len(t.attempts)
--- a/internal/cell/stats.go
+++ b/internal/cell/stats.go
@@ -34,11 +34,11 @@
 	s := c.stats
 	s.ActiveJobs = len(c.active)
 	s.Workers = len(c.workers)
-	s.Parked = c.parked
+	s.Parked = c.parkedCount
 	for st := range c.waiting {
 		s.WaitingTasks += len(st.idle)
 	}
-	r := c.newRoom(now)
+	r := c.newPlanView(now)
 	s.Usable = len(r.usable)
 	s.FreeShare = float64(r.free) / float64(max(1, r.total))
 	s.FreeMemoryShare = freeMemoryShare(r.usable)
--- a/internal/cell/task.go
+++ b/internal/cell/task.go
@@ -12,21 +12,21 @@
 	stage *stage
 	index int
 	done  bool
-	// begun says that a run of it was confirmed under this owner.
-	begun bool
+	// startConfirmed says that a run of it was confirmed under this owner.
+	startConfirmed bool
 	// attempts are its runs: at most one, but for copies that may run twice.
 	attempts []*attempt
 	// failedRuns are the runs that ended as failed, each counted once. A new owner
 	// hears of them in any order, and of some again.
 	failedRuns []uint64
 	lastRun    uint64
-	saved      string
-	// percent is how far the run with that checkpoint had come, as far as is known.
-	percent int
+	checkpoint string
+	// checkpointPercent is how far the run with that checkpoint had come, as far as is known.
+	checkpointPercent int
 	// crashes tells of the workers that were lost while it was starting.
 	crashes crashHistory
-	// workedAt is when a lasting task was last reported at work.
-	workedAt time.Time
+	// lastWorkingAt is when a lasting task was last reported at work.
+	lastWorkingAt time.Time
 	// failedOn are the workers of failed runs, avoided for the next ones.
 	failedOn []string
 }
@@ -55,34 +55,34 @@
 	return true
 }
 
-// keptFailures is how many failures of a lasting task are kept: those of which a new owner may
+// maxKeptFailures is how many failures of a lasting task are kept: those of which a new owner may
 // hear again, and workers to avoid.
-const keptFailures = 10
+const maxKeptFailures = 10
 
-// forgetOldFailures bounds what is kept of a lasting task, which has no limit of attempts.
-func (t *task) forgetOldFailures() {
+// trimFailures bounds what is kept of a lasting task, which has no limit of attempts.
+func (t *task) trimFailures() {
 	if !t.stage.step.LongRunning {
 		return
 	}
 	// A commit may still hold the list, so it is not changed in place.
-	t.failedRuns = slices.Clone(t.failedRuns[max(0, len(t.failedRuns)-keptFailures):])
-	t.failedOn = slices.Clone(t.failedOn[max(0, len(t.failedOn)-keptFailures):])
+	t.failedRuns = slices.Clone(t.failedRuns[max(0, len(t.failedRuns)-maxKeptFailures):])
+	t.failedOn = slices.Clone(t.failedOn[max(0, len(t.failedOn)-maxKeptFailures):])
 }
 
-// pauses reports whether the task must not be started yet because of its crash history.
-func (t *task) pauses(now time.Time) bool {
+// backsOff reports whether the task must not be started yet because of its crash history.
+func (t *task) backsOff(now time.Time) bool {
 	if t.stage.step.LongRunning {
-		return t.crashes.pausesAtMost(lossPause, now)
+		return t.crashes.backsOffAtMost(shortBackoff, now)
 	}
-	return t.crashes.pauses(now)
+	return t.crashes.backsOff(now)
 }
 
-// crashesWorkers reports whether the task is a poison task; see crashHistory.isPoison. A
+// isPoison reports whether the task is a poison task; see crashHistory.isPoison. A
 // lasting task is not limited in its attempts, and fewer than mostCrashes count only if
 // they came as soon as it began.
-func (t *task) crashesWorkers(onlySuspect, correlated bool) bool {
+func (t *task) isPoison(onlySuspect, correlated bool) bool {
 	h := &t.crashes
-	if t.stage.step.LongRunning && len(h.crashed) < mostCrashes && h.atOnce < crashesAlone {
+	if t.stage.step.LongRunning && len(h.crashed) < maxCrashes && h.immediate < maxCrashesSoleSuspect {
 		return false
 	}
 	return h.isPoison(onlySuspect, correlated)
--- a/internal/cell/watch_test.go
+++ b/internal/cell/watch_test.go
@@ -160,7 +160,7 @@
 
 // Failure: urgent tasks are late for as long as a worker is slow.
 func TestWorkerOnWhichTasksOfThreeJobsAreSlowIsAvoided(t *testing.T) {
-	for jobs, avoided := range map[int]bool{badStreak - 1: false, badStreak: true} {
+	for jobs, avoided := range map[int]bool{avoidAfterFailures - 1: false, avoidAfterFailures: true} {
 		s := newSite(t, 1, usualWorker("a"))
 		slowJobs(t, s, jobs)
 		if got := s.cell.workers["a"].health.avoided(s.now); got != avoided {
@@ -172,11 +172,11 @@
 // Failure: a slow worker is never avoided.
 func TestLateEndOnASlowWorkerIsNoSuccess(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
-	starts := slowJobs(t, s, badStreak-1)
+	starts := slowJobs(t, s, avoidAfterFailures-1)
 	s.pass(5 * time.Second)
 	s.finish(starts[0], runner.Done)
 	s.report("a")
-	if streak := s.cell.workers["a"].health.streak; streak != badStreak-1 {
-		t.Errorf("streak %d after a late end, want %d", streak, badStreak-1)
+	if streak := s.cell.workers["a"].health.failureStreak; streak != avoidAfterFailures-1 {
+		t.Errorf("streak %d after a late end, want %d", streak, avoidAfterFailures-1)
 	}
 }
