--- a/internal/cell/bench_test.go
+++ b/internal/cell/bench_test.go
@@ -32,7 +32,7 @@
 	c := New(Settings{Term: 1, Lease: time.Second, StopGrace: time.Second}, siteStart, quietLog())
 	for n := range workers {
 		w := newWorker(usualWorker(fmt.Sprint(n)), siteStart)
-		w.saved, w.reported, w.lastReport = true, true, siteStart.Add(time.Second)
+		w.stored, w.reported, w.lastReport = true, true, siteStart.Add(time.Second)
 		w.used = resource.Amount{MilliCPU: 15000}
 		c.workers[w.ID] = w
 	}
@@ -53,7 +53,7 @@
 		for k := range workers / 3 {
 			tickets = append(tickets, advice.Ticket{Worker: fmt.Sprint(3 * k), Text: "t"})
 		}
-		c.Advised(job.StageID{Job: r.ID}, nil, tickets, nil, siteStart)
+		c.AdviceAnswered(job.StageID{Job: r.ID}, nil, tickets, nil, siteStart)
 	}
 	return c
 }
--- a/internal/cell/closing_test.go
+++ b/internal/cell/closing_test.go
@@ -23,8 +23,8 @@
 			onB = task
 		}
 	}
-	before.cell.LookFailed("b", runner.ErrNoAnswer, before.now)
-	before.pass(closeAfter)
+	before.cell.PollFailed("b", runner.ErrNoAnswer, before.now)
+	before.pass(unresponsiveAfter)
 	before.plan()
 	commit := before.cell.NextCommit(10)
 	waiting := before.record(2, step(3))
@@ -35,7 +35,7 @@
 	s.cell.Load(r, nil)
 	s.cell.Load(waiting, nil)
 	for _, chunk := range commit.Chunks {
-		s.cell.Inherit(chunk.Workers, s.now)
+		s.cell.LoadWorkers(chunk.Workers, s.now)
 	}
 	s.report("a")
 	s.report("c")
@@ -46,7 +46,7 @@
 	if again, ok := starts[onB]; ok {
 		t.Errorf("run %d of the task on b was started", again.Start.Run)
 	}
-	s.pass(s.cell.unseenLimit())
+	s.pass(s.cell.earlierLeaseLimit())
 	s.report("a")
 	s.report("c")
 	if _, ok := s.plan()[onB]; !ok {
@@ -60,7 +60,7 @@
 	r := s.record(1, step(1))
 	s.cell.Load(r, nil)
 	task := r.ID + ".0.0.0"
-	s.cell.Inherit([]KnownWorker{{ID: "b", Address: "b:1", Closed: true, Runs: []KnownRun{{Task: task, Run: 1}}}}, s.now)
+	s.cell.LoadWorkers([]KnownWorker{{ID: "b", Address: "b:1", Cordoned: true, Runs: []KnownRun{{Task: task, Run: 1}}}}, s.now)
 	s.runs["a"] = []runner.RunState{{Task: task, Run: 2, Percent: 50}}
 	s.report("a")
 	s.plan()
@@ -76,8 +76,8 @@
 func TestAnOpenedWorkerGetsNothingBeforeItIsStored(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
-	s.cell.LookFailed("a", runner.ErrNoAnswer, s.now)
-	s.pass(closeAfter)
+	s.cell.PollFailed("a", runner.ErrNoAnswer, s.now)
+	s.pass(unresponsiveAfter)
 	s.plan()
 	s.commit()
 	s.cell.Add(s.record(1, step(1)), true)
--- /dev/null
+++ b/internal/cell/compact.go
@@ -0,0 +1,49 @@
+package cell
+
+import (
+	"time"
+
+	"gentianstand/internal/job"
+)
+
+// CompactedJob is what is kept of a job that ended some time ago.
+type CompactedJob struct {
+	Record   *job.Record
+	Progress *job.Progress
+	state    *jobState
+}
+
+// Compact returns jobs that ended longer than after ago and of which nothing runs, at
+// most limit, to be stored in a condensed form. Their text, steps and tasks are dropped
+// from memory. Ended jobs are kept for minutes, and a new owner reads them all over a link
+// that may be narrow.
+func (c *Cell) Compact(after time.Duration, now time.Time, limit int) []CompactedJob {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var list []CompactedJob
+	for _, j := range c.jobs {
+		if len(list) == limit {
+			break
+		}
+		if j.storedState == "" || j.compacted || now.Sub(j.endedAt) < after || !j.idle() {
+			continue
+		}
+		if _, dirty := c.dirtyJobs[j]; dirty {
+			continue
+		}
+		j.compacted = true
+		j.record = job.EndedRecord(j.record)
+		j.stages = nil
+		list = append(list, CompactedJob{Record: j.record, Progress: j.progress(), state: j})
+	}
+	return list
+}
+
+// CompactFailed takes in that some jobs were not stored in their condensed form.
+func (c *Cell) CompactFailed(list []CompactedJob) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, e := range list {
+		e.state.compacted = false
+	}
+}
--- /dev/null
+++ b/internal/cell/down_task.go
@@ -0,0 +1,159 @@
+package cell
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"gentianstand/internal/job"
+)
+
+// downAfter is from when on a lasting task that is not at work is told to operators: a start
+// with a question to the adviser is over before.
+const downAfter = 3 * time.Second
+
+// DownTask describes a lasting task that is not at work.
+type DownTask struct {
+	Task    job.TaskID
+	Reason  DownReason
+	DownFor time.Duration
+	// Run and Worker are those of its run, if it has one.
+	Run    uint64
+	Worker string
+	// WorkersWithCapacity is how many workers could hold the task beside what they have.
+	WorkersWithCapacity int
+}
+
+// DownTasks returns how many lasting tasks have not been at work for long, and those that have
+// been away longest, at most most.
+func (c *Cell) DownTasks(limit int, now time.Time) (list []DownTask, total int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	tasks := c.downTasks(now)
+	slices.SortFunc(tasks, func(a, b *task) int {
+		return cmp.Or(c.lastWorking(a).Compare(c.lastWorking(b)), cmp.Compare(a.id().String(), b.id().String()))
+	})
+	view := c.newPlanView(now)
+	for _, t := range tasks[:min(len(tasks), limit)] {
+		list = append(list, c.describeDown(t, view, now))
+	}
+	return list, len(tasks)
+}
+
+// downTasks returns the lasting tasks that have not been at work for long.
+func (c *Cell) downTasks(now time.Time) []*task {
+	var down []*task
+	for _, j := range c.active {
+		for _, s := range j.stages {
+			if !s.step.LongRunning || !s.predecessorsDone() {
+				continue
+			}
+			for _, t := range s.tasks {
+				if !t.done && now.Sub(c.lastWorking(t)) >= downAfter {
+					down = append(down, t)
+				}
+			}
+		}
+	}
+	return down
+}
+
+func (c *Cell) describeDown(t *task, view *planView, now time.Time) DownTask {
+	d := DownTask{Task: t.id(), Reason: c.downReason(t, view, now), DownFor: now.Sub(c.lastWorking(t)), WorkersWithCapacity: c.workersWithCapacity(t.stage)}
+	if len(t.attempts) > 0 {
+		d.Run, d.Worker = t.attempts[0].run, t.attempts[0].worker.ID
+	}
+	return d
+}
+
+// lastWorking returns when a lasting task was last seen at work, or could first have been.
+func (c *Cell) lastWorking(t *task) time.Time {
+	first := t.stage.job.record.AcceptedAt
+	for _, at := range []time.Time{c.startedAt, t.stage.job.record.DueAt(t.stage.id.Occurrence), t.lastWorkingAt} {
+		if at.After(first) {
+			first = at
+		}
+	}
+	return first
+}
+
+// recordWorking takes in that a run was reported at some percentage.
+func (c *Cell) recordWorking(a *attempt, percent int, now time.Time) {
+	t := a.task
+	if !t.stage.step.LongRunning || percent < workingPercent {
+		return
+	}
+	if downFor := now.Sub(c.lastWorking(t)); downFor >= downAfter && a.percent < workingPercent {
+		c.log.WithFields(attemptFields(a)).WithField("away_ms", downFor.Milliseconds()).Info("lasting_task_back")
+	}
+	t.lastWorkingAt = now
+}
+
+// downReason finds out why a lasting task is not at work.
+func (c *Cell) downReason(t *task, view *planView, now time.Time) DownReason {
+	if len(t.attempts) > 0 {
+		return t.attempts[0].downReason()
+	}
+	s := t.stage
+	switch {
+	case c.heldBack(s):
+		return RunUnconfirmed
+	case t.backsOff(now):
+		return CrashBackoff
+	case c.heldByQuota(s) != "":
+		return HeldByQuota
+	case c.workersWithCapacity(s) == 0:
+		return CapacityExhausted
+	case len(c.fitting(s, view, now)) > 0:
+		return CapacityAvailable
+	case s.advice.pending:
+		return AdvicePending
+	}
+	return c.whyNotPlaced(s, view, now)
+}
+
+// whyNotPlaced finds out why no worker with room takes a stage.
+func (c *Cell) whyNotPlaced(s *stage, view *planView, now time.Time) DownReason {
+	need := s.step.Occupied()
+	usable, open := 0, 0
+	for _, w := range view.usable {
+		if !need.Fits(w.free()) || !c.mayRunWhenFree(s, w) {
+			continue
+		}
+		usable++
+		if w.acceptsJob(s.job) && c.allowedByReservation(s, w, now) {
+			open++
+		}
+	}
+	switch {
+	case usable == 0:
+		return WorkersUnavailable
+	case open == 0:
+		return ReservedForOthers
+	}
+	return NoTicket
+}
+
+// workersWithCapacity counts the workers that may run a stage and have room for a task of it.
+func (c *Cell) workersWithCapacity(s *stage) int {
+	n := 0
+	for _, w := range c.workers {
+		if s.step.Occupied().Fits(w.free()) && c.mayRunWhenFree(s, w) {
+			n++
+		}
+	}
+	return n
+}
+
+// downReason tells why a task with a run is not at work.
+func (a *attempt) downReason() DownReason {
+	switch {
+	case a.inherited:
+		return RunUnconfirmed
+	case a.phase == stopping:
+		return RunStopping
+	case !a.worker.unresponsiveSince.IsZero():
+		return WorkerUnresponsive
+	}
+	return RunStarting
+}
--- a/internal/cell/load_adviser_test.go
+++ b/internal/cell/load_adviser_test.go
@@ -20,7 +20,7 @@
 // ask begins a question.
 func (l *load) ask(order AdviceOrder) {
 	quick := l.adviser.lanes.Quick
-	l.adviser.lanes.take(order.Slow)
+	l.adviser.lanes.acquire(order.Slow)
 	l.adviser.under = append(l.adviser.under, loadQuestion{
 		order: order, quick: l.adviser.lanes.Quick < quick, answerAt: l.now.Add(order.Cost.Duration(len(order.Workers))),
 	})
@@ -40,7 +40,7 @@
 		} else {
 			l.adviser.lanes.Any++
 		}
-		l.cell.Advised(q.order.Stage, q.order.Workers, l.adviser.ticketsFor(q.order.Stage, q.order.Workers), nil, l.now)
+		l.cell.AdviceAnswered(q.order.Stage, q.order.Workers, l.adviser.ticketsFor(q.order.Stage, q.order.Workers), nil, l.now)
 	}
 }
 
--- a/internal/cell/long_wait.go
+++ b/internal/cell/long_wait.go
@@ -22,16 +22,16 @@
 	// Idle is how many of the Tasks wait, Need what each of them takes.
 	Idle, Tasks int
 	Need        resource.Amount
-	// Able is how many workers could hold a task when idle, Denied how many of them
+	// Feasible is how many workers could hold a task when idle, Denied how many of them
 	// the adviser refused, and Unknown of how many it was not asked.
-	Able, Denied, Unknown int
-	// Places is how many tasks the able workers that are not denied hold when idle.
-	Places int
+	Feasible, Denied, Unknown int
+	// TaskCapacity is how many tasks the able workers that are not denied hold when idle.
+	TaskCapacity int
 }
 
 // Impossible reports whether the wait cannot end with the workers that are known.
 func (l *LongWait) Impossible() bool {
-	return l.Reason != NoRoom && l.Reason != OverQuota && l.Reason != CatalogBehind
+	return l.Reason != WaitsForCapacity && l.Reason != OverQuota && l.Reason != CatalogBehind
 }
 
 // LongWaits returns the stages that have waited for long, impossible ones first, then
@@ -42,7 +42,7 @@
 	var waits []LongWait
 	for s := range c.waiting {
 		if !s.readyAt.IsZero() && now.Sub(s.readyAt) >= longWaitAfter {
-			waits = append(waits, c.explain(s, now))
+			waits = append(waits, c.describeWait(s, now))
 		}
 	}
 	sort.Slice(waits, func(i, k int) bool {
@@ -58,16 +58,16 @@
 	return waits
 }
 
-// explain finds out why a stage waits.
-func (c *Cell) explain(s *stage, now time.Time) LongWait {
+// describeWait finds out why a stage waits.
+func (c *Cell) describeWait(s *stage, now time.Time) LongWait {
 	l := LongWait{Stage: s.id, Queue: s.job.record.Queue, Workspace: s.job.record.Workspace, Waited: now.Sub(s.readyAt),
 		Idle: len(s.idle), Tasks: len(s.tasks), Need: s.step.Occupied()}
 	for _, w := range c.workers {
-		if !c.hasRoomEmpty(s, w) {
+		if !c.fitsWhenIdle(s, w) {
 			continue
 		}
-		l.Able++
-		verdict, known := s.advice.about(w)
+		l.Feasible++
+		verdict, known := s.advice.verdictFor(w)
 		switch {
 		case s.job.record.Advice == nil:
 		case !known:
@@ -76,17 +76,17 @@
 			l.Denied++
 			continue
 		}
-		l.Places += s.placesEmpty(w)
+		l.TaskCapacity += s.capacityWhenIdle(w)
 	}
 	l.Reason = l.reason(s.step.Gang)
-	if held := c.heldByQuota(s); held != "" && l.Reason == NoRoom {
+	if held := c.heldByQuota(s); held != "" && l.Reason == WaitsForCapacity {
 		l.Reason = held
 	}
 	return l
 }
 
-// placesEmpty returns how many of the stage's tasks an idle worker holds.
-func (s *stage) placesEmpty(w *worker) int {
+// capacityWhenIdle returns how many of the stage's tasks an idle worker holds.
+func (s *stage) capacityWhenIdle(w *worker) int {
 	limit := len(s.tasks)
 	if s.step.MaxPerWorker > 0 {
 		limit = min(limit, s.step.MaxPerWorker)
@@ -96,12 +96,12 @@
 
 func (l *LongWait) reason(gang bool) WaitReason {
 	switch {
-	case l.Able == 0:
+	case l.Feasible == 0:
 		return NoWorkerFits
-	case l.Able == l.Denied:
-		return AdviceDenies
-	case gang && l.Places < l.Tasks:
-		return TooFewPlaces
+	case l.Feasible == l.Denied:
+		return AllWorkersDenied
+	case gang && l.TaskCapacity < l.Tasks:
+		return GangTooLarge
 	}
-	return NoRoom
+	return WaitsForCapacity
 }
--- a/internal/cell/owners_in_a_row_test.go
+++ b/internal/cell/owners_in_a_row_test.go
@@ -13,8 +13,8 @@
 func (s *site) silentFor(id string, d time.Duration, others ...string) map[string]StartOrder {
 	started := map[string]StartOrder{}
 	for end := s.now.Add(d); s.now.Before(end); {
-		if _, _, ok := s.cell.NextLook(id, s.now); ok {
-			s.cell.LookFailed(id, runner.ErrNoAnswer, s.now)
+		if _, _, ok := s.cell.NextPoll(id, s.now); ok {
+			s.cell.PollFailed(id, runner.ErrNoAnswer, s.now)
 		}
 		for _, other := range others {
 			s.report(other)
@@ -39,9 +39,9 @@
 		s.cell.register(usualWorker(id), s.now)
 	}
 	for _, known := range s.chunks {
-		s.cell.Inherit(known, s.now)
+		s.cell.LoadWorkers(known, s.now)
 	}
-	s.cell.InheritedAll()
+	s.cell.WorkersLoaded()
 }
 
 // Failure: a task runs twice after two take-overs beside a worker that is cut off.
@@ -71,7 +71,7 @@
 func (s *site) handOver(r *job.Record, workers ...string) {
 	s.cell.EndTerm(s.now)
 	s.commit()
-	s.cell.settings.EarlierStopped = true
+	s.cell.settings.PreviousOwnerStopped = true
 	s.takeOver(r, workers...)
 }
 
@@ -113,9 +113,9 @@
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 			r, task := s.lastingOn("a")
-			s.cell.settings.EarlierStopped = true
-			limit := s.cell.unseenLimit() + losses
-			lease := time.Duration(float64(s.cell.settings.Lease) / (1 - clockDrift))
+			s.cell.settings.PreviousOwnerStopped = true
+			limit := s.cell.earlierLeaseLimit() + losses
+			lease := time.Duration(float64(s.cell.settings.Lease) / (1 - maxClockDrift))
 			took := s.startedAfter(task, "a", first, 2*time.Second, r)
 			if took > limit {
 				t.Errorf("started after %v, want %v at most", took, limit)
@@ -153,28 +153,28 @@
 	s.cell.Add(r, true)
 	j := s.cell.jobs[r.ID]
 	crashes := &j.stages[0].tasks[0].crashes
-	crashes.workerSilent(1, s.now)
-	crashes.workerSilent(2, s.now)
+	crashes.addUnresponsive(1, s.now)
+	crashes.addUnresponsive(2, s.now)
 	j.stages[0].lostWorkers = true
 	j.stages[0].tasks[0].lastRun = 2
 	lostAt := s.now
 	for len(s.plan()) == 0 {
-		if s.now.Sub(lostAt) > 2*longPause {
+		if s.now.Sub(lostAt) > 2*longBackoff {
 			t.Fatalf("not started %v after the last worker was lost", s.now.Sub(lostAt))
 		}
 		stored := encodeAndDecode(t, s.cell.jobs[r.ID].progress())
-		s.pass(lossPause / 2)
+		s.pass(shortBackoff / 2)
 		settings := s.cell.settings
 		settings.Term++
 		s.cell = New(settings, s.now, quietLog())
 		s.cell.Load(r, stored)
 		s.cell.SetRoster([]roster.Worker{usualWorker("b")}, s.now)
-		s.cell.InheritedAll()
+		s.cell.WorkersLoaded()
 		s.commit()
 		s.report("b")
 	}
-	if took := s.now.Sub(lostAt); took < lossPause || took > lossPause*3/2 {
-		t.Errorf("started %v after the last worker was lost, want %v", took, lossPause)
+	if took := s.now.Sub(lostAt); took < shortBackoff || took > shortBackoff*3/2 {
+		t.Errorf("started %v after the last worker was lost, want %v", took, shortBackoff)
 	}
 }
 
@@ -196,19 +196,19 @@
 // time of day was an hour ahead.
 func TestPauseOfACrashHistoryIsBoundedWhereClocksJump(t *testing.T) {
 	for name, c := range map[string]struct{ ahead, want time.Duration }{
-		"an hour ahead":  {time.Hour, lossPause},
+		"an hour ahead":  {time.Hour, shortBackoff},
 		"an hour behind": {-time.Hour, 0},
-		"not kept":       {0, lossPause},
+		"not kept":       {0, shortBackoff},
 	} {
 		millis := int64(0)
 		if c.ahead != 0 {
 			millis = siteStart.Add(c.ahead).UnixMilli()
 		}
-		h := crashHistory{silent: []uint64{1, 2}, lostAt: lostAtFrom(millis, siteStart)}
-		if h.pauses(siteStart.Add(c.want)) {
+		h := crashHistory{unresponsive: []uint64{1, 2}, lostAt: lostAtFrom(millis, siteStart)}
+		if h.backsOff(siteStart.Add(c.want)) {
 			t.Errorf("%s: pauses after %v", name, c.want)
 		}
-		if c.want > 0 && !h.pauses(siteStart.Add(c.want-time.Millisecond)) {
+		if c.want > 0 && !h.backsOff(siteStart.Add(c.want-time.Millisecond)) {
 			t.Errorf("%s: does not pause for %v", name, c.want)
 		}
 	}
--- a/internal/cell/stats.go
+++ b/internal/cell/stats.go
@@ -8,19 +8,19 @@
 	Done   uint64
 	Failed uint64
 	Lost   uint64
-	// GivenUp counts the jobs that were ended because of a poison task.
-	GivenUp      uint64
-	Stops        uint64
-	Preemptions  uint64
-	Reservations uint64
-	Moves        uint64
-	Copies       uint64
-	AdviceCalls  uint64
-	ActiveJobs   int
-	Workers      int
-	Usable       int
-	Parked       int
-	WaitingTasks int
+	// PoisonJobs counts the jobs that were ended because of a poison task.
+	PoisonJobs      uint64
+	Stops           uint64
+	Preemptions     uint64
+	Reservations    uint64
+	Moves           uint64
+	SpeculativeRuns uint64
+	AdviceCalls     uint64
+	ActiveJobs      int
+	Workers         int
+	Usable          int
+	Parked          int
+	WaitingTasks    int
 	// FreeShare is the share of the usable workers' processors that is free.
 	FreeShare float64
 	// FreeMemoryShare is the same of their memory.
@@ -34,11 +34,11 @@
 	s := c.stats
 	s.ActiveJobs = len(c.active)
 	s.Workers = len(c.workers)
-	s.Parked = c.parked
+	s.Parked = c.parkedCount
 	for st := range c.waiting {
 		s.WaitingTasks += len(st.idle)
 	}
-	r := c.newRoom(now)
+	r := c.newPlanView(now)
 	s.Usable = len(r.usable)
 	s.FreeShare = float64(r.free) / float64(max(1, r.total))
 	s.FreeMemoryShare = freeMemoryShare(r.usable)
--- a/internal/cell/missing.go
+++ b/internal/cell/unknown_jobs.go
@@ -2,26 +2,26 @@
 
 import "gentianstand/internal/job"
 
-// Missing returns the jobs that workers report and that this cell does not know.
+// UnknownJobs returns the jobs that workers report and that this cell does not know.
 // An overtaken owner can have begun a job that was accepted after this one had
 // read the store. Their ends are not taken in, and so not acknowledged, until
 // the job is loaded, or Absent says that there is none.
-func (c *Cell) Missing() []string {
+func (c *Cell) UnknownJobs() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ids := make([]string, 0, len(c.missing))
-	for id := range c.missing {
+	ids := make([]string, 0, len(c.unknownJobs))
+	for id := range c.unknownJobs {
 		ids = append(ids, id)
 	}
 	return ids
 }
 
-// Absent takes in that the store has no such job, so that its runs are stopped.
-func (c *Cell) Absent(id string) {
+// MarkAbsent takes in that the store has no such job, so that its runs are stopped.
+func (c *Cell) MarkAbsent(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.missing, id)
-	c.absent[id] = struct{}{}
+	delete(c.unknownJobs, id)
+	c.absentJobs[id] = struct{}{}
 }
 
 // knowsJob reports whether a task's job is known or known to be absent;
@@ -32,9 +32,9 @@
 	if err != nil || c.jobs[id.Job] != nil {
 		return true
 	}
-	if _, ok := c.absent[id.Job]; ok {
+	if _, ok := c.absentJobs[id.Job]; ok {
 		return true
 	}
-	c.missing[id.Job] = struct{}{}
+	c.unknownJobs[id.Job] = struct{}{}
 	return false
 }
