--- a/internal/access/gate.go
+++ b/internal/access/gate.go
@@ -39,8 +39,8 @@
 	return &Gate{policy: p, current: current, confirmer: c, metrics: m, log: log, now: steady.Now}
 }
 
-// Arrived returns the instant for a call that was just read.
-func (g *Gate) Arrived() steady.Instant { return g.now() }
+// Now returns the instant for a call that was just read.
+func (g *Gate) Now() steady.Instant { return g.now() }
 
 // Admit returns how a call is served, or an error of kind UnknownPath, UnknownKey or
 // PlatformUnavailable. In either case nothing was done for the call.
--- a/internal/access/gate_test.go
+++ b/internal/access/gate_test.go
@@ -38,7 +38,7 @@
 }
 
 func (g *Gate) admitKey(ctx context.Context, key string) (Grant, error) {
-	return g.Admit(ctx, Call{Host: "desk.example", Path: "/closed/1", Key: key, ArrivedAt: g.Arrived()})
+	return g.Admit(ctx, Call{Host: "desk.example", Path: "/closed/1", Key: key, ArrivedAt: g.Now()})
 }
 
 // Failure: a key that was added a moment ago is refused for good.
--- a/internal/access/policy.go
+++ b/internal/access/policy.go
@@ -26,9 +26,9 @@
 	RevokedWithin time.Duration
 }
 
-// Fresh returns how long a view serves calls with keys after it was confirmed; 0 is for as
+// MaxViewAge returns how long a view serves calls with keys after it was confirmed; 0 is for as
 // long as there is no newer one.
-func (p Policy) Fresh() time.Duration {
+func (p Policy) MaxViewAge() time.Duration {
 	if !p.KeysNeeded {
 		return 0
 	}
@@ -40,16 +40,16 @@
 	if view.Catalog == nil {
 		return Grant{}, noCatalog
 	}
-	old := p.Fresh() > 0 && view.Age(now) >= p.Fresh()
+	old := p.MaxViewAge() > 0 && view.Age(now) >= p.MaxViewAge()
 	queue, rest, found := view.Catalog.Match(call.Host, call.Path)
-	grant := Grant{Queue: queue, Rest: rest, Catalog: view.Catalog}
+	grant := Grant{Queue: queue, PathSuffix: rest, Catalog: view.Catalog}
 	switch {
 	case !found && old:
 		return Grant{}, outdated
 	case !found:
 		return Grant{}, noQueue
 	case !p.KeysNeeded, queue.Public && !old:
-		grant.Caller = Caller{Anyone: true}
+		grant.Caller = Caller{Anonymous: true}
 		return grant, served
 	}
 	workspace, known := view.Catalog.WorkspaceOf(catalog.DigestOf(call.Key))
--- a/internal/access/policy_test.go
+++ b/internal/access/policy_test.go
@@ -74,7 +74,7 @@
 		{Caller{Workspace: "north"}, "north", true},
 		{Caller{Workspace: "north"}, "south", false},
 		{Caller{Workspace: "north"}, "", true},
-		{Caller{Anyone: true}, "south", true},
+		{Caller{Anonymous: true}, "south", true},
 		{Caller{}, "south", false},
 	} {
 		if got := test.caller.MaySee(test.workspace); got != test.want {
--- a/internal/admission/book.go
+++ b/internal/admission/controller.go
@@ -21,15 +21,15 @@
 	latestReturn   = 10 * time.Second
 )
 
-// Book is the newest backlog that an instance was told. It is safe for concurrent use.
-type Book struct {
+// Controller is the newest backlog that an instance was told. It is safe for concurrent use.
+type Controller struct {
 	mu       sync.Mutex
 	backlogs []Backlog
 	at       time.Time
 }
 
-// Learn takes in the backlogs of a moment.
-func (b *Book) Learn(backlogs []Backlog, now time.Time) {
+// Update takes in the backlogs of a moment.
+func (b *Controller) Update(backlogs []Backlog, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.backlogs, b.at = backlogs, now
@@ -37,7 +37,7 @@
 
 // Wait returns how long work of a service and priority that is accepted now would wait
 // at most, as far as known. Meanwhile the workers went on.
-func (b *Book) Wait(service string, priority int, now time.Time) time.Duration {
+func (b *Controller) Wait(service string, priority int, now time.Time) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	age := now.Sub(b.at)
@@ -53,11 +53,11 @@
 	return wait
 }
 
-// Refuse reports whether a job should be refused, and when its caller should come back.
+// ShouldRefuse reports whether a job should be refused, and when its caller should come back.
 // Refused are jobs that would take longer than lateFactor allows: their ends would be of
 // no use, and their callers would not know. That is the less urgent queues first, and of
 // each queue the shortest jobs. What lasts, or is for later, has no such time.
-func (b *Book) Refuse(r *job.Record, now time.Time) (retryAfter time.Duration, refuse bool) {
+func (b *Controller) ShouldRefuse(r *job.Record, now time.Time) (retryAfter time.Duration, refuse bool) {
 	if r.Schedule != nil || r.Lasts() {
 		return 0, false
 	}
--- a/internal/admission/book_test.go
+++ b/internal/admission/controller_test.go
@@ -39,9 +39,9 @@
 		{"one for later", later, time.Minute, 0},
 		{"one with more time", long, 40 * time.Second, 0},
 	} {
-		var b Book
-		b.Learn([]Backlog{{Service: "desk", Priority: 2, Wait: test.wait}, {Service: "desk", Priority: 0, Wait: 0}}, now)
-		after, refuse := b.Refuse(test.job, now)
+		var b Controller
+		b.Update([]Backlog{{Service: "desk", Priority: 2, Wait: test.wait}, {Service: "desk", Priority: 0, Wait: 0}}, now)
+		after, refuse := b.ShouldRefuse(test.job, now)
 		if after != test.after || refuse != (test.after > 0) {
 			t.Errorf("%s: refused %v, to come back after %v, want %v", test.name, refuse, after, test.after)
 		}
@@ -51,20 +51,20 @@
 // Failure: an instance refuses everything although workers are idle.
 func TestOldNewsOfABacklogIsForgotten(t *testing.T) {
 	now := time.Now()
-	var b Book
-	b.Learn([]Backlog{{Service: "desk", Priority: 0, Wait: time.Minute}}, now)
-	if _, refuse := b.Refuse(lookup(0), now.Add(newsFor)); !refuse {
+	var b Controller
+	b.Update([]Backlog{{Service: "desk", Priority: 0, Wait: time.Minute}}, now)
+	if _, refuse := b.ShouldRefuse(lookup(0), now.Add(newsFor)); !refuse {
 		t.Errorf("taken in %v after the news", newsFor)
 	}
-	if _, refuse := b.Refuse(lookup(0), now.Add(newsFor+1)); refuse {
+	if _, refuse := b.ShouldRefuse(lookup(0), now.Add(newsFor+1)); refuse {
 		t.Errorf("refused more than %v after the news", newsFor)
 	}
 }
 
 func TestBacklogShrinksWithTime(t *testing.T) {
 	now := time.Now()
-	var b Book
-	b.Learn([]Backlog{{Service: "desk", Priority: 0, Wait: 7 * time.Second}}, now)
+	var b Controller
+	b.Update([]Backlog{{Service: "desk", Priority: 0, Wait: 7 * time.Second}}, now)
 	if got := b.Wait("desk", 1, now.Add(1500*time.Millisecond)); got != 5500*time.Millisecond {
 		t.Errorf("after 1.5 s the wait is %v", got)
 	}
--- a/internal/cell/overload_test.go
+++ b/internal/cell/overload_test.go
@@ -12,7 +12,7 @@
 // for a while, with or without admission.
 type overload struct {
 	*load
-	book   *admission.Book
+	book   *admission.Controller
 	refuse bool
 	// accepted are the jobs that were taken in, refused how many were not.
 	accepted map[string]time.Time
@@ -23,19 +23,19 @@
 }
 
 func newOverload(t *testing.T, refuse bool) *overload {
-	return &overload{load: newLoad(t, 24), book: &admission.Book{}, refuse: refuse,
+	return &overload{load: newLoad(t, 24), book: &admission.Controller{}, refuse: refuse,
 		accepted: map[string]time.Time{}, refused: map[string]int{}, inTime: map[int]int{}, seen: map[string]bool{}}
 }
 
 // offer hands a job in if it is admitted.
 func (o *overload) offer(queue string, priority int, step job.Step) {
 	r := &job.Record{Service: "desk", Priority: priority, Stretch: 2, Target: 500 * time.Millisecond, Steps: []job.Step{step}}
-	if _, refuse := o.book.Refuse(r, o.now); refuse && o.refuse {
+	if _, refuse := o.book.ShouldRefuse(r, o.now); refuse && o.refuse {
 		o.refused[queue]++
 		return
 	}
 	o.accepted[o.submit(queue, priority, step)] = o.now
-	o.book.Learn(o.cell.Backlogs(o.now), o.now)
+	o.book.Update(o.cell.Backlogs(o.now), o.now)
 }
 
 // play lets time pass under some times the load that fills the workers: lookups of 3
--- a/internal/cell/quotas.go
+++ b/internal/cell/quotas.go
@@ -31,7 +31,7 @@
 	if !s.step.Gang {
 		return account.Startable(s.step.Need, len(s.idle))
 	}
-	if account.Startable(s.gangNeed(), 1) == 0 || !account.Holds(s.gangNeed()) {
+	if account.Startable(s.gangNeed(), 1) == 0 || !account.FitsCap(s.gangNeed()) {
 		return 0
 	}
 	return len(s.idle)
@@ -44,7 +44,7 @@
 		return ""
 	case s.job.record.CatalogVersion > c.quotas.Version():
 		return CatalogBehind
-	case s.step.Gang && !s.job.account.Holds(s.gangNeed()):
+	case s.step.Gang && !s.job.account.FitsCap(s.gangNeed()):
 		return QuotaTooSmall
 	}
 	return OverQuota
@@ -62,7 +62,7 @@
 			continue
 		}
 		if waits[account] == nil {
-			waits[account] = &QuotaWait{Workspace: account.Workspace, Used: account.Used, Unseen: account.Unseen, Cap: account.Cap, Version: c.quotas.Version()}
+			waits[account] = &QuotaWait{Workspace: account.Workspace, Used: account.Used, Unseen: account.Unconfirmed, Cap: account.Cap, Version: c.quotas.Version()}
 		}
 		waits[account].Tasks += len(s.idle)
 	}
@@ -85,7 +85,7 @@
 func (c *Cell) countUnseen(now time.Time) {
 	accounts := c.quotas.Accounts()
 	for _, account := range accounts {
-		account.Unseen = resource.Amount{}
+		account.Unconfirmed = resource.Amount{}
 	}
 	if len(accounts) == 0 || now.Sub(c.began) >= c.unseenLimit() {
 		return
@@ -96,11 +96,11 @@
 	}
 	for _, j := range c.jobs {
 		if j.account != nil && j.inherited && !j.condensed {
-			j.account.Unseen = j.account.Unseen.Add(j.unbooked())
+			j.account.Unconfirmed = j.account.Unconfirmed.Add(j.unbooked())
 		}
 	}
 	for _, account := range accounts {
-		account.Unseen = account.Unseen.Min(room)
+		account.Unconfirmed = account.Unconfirmed.Min(room)
 	}
 }
 
--- a/internal/cell/shares.go
+++ b/internal/cell/shares.go
@@ -7,7 +7,7 @@
 func (c *Cell) meterJobs() {
 	slices.SortFunc(c.unmetered, func(a, b *jobState) int { return a.record.AcceptedAt.Compare(b.record.AcceptedAt) })
 	for _, j := range c.unmetered {
-		j.beyondShare = !j.account.Meter.Within(j.account.Weight, j.record.AcceptedAt)
+		j.beyondShare = !j.account.Bucket.Take(j.account.Weight, j.record.AcceptedAt)
 	}
 	c.unmetered = nil
 }
--- a/internal/cell/worker.go
+++ b/internal/cell/worker.go
@@ -79,7 +79,7 @@
 	step := a.task.stage.step
 	w.used = w.used.Add(step.Occupied())
 	if account := a.task.stage.job.account; account != nil {
-		account.Book(step.Need)
+		account.Allocate(step.Need)
 	}
 	a.task.stage.perWorker[w]++
 	if step.Fills {
--- a/internal/cellowner/orders.go
+++ b/internal/cellowner/orders.go
@@ -18,7 +18,7 @@
 // stop would cost the work done so far. A late effect of the first one meets the same run,
 // or one that has ended, and the worker declines it.
 func (o *Owner) start(ctx context.Context, order cell.StartOrder) {
-	answer, err := o.startOnce(ctx, order, o.patience.Within(briefFactor, briefLeast))
+	answer, err := o.startOnce(ctx, order, o.patience.LimitWith(briefFactor, briefLeast))
 	if errors.Is(err, runner.ErrNoAnswer) && o.deps.Leadership.Confirmed() {
 		o.deps.Metrics.StartRepeats.Inc()
 		answer, err = o.startOnce(ctx, order, o.patience.Limit())
@@ -43,9 +43,9 @@
 	o.deps.Metrics.StartSeconds.UpdateDuration(began)
 	switch {
 	case err == nil:
-		o.patience.Answered(time.Since(began))
+		o.patience.ObserveAnswer(time.Since(began))
 	case errors.Is(err, runner.ErrNoAnswer):
-		o.patience.GaveUp(time.Since(began))
+		o.patience.ObserveTimeout(time.Since(began))
 	}
 	if err != nil {
 		o.deps.Metrics.StartErrors.Inc()
--- a/internal/cellowner/owner.go
+++ b/internal/cellowner/owner.go
@@ -47,7 +47,7 @@
 	commitMu              sync.Mutex
 	// sequence is the version of the sequence row.
 	sequence uint64
-	patience *patience.Patience
+	patience *patience.AdaptiveTimeout
 	waits    *waits
 	planned  planned
 }
--- a/internal/cellowner/patience.go
+++ b/internal/cellowner/patience.go
@@ -12,7 +12,7 @@
 // full link all answers take longer than the wait, and if only answers taught patience
 // every start would be sent twice and revoked.
 var orderPatience = patience.Settings{
-	Least: 200 * time.Millisecond, Most: 800 * time.Millisecond, Factor: 15, AnswerWeight: 0.05, SilenceWeight: 0.05,
+	Min: 200 * time.Millisecond, Max: 800 * time.Millisecond, Factor: 15, AnswerWeight: 0.05, TimeoutWeight: 0.05,
 }
 
 const (
--- a/internal/cellowner/patience_test.go
+++ b/internal/cellowner/patience_test.go
@@ -13,21 +13,21 @@
 func TestPatienceFollowsUsualAnswers(t *testing.T) {
 	p := patience.New(orderPatience)
 	for range 100 {
-		p.Answered(3 * time.Millisecond)
+		p.ObserveAnswer(3 * time.Millisecond)
 	}
-	if got := p.Limit(); got != orderPatience.Least {
-		t.Errorf("limit %v with answers of 3 ms, want %v", got, orderPatience.Least)
+	if got := p.Limit(); got != orderPatience.Min {
+		t.Errorf("limit %v with answers of 3 ms, want %v", got, orderPatience.Min)
 	}
 	for range 15 {
-		p.Answered(100 * time.Millisecond)
+		p.ObserveAnswer(100 * time.Millisecond)
 	}
-	if got := p.Limit(); got != orderPatience.Most {
-		t.Errorf("limit %v with answers of 100 ms, want %v", got, orderPatience.Most)
+	if got := p.Limit(); got != orderPatience.Max {
+		t.Errorf("limit %v with answers of 100 ms, want %v", got, orderPatience.Max)
 	}
 	for range 200 {
-		p.Answered(3 * time.Millisecond)
+		p.ObserveAnswer(3 * time.Millisecond)
 	}
-	if got := p.Limit(); got != orderPatience.Least {
-		t.Errorf("limit %v after the slow moment, want %v", got, orderPatience.Least)
+	if got := p.Limit(); got != orderPatience.Min {
+		t.Errorf("limit %v after the slow moment, want %v", got, orderPatience.Min)
 	}
 }
--- a/internal/cellpeer/server.go
+++ b/internal/cellpeer/server.go
@@ -114,7 +114,7 @@
 	if err := s.probe(ctx, r.Job); err != nil {
 		return nil, err
 	}
-	known, err := s.jobs.Cancel(ctx, access.Caller{Workspace: r.Workspace, Anyone: r.Anyone}, r.Job, false)
+	known, err := s.jobs.Cancel(ctx, access.Caller{Workspace: r.Workspace, Anonymous: r.Anyone}, r.Job, false)
 	if err != nil {
 		return nil, storeError(err)
 	}
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -166,12 +166,12 @@
 	defer resp.Body.Close()
 	if reason := resp.Header.Get(httpwire.HeaderRefused); reason != "" {
 		result = routing.Abandoned
-		s.router.Close(g.Worker, g.Epoch)
+		s.router.CloseWorker(g.Worker, g.Epoch)
 		return attempt{err: fault.New(fault.UpstreamUnreachable, "worker %s refused: %s", g.Worker, reason)}
 	}
-	g.Answering()
+	g.ResponseStarted()
 	result = routing.Answered
-	s.router.Learn(c.service.Name, time.Since(g.GrantedAt))
+	s.router.ObserveLatency(c.service.Name, time.Since(g.GrantedAt))
 	return s.deliver(w, c, resp, keep, g.Worker)
 }
 
@@ -188,7 +188,7 @@
 	if c.gone() && !errors.Is(err, routing.ErrNeverArrived) {
 		return routing.Abandoned
 	}
-	return routing.Broken
+	return routing.Failed
 }
 
 // broken says what is known after a worker failed to answer.
--- a/internal/fairness/meter.go
+++ b/internal/fairness/token_bucket.go
@@ -6,18 +6,18 @@
 
 import "time"
 
-// Meter measures the jobs of one workspace against its share of jobs a second. The zero
+// TokenBucket measures the jobs of one workspace against its share of jobs a second. The zero
 // value is that of a workspace that has sent nothing.
-type Meter struct {
+type TokenBucket struct {
 	credit float64
 	at     time.Time
 }
 
-// Within takes in a job that was accepted at a time and reports whether it is within a share
+// Take takes in a job that was accepted at a time and reports whether it is within a share
 // of rate jobs a second, of which those of the last second may come at once. A share of 0 is
 // no limit. Jobs have to come in the order of their times; one that does not counts as of the
 // time of the one before.
-func (m *Meter) Within(rate float64, at time.Time) bool {
+func (m *TokenBucket) Take(rate float64, at time.Time) bool {
 	if rate <= 0 {
 		return true
 	}
--- a/internal/httpclient/transport.go
+++ b/internal/httpclient/transport.go
@@ -18,7 +18,7 @@
 // connections are counted for their purpose.
 func NewTransport(p traffic.Purpose, dialTimeout time.Duration, idle int) *http.Transport {
 	return &http.Transport{
-		DialContext:         traffic.For(p).Dial((&net.Dialer{Timeout: dialTimeout}).DialContext),
+		DialContext:         traffic.CounterFor(p).WrapDial((&net.Dialer{Timeout: dialTimeout}).DialContext),
 		MaxIdleConnsPerHost: idle,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
--- a/internal/intake/admit.go
+++ b/internal/intake/admit.go
@@ -17,7 +17,7 @@
 // whether an earlier attempt was stored; if it does not answer, the job is passed on to
 // where that is dealt with.
 func (i *Intake) admit(ctx context.Context, r *job.Record) error {
-	retryAfter, refuse := i.book.Refuse(r, time.Now())
+	retryAfter, refuse := i.book.ShouldRefuse(r, time.Now())
 	if !refuse {
 		return nil
 	}
@@ -28,8 +28,8 @@
 	return fault.New(fault.Overloaded, "queue %s: the work before this job takes longer than its end is of use", r.Queue).WithRetryAfter(retryAfter)
 }
 
-// Learn takes in the owner's newest backlogs.
-func (i *Intake) Learn(backlogs []admission.Backlog) { i.book.Learn(backlogs, time.Now()) }
+// UpdateBacklogs takes in the owner's newest backlogs.
+func (i *Intake) UpdateBacklogs(backlogs []admission.Backlog) { i.book.Update(backlogs, time.Now()) }
 
 func backlogsFrom(list []*cellpb.Backlog) []admission.Backlog {
 	backlogs := make([]admission.Backlog, len(list))
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -51,7 +51,7 @@
 type Intake struct {
 	jobs    *celljobs.Jobs
 	store   *store.Watched
-	leader  Leader
+	leader  Ownership
 	clients *cellpeer.Clients
 	finder  *cellpeer.StoreFinder
 	metrics *Metrics
@@ -59,11 +59,11 @@
 	waiting waitingCounts
 	// asking and telling bound what this instance has under way at the owner.
 	asking, telling *bound
-	book            admission.Book
+	book            admission.Controller
 }
 
 // New returns an intake.
-func New(jobs *celljobs.Jobs, s *store.Watched, l Leader, f *cellpeer.StoreFinder, c *cellpeer.Clients, m *Metrics, log logrus.FieldLogger) *Intake {
+func New(jobs *celljobs.Jobs, s *store.Watched, l Ownership, f *cellpeer.StoreFinder, c *cellpeer.Clients, m *Metrics, log logrus.FieldLogger) *Intake {
 	return &Intake{jobs: jobs, store: s, leader: l, clients: c, finder: f, metrics: m, log: log,
 		asking: newBound(ownerCalls), telling: newBound(ownerCalls),
 		waiting: waitingCounts{byQueue: map[string]waitingCount{}}}
@@ -147,7 +147,7 @@
 // tellSubmitted tells the owner of a stored job without delaying the caller.
 func (i *Intake) tellSubmitted(r *job.Record) {
 	if i.leader.Submitted(r) {
-		i.Learn(i.leader.Backlogs())
+		i.UpdateBacklogs(i.leader.Backlogs())
 		return
 	}
 	value, err := job.EncodeRecord(r)
@@ -158,7 +158,7 @@
 	go i.tell(r.ID, func(ctx context.Context, owner cellpb.Cells) (bool, error) {
 		reply, err := owner.Submitted(ctx, &cellpb.SubmittedRequest{Record: value})
 		if reply.GetOwner() {
-			i.Learn(backlogsFrom(reply.Backlogs))
+			i.UpdateBacklogs(backlogsFrom(reply.Backlogs))
 		}
 		return reply.GetOwner(), err
 	})
@@ -207,7 +207,7 @@
 func (i *Intake) storeCancel(ctx context.Context, by access.Caller, id string, known bool) (bool, error) {
 	if !i.store.Reachable() {
 		if peer, ok := i.finder.Find(ctx); ok {
-			reply, err := i.clients.To(peer.Address).StoreCancel(ctx, &cellpb.StoreCancelRequest{Job: id, Workspace: by.Workspace, Anyone: by.Anyone})
+			reply, err := i.clients.To(peer.Address).StoreCancel(ctx, &cellpb.StoreCancelRequest{Job: id, Workspace: by.Workspace, Anyone: by.Anonymous})
 			if err != nil {
 				return false, cellpeer.StoreErrorFrom(err)
 			}
@@ -274,8 +274,8 @@
 	return fault.New(fault.OutcomeUnknown, "the store did not answer in time: %w", err).WithRetryAfter(outageRetryAfter)
 }
 
-// AnswerBy returns when an answer must be ready for a caller that waits for
+// ReplyDeadline returns when an answer must be ready for a caller that waits for
 // limit from now.
-func AnswerBy(now time.Time, limit time.Duration) time.Time {
+func ReplyDeadline(now time.Time, limit time.Duration) time.Time {
 	return now.Add(max(limit-answerMargin, limit/2))
 }
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -125,7 +125,7 @@
 
 func (e *entry) knows(t *testing.T, id string) bool {
 	t.Helper()
-	_, known, err := e.intake.State(t.Context(), access.Caller{Anyone: true}, id)
+	_, known, err := e.intake.State(t.Context(), access.Caller{Anonymous: true}, id)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -183,7 +183,7 @@
 	if err := e.submit(t, "00000000000000dd"); err != nil {
 		t.Fatal(err)
 	}
-	e.intake.Learn([]admission.Backlog{{Service: "desk", Priority: 0, Wait: time.Hour}})
+	e.intake.UpdateBacklogs([]admission.Backlog{{Service: "desk", Priority: 0, Wait: time.Hour}})
 	if err := e.submit(t, "00000000000000dd"); err != nil {
 		t.Errorf("the repeat: %v", err)
 	}
--- a/internal/intake/leader.go
+++ b/internal/intake/ownership.go
@@ -2,8 +2,8 @@
 
 import "gentianstand/internal/cellpeer"
 
-// Leader is what intake asks about the owner of the cell.
-type Leader interface {
+// Ownership is what intake asks about the owner of the cell.
+type Ownership interface {
 	cellpeer.Owning
 	// Owner returns the owner's address; self says that it is this instance.
 	Owner() (address string, self bool)
--- a/internal/node/catalog_follower.go
+++ b/internal/node/catalog_follower.go
@@ -44,7 +44,7 @@
 	if p.KeysNeeded {
 		f.peers = peers
 	}
-	if fresh := p.Fresh(); fresh > 0 {
+	if fresh := p.MaxViewAge(); fresh > 0 {
 		f.wait = min(f.wait, fresh/freshWaits)
 	}
 	return f
--- a/internal/node/catalog_reader_test.go
+++ b/internal/node/catalog_reader_test.go
@@ -81,8 +81,8 @@
 func TestViewIsConfirmedOftenEnoughForKeys(t *testing.T) {
 	policy := access.Policy{KeysNeeded: true, RevokedWithin: 5 * time.Second}
 	f := newCatalogFollower(readerOf(&slowSource{}), nil, policy, nil)
-	if f.wait > policy.Fresh()/3 || f.wait <= 0 {
-		t.Errorf("news are waited for %v, views serve for %v", f.wait, policy.Fresh())
+	if f.wait > policy.MaxViewAge()/3 || f.wait <= 0 {
+		t.Errorf("news are waited for %v, views serve for %v", f.wait, policy.MaxViewAge())
 	}
 	if f := newCatalogFollower(readerOf(&slowSource{}), nil, access.Policy{}, nil); f.wait != catalogWait {
 		t.Errorf("without keys news are waited for %v", f.wait)
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", s.name, err)
 	}
-	listener = traffic.For(s.purpose).Listen(listener)
+	listener = traffic.CounterFor(s.purpose).WrapListener(listener)
 	go func() {
 		if err := s.http.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 			s.log.WithField("server", s.name).WithError(err).Error("server_ended")
--- a/internal/owner/handover_test.go
+++ b/internal/owner/handover_test.go
@@ -58,7 +58,7 @@
 		if cause := context.Cause(g.Context()); !errors.Is(cause, routing.ErrNeverArrived) {
 			t.Errorf("after the hand-over: %v", cause)
 		}
-		g.Done(routing.Broken, time.Now())
+		g.Done(routing.Failed, time.Now())
 		time.Sleep(beatPeriod)
 	})
 }
--- a/internal/owner/minder.go
+++ b/internal/owner/minder.go
@@ -91,7 +91,7 @@
 		m.tick(now)
 		return
 	}
-	doubt := m.owner.router.Doubtful(m.id, now.Add(-doubtAfter))
+	doubt := m.owner.router.Unanswered(m.id, now.Add(-doubtAfter))
 	m.mu.Lock()
 	req := m.tracker.Next(doubt)
 	m.mu.Unlock()
@@ -159,7 +159,7 @@
 
 // changed brings news to the router, and to the planner if there are any.
 func (m *minder) changed(news bool, now time.Time) {
-	m.owner.router.Set(m.info(), now)
+	m.owner.router.SetWorker(m.info(), now)
 	if news {
 		m.owner.wakeReporter()
 	}
@@ -173,7 +173,7 @@
 	t := m.tracker
 	return routing.WorkerInfo{
 		ID: m.id, Address: t.site.Instance.Address, Epoch: m.epoch,
-		Slots: t.slots, Older: t.older, Services: t.Services(),
+		Slots: t.slots, OlderRequests: t.older, Services: t.Services(),
 		Open: t.state == fleet.Ready && !m.closedLocked(),
 	}
 }
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -182,7 +182,7 @@
 func (o *Owner) dropLocked(id string, m *minder) {
 	m.quit()
 	delete(o.minders, id)
-	if rest := o.router.Remove(id); rest != nil {
+	if rest := o.router.RemoveWorker(id); rest != nil {
 		go m.askUntilEnded(o.base, rest)
 	}
 }
--- a/internal/owner/remainder.go
+++ b/internal/owner/remainder.go
@@ -11,10 +11,10 @@
 // this process stopped minding it. The next owner does not know them: without
 // this, one sent on a connection that had gone silent waited for its deadline,
 // half a minute, if the worker changed hands before it was doubted.
-func (m *minder) askUntilEnded(ctx context.Context, rest *routing.Remainder) {
+func (m *minder) askUntilEnded(ctx context.Context, rest *routing.RemovedWorker) {
 	ticker := time.NewTicker(beatPeriod)
 	defer ticker.Stop()
-	for !rest.Empty() {
+	for !rest.Idle() {
 		select {
 		case <-ctx.Done():
 			return
@@ -24,8 +24,8 @@
 	}
 }
 
-func (m *minder) ask(ctx context.Context, rest *routing.Remainder) {
-	doubt := rest.Doubtful(time.Now().Add(-doubtAfter))
+func (m *minder) ask(ctx context.Context, rest *routing.RemovedWorker) {
+	doubt := rest.Unanswered(time.Now().Add(-doubtAfter))
 	if len(doubt) == 0 {
 		return
 	}
--- a/internal/placement/batch/batch.go
+++ b/internal/placement/batch/batch.go
@@ -24,7 +24,7 @@
 	best := -1
 	var lowest int64
 	c.EachFit(req.Need, func(i int, n *cluster.Node) {
-		if !req.Need.Fits(req.Room(n.Free, n.Late)) || (req.Avoid != nil && req.Avoid(n.ID)) {
+		if !req.Need.Fits(req.Usable(n.Free, n.FreeForLong)) || (req.Avoid != nil && req.Avoid(n.ID)) {
 			return
 		}
 		score := Score(n, req.Need)
@@ -33,7 +33,7 @@
 		}
 	})
 	if best < 0 {
-		return policy.Decision{Reason: policy.NoRoom}
+		return policy.Decision{Reason: policy.NoCapacity}
 	}
 	return policy.Decision{Nodes: []int{best}, Reason: policy.Found}
 }
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -71,10 +71,10 @@
 					req := requestFor(pol.kind, r)
 					d := pol.fast.Place(p.fast, req)
 					for _, node := range d.Nodes {
-						p.fast.Take(node, req.Workload, req.Need)
+						p.fast.Allocate(node, req.Workload, req.Need)
 					}
 					for _, node := range d.Nodes {
-						p.fast.Give(node, req.Workload, req.Need)
+						p.fast.Release(node, req.Workload, req.Need)
 					}
 				})
 			})
@@ -139,7 +139,7 @@
 	used := map[int]bool{}
 	for _, need := range needs {
 		if node := place(c, need); node >= 0 {
-			c.Take(node, "w", need)
+			c.Allocate(node, "w", need)
 			used[node] = true
 		}
 	}
--- a/internal/placement/cluster/cluster.go
+++ b/internal/placement/cluster/cluster.go
@@ -28,7 +28,7 @@
 	for _, n := range nodes {
 		c.add(n)
 	}
-	c.Refresh()
+	c.Reindex()
 	return c
 }
 
@@ -69,26 +69,26 @@
 	return i, ok
 }
 
-// Take gives need on worker i to a task of workload.
-func (c *Cluster) Take(i int, workload string, need resource.Amount) {
+// Allocate gives need on worker i to a task of workload.
+func (c *Cluster) Allocate(i int, workload string, need resource.Amount) {
 	n := &c.nodes[i]
 	n.Free = n.Free.Sub(need)
-	n.Late = n.Late.Sub(need)
+	n.FreeForLong = n.FreeForLong.Sub(need)
 	c.Counts(workload).add(n, i, 1)
 	c.refresh(n)
 }
 
-// Load is Take for filling a new cluster: Refresh must follow before the next
+// AllocateUnindexed is Take for filling a new cluster: Refresh must follow before the next
 // placement.
-func (c *Cluster) Load(i int, workload string, need resource.Amount) {
+func (c *Cluster) AllocateUnindexed(i int, workload string, need resource.Amount) {
 	n := &c.nodes[i]
 	n.Free = n.Free.Sub(need)
-	n.Late = n.Late.Sub(need)
+	n.FreeForLong = n.FreeForLong.Sub(need)
 	c.Counts(workload).add(n, i, 1)
 }
 
-// Refresh brings the index up to date after Load.
-func (c *Cluster) Refresh() {
+// Reindex brings the index up to date after Load.
+func (c *Cluster) Reindex() {
 	for r := range c.racks {
 		c.refreshRack(r)
 	}
@@ -97,26 +97,26 @@
 	}
 }
 
-// Give returns need on worker i from a task of workload.
-func (c *Cluster) Give(i int, workload string, need resource.Amount) {
+// Release returns need on worker i from a task of workload.
+func (c *Cluster) Release(i int, workload string, need resource.Amount) {
 	n := &c.nodes[i]
 	n.Free = n.Free.Add(need)
-	n.Late = n.Late.Add(need)
+	n.FreeForLong = n.FreeForLong.Add(need)
 	c.Counts(workload).add(n, i, -1)
 	c.refresh(n)
 }
 
-// Hold reserves need on worker i for later: long tasks may not take it.
-func (c *Cluster) Hold(i int, need resource.Amount) {
-	c.nodes[i].Late = c.nodes[i].Late.Sub(need)
+// Reserve reserves need on worker i for later: long tasks may not take it.
+func (c *Cluster) Reserve(i int, need resource.Amount) {
+	c.nodes[i].FreeForLong = c.nodes[i].FreeForLong.Sub(need)
 }
 
-// SetLate sets what long tasks may take on worker i.
-func (c *Cluster) SetLate(i int, late resource.Amount) { c.nodes[i].Late = late }
+// SetFreeForLong sets what long tasks may take on worker i.
+func (c *Cluster) SetFreeForLong(i int, late resource.Amount) { c.nodes[i].FreeForLong = late }
 
-// SetClosed opens or closes worker i.
-func (c *Cluster) SetClosed(i int, closed bool) {
-	c.nodes[i].Closed = closed
+// SetUnschedulable opens or closes worker i.
+func (c *Cluster) SetUnschedulable(i int, closed bool) {
+	c.nodes[i].Unschedulable = closed
 	c.refresh(&c.nodes[i])
 }
 
@@ -151,7 +151,7 @@
 	}
 	for _, i := range g.members {
 		n := &c.nodes[i]
-		if !n.Closed && need.Fits(n.Free) {
+		if !n.Unschedulable && need.Fits(n.Free) {
 			visit(i, n)
 		}
 	}
@@ -176,7 +176,7 @@
 func (c *Cluster) refreshRack(r int) {
 	var most resource.Amount
 	for _, i := range c.racks[r].members {
-		if !c.nodes[i].Closed {
+		if !c.nodes[i].Unschedulable {
 			most = most.Max(c.nodes[i].Free)
 		}
 	}
--- a/internal/placement/cluster/node.go
+++ b/internal/placement/cluster/node.go
@@ -11,13 +11,13 @@
 	Capacity resource.Amount
 	// Free is what is not taken now.
 	Free resource.Amount
-	// Late is what a task may take that will still run when a reservation
+	// FreeForLong is what a task may take that will still run when a reservation
 	// begins. It equals Free where nothing is reserved.
-	Late resource.Amount
-	// Closed workers get nothing new.
-	Closed bool
-	// Trial workers are on probation: they get one task at a time.
-	Trial bool
+	FreeForLong resource.Amount
+	// Unschedulable workers get nothing new.
+	Unschedulable bool
+	// OnProbation workers are on probation: they get one task at a time.
+	OnProbation bool
 
 	rack int
 	zone int
--- a/internal/placement/differential_test.go
+++ b/internal/placement/differential_test.go
@@ -28,19 +28,19 @@
 	perRack := rapid.IntRange(1, 5).Draw(rt, "per_rack")
 	nodes := newNodes(workers, perRack, 4, resource.Amount{MilliCPU: 16_000, MemoryMiB: 16 << 10}, 4)
 	for i := range nodes {
-		nodes[i].Closed = rapid.IntRange(0, 9).Draw(rt, "closed") == 0
+		nodes[i].Unschedulable = rapid.IntRange(0, 9).Draw(rt, "closed") == 0
 	}
 	return &pair{fast: cluster.New(nodes), naive: &naiveCluster{nodes: nodes}}
 }
 
 func (p *pair) take(node int, workload string, need resource.Amount) {
-	p.fast.Take(node, workload, need)
+	p.fast.Allocate(node, workload, need)
 	p.naive.tasks = append(p.naive.tasks, placedTask{node, workload, need})
 }
 
 func (p *pair) give(i int) {
 	t := p.naive.tasks[i]
-	p.fast.Give(t.node, t.workload, t.need)
+	p.fast.Release(t.node, t.workload, t.need)
 	p.naive.tasks = append(p.naive.tasks[:i], p.naive.tasks[i+1:]...)
 }
 
@@ -147,7 +147,7 @@
 		perRack := map[string]int{}
 		for range replicas {
 			d := service.Policy{}.Place(c, policy.Request{Workload: "s", Need: need, Tasks: 1, Spread: spec.SpreadRack})
-			c.Take(d.Nodes[0], "s", need)
+			c.Allocate(d.Nodes[0], "s", need)
 			perRack[c.Node(d.Nodes[0]).Rack]++
 		}
 		most, least := 0, replicas
--- a/internal/placement/draw_test.go
+++ b/internal/placement/draw_test.go
@@ -22,7 +22,7 @@
 		}
 		nodes[i] = cluster.Node{
 			ID: fmt.Sprintf("w%04d", i), Region: fmt.Sprintf("r%d", rack%zones/2), Zone: fmt.Sprintf("z%d", rack%zones),
-			Rack: fmt.Sprintf("k%03d", rack), Capacity: c, Free: c, Late: c,
+			Rack: fmt.Sprintf("k%03d", rack), Capacity: c, Free: c, FreeForLong: c,
 		}
 	}
 	return nodes
--- a/internal/placement/explain/explain.go
+++ b/internal/placement/explain/explain.go
@@ -9,10 +9,10 @@
 	"gentianstand/internal/resource"
 )
 
-// Never reports whether no worker could hold need even when empty, and if so
+// NeverFits reports whether no worker could hold need even when empty, and if so
 // names the nearest worker and what is missing there. With no workers at all
 // it reports false: nothing is known yet.
-func Never(c *cluster.Cluster, need resource.Amount) (string, bool) {
+func NeverFits(c *cluster.Cluster, need resource.Amount) (string, bool) {
 	nearest := -1
 	var least float64
 	for i := range c.Len() {
@@ -31,13 +31,13 @@
 	return fmt.Sprintf("no worker can hold a task of %s; the nearest, %s, lacks %s", need, n.ID, missing(need, n.Capacity)), true
 }
 
-// NeverAll reports the same for a gang: whether all workers together, when
+// GangNeverFits reports the same for a gang: whether all workers together, when
 // empty, have too few places for its tasks.
-func NeverAll(c *cluster.Cluster, need resource.Amount, tasks int) (string, bool) {
+func GangNeverFits(c *cluster.Cluster, need resource.Amount, tasks int) (string, bool) {
 	if c.Len() == 0 {
 		return "", false
 	}
-	if why, never := Never(c, need); never {
+	if why, never := NeverFits(c, need); never {
 		return why, true
 	}
 	var places int64
--- a/internal/placement/gang/gang.go
+++ b/internal/placement/gang/gang.go
@@ -54,9 +54,9 @@
 
 func reason(total int64) policy.Reason {
 	if total == 0 {
-		return policy.NoRoom
+		return policy.NoCapacity
 	}
-	return policy.NotEnough
+	return policy.NotEnoughForGang
 }
 
 func benchOf(c *cluster.Cluster, req policy.Request, r int) bench {
@@ -66,10 +66,10 @@
 			return
 		}
 		limit := int64(req.Tasks)
-		if n.Trial {
+		if n.OnProbation {
 			limit = 1
 		}
-		count := req.Need.CountIn(req.Room(n.Free, n.Late), limit)
+		count := req.Need.CountIn(req.Usable(n.Free, n.FreeForLong), limit)
 		if count > 0 {
 			b.seats = append(b.seats, seat{node: i, count: count, score: batch.Score(n, req.Need)})
 			b.total += count
--- a/internal/placement/naive_test.go
+++ b/internal/placement/naive_test.go
@@ -44,7 +44,7 @@
 func (c *naiveCluster) feasible(need resource.Amount) []int {
 	var list []int
 	for i := range c.nodes {
-		if !c.nodes[i].Closed && need.Fits(c.free(i)) {
+		if !c.nodes[i].Unschedulable && need.Fits(c.free(i)) {
 			list = append(list, i)
 		}
 	}
--- a/internal/placement/order/item.go
+++ b/internal/placement/order/item.go
@@ -9,11 +9,11 @@
 	Team string
 	// Rank is the urgency, 0 first.
 	Rank int
-	// Due is when the run must have been started to finish by its deadline;
+	// LatestStart is when the run must have been started to finish by its deadline;
 	// zero if it has none.
-	Due time.Time
-	// Since is when the work became ready.
-	Since time.Time
+	LatestStart time.Time
+	// ReadySince is when the work became ready.
+	ReadySince time.Time
 	// Service says that the tasks answer requests; people wait for them.
 	Service bool
 	// Gang says that the tasks must start together.
--- a/internal/placement/order/order.go
+++ b/internal/placement/order/order.go
@@ -20,8 +20,8 @@
 	dominant := make(map[string]float64, len(shares))
 	over := make(map[string]bool, len(shares))
 	for team, s := range shares {
-		dominant[team] = s.Dominant(total)
-		over[team] = s.Over()
+		dominant[team] = s.DominantShare(total)
+		over[team] = s.OverQuota()
 	}
 	slices.SortStableFunc(items, func(a, b Item) int {
 		if c := cmp.Compare(a.Rank, b.Rank); c != 0 {
@@ -39,7 +39,7 @@
 		if c := compareShare(dominant[a.Team], dominant[b.Team], over[a.Team]); c != 0 {
 			return c
 		}
-		if c := a.Since.Compare(b.Since); c != 0 {
+		if c := a.ReadySince.Compare(b.ReadySince); c != 0 {
 			return c
 		}
 		return cmp.Compare(a.Run, b.Run)
@@ -49,13 +49,13 @@
 func compareDue(a, b Item, now time.Time) int {
 	soonA, soonB := isSoon(a, now), isSoon(b, now)
 	if soonA && soonB {
-		return a.Due.Compare(b.Due)
+		return a.LatestStart.Compare(b.LatestStart)
 	}
 	return -compareBool(soonA, soonB)
 }
 
 func isSoon(i Item, now time.Time) bool {
-	return !i.Due.IsZero() && i.Due.Sub(now) <= dueSoon
+	return !i.LatestStart.IsZero() && i.LatestStart.Sub(now) <= dueSoon
 }
 
 func compareBool(a, b bool) int {
--- a/internal/placement/order/share.go
+++ b/internal/placement/order/share.go
@@ -9,9 +9,9 @@
 	Weight int64
 }
 
-// Dominant returns the largest used part of any dimension of total, divided by
+// DominantShare returns the largest used part of any dimension of total, divided by
 // the team's weight (dominant resource fairness: Ghodsi et al., NSDI 2011).
-func (s Share) Dominant(total resource.Amount) float64 {
+func (s Share) DominantShare(total resource.Amount) float64 {
 	most := 0.0
 	most = max(most, ratio(s.Used.MilliCPU, total.MilliCPU))
 	most = max(most, ratio(s.Used.MemoryMiB, total.MemoryMiB))
@@ -19,8 +19,8 @@
 	return most / float64(max(s.Weight, 1))
 }
 
-// Over reports whether the team uses more than its quota in some dimension.
-func (s Share) Over() bool { return !s.Used.Fits(s.Quota) }
+// OverQuota reports whether the team uses more than its quota in some dimension.
+func (s Share) OverQuota() bool { return !s.Used.Fits(s.Quota) }
 
 func ratio(part, whole int64) float64 {
 	if whole == 0 {
--- a/internal/placement/policy/reason.go
+++ b/internal/placement/policy/reason.go
@@ -6,16 +6,16 @@
 // The reasons.
 const (
 	Found Reason = "found"
-	// NoRoom means that no worker has the room now.
-	NoRoom Reason = "no_room"
-	// NotEnough means that some tasks of a gang would have room, but not all.
-	NotEnough Reason = "not_enough_room_for_all"
-	// Never means that no worker could hold the task even when empty.
-	Never Reason = "no_worker_is_large_enough"
+	// NoCapacity means that no worker has the room now.
+	NoCapacity Reason = "no_room"
+	// NotEnoughForGang means that some tasks of a gang would have room, but not all.
+	NotEnoughForGang Reason = "not_enough_room_for_all"
+	// NoWorkerLargeEnough means that no worker could hold the task even when empty.
+	NoWorkerLargeEnough Reason = "no_worker_is_large_enough"
 	// OverQuota means that the team's quota is used up.
 	OverQuota Reason = "team_quota_used_up"
-	// WaitsFor means that a dependency is not ready.
-	WaitsFor Reason = "waits_for_dependency"
+	// WaitsForDependency means that a dependency is not ready.
+	WaitsForDependency Reason = "waits_for_dependency"
 	// WaitsForTable means that the work must not be repeated, so its start has
 	// to be written down first, and the table does not answer.
 	WaitsForTable Reason = "waits_for_table"
--- a/internal/placement/policy/request.go
+++ b/internal/placement/policy/request.go
@@ -18,8 +18,8 @@
 	Avoid func(id string) bool
 }
 
-// Room returns what of a worker's free and late amounts the request may use.
-func (r Request) Room(free, late resource.Amount) resource.Amount {
+// Usable returns what of a worker's free and late amounts the request may use.
+func (r Request) Usable(free, late resource.Amount) resource.Amount {
 	if r.Long {
 		return resource.Amount{
 			MilliCPU:     min(free.MilliCPU, late.MilliCPU),
--- a/internal/placement/preempt/preempt.go
+++ b/internal/placement/preempt/preempt.go
@@ -22,7 +22,7 @@
 	var chosen []Victim
 	for i := range c.Len() {
 		n := c.Node(i)
-		if n.Closed || !need.Fits(n.Capacity) {
+		if n.Unschedulable || !need.Fits(n.Capacity) {
 			continue
 		}
 		set, loss, ok := cheapest(n.Free, need, byNode[i])
--- a/internal/placement/preempt/victim.go
+++ b/internal/placement/preempt/victim.go
@@ -15,8 +15,8 @@
 	Need resource.Amount
 	// Rank is the task's urgency; only a higher number gives way.
 	Rank int
-	// Progress is how long the task has run since its last checkpoint.
-	Progress time.Duration
+	// SinceCheckpoint is how long the task has run since its last checkpoint.
+	SinceCheckpoint time.Duration
 	// Borrowed says that the task uses what its team has borrowed.
 	Borrowed bool
 	// Protected tasks never give way to another team.
@@ -31,7 +31,7 @@
 // only borrowed.
 func (v Victim) loss() int64 {
 	cores := v.Need.MilliCPU + 1
-	loss := cores * (v.Progress.Milliseconds() + 1)
+	loss := cores * (v.SinceCheckpoint.Milliseconds() + 1)
 	if v.Borrowed {
 		loss /= 4
 	}
--- a/internal/placement/service/service.go
+++ b/internal/placement/service/service.go
@@ -44,7 +44,7 @@
 			continue
 		}
 		c.EachFitInRack(r, req.Need, func(i int, n *cluster.Node) {
-			if !req.Need.Fits(req.Room(n.Free, n.Late)) || (req.Avoid != nil && req.Avoid(n.ID)) {
+			if !req.Need.Fits(req.Usable(n.Free, n.FreeForLong)) || (req.Avoid != nil && req.Avoid(n.ID)) {
 				return
 			}
 			at := floor
@@ -59,7 +59,7 @@
 		})
 	}
 	if best < 0 {
-		return policy.Decision{Reason: policy.NoRoom}
+		return policy.Decision{Reason: policy.NoCapacity}
 	}
 	return policy.Decision{Nodes: []int{best}, Reason: policy.Found}
 }
--- a/internal/planner/core.go
+++ b/internal/planner/core.go
@@ -99,7 +99,7 @@
 	delete(v.tasks, key)
 	c.used[e.run.Workload.Team] = c.used[e.run.Workload.Team].Sub(t.Need)
 	if i, ok := c.findNode(t.Worker); ok {
-		c.cluster.Give(i, e.run.Workload.Name, t.Need)
+		c.cluster.Release(i, e.run.Workload.Name, t.Need)
 	}
 }
 
--- a/internal/planner/decide.go
+++ b/internal/planner/decide.go
@@ -50,8 +50,8 @@
 	}
 	for i := range c.cluster.Len() {
 		n := c.cluster.Node(i)
-		if n.Closed && !c.board.Out(n.ID, now) {
-			c.cluster.SetClosed(i, false)
+		if n.Unschedulable && !c.board.Out(n.ID, now) {
+			c.cluster.SetUnschedulable(i, false)
 		}
 	}
 }
--- a/internal/planner/fleet.go
+++ b/internal/planner/fleet.go
@@ -23,7 +23,7 @@
 	for i := range nodes {
 		c.loadBooks(i, c.workers[nodes[i].ID])
 	}
-	c.cluster.Refresh()
+	c.cluster.Reindex()
 	c.clusterStale = false
 	return c.cluster
 }
@@ -32,8 +32,8 @@
 	r := v.report
 	return cluster.Node{
 		ID: r.Worker, Region: r.Region, Zone: r.Zone, Rack: r.Rack,
-		Capacity: r.Capacity, Free: r.Capacity, Late: r.Capacity,
-		Closed: c.board.Out(r.Worker, now), Trial: c.board.Trial(r.Worker),
+		Capacity: r.Capacity, Free: r.Capacity, FreeForLong: r.Capacity,
+		Unschedulable: c.board.Out(r.Worker, now), OnProbation: c.board.Trial(r.Worker),
 	}
 }
 
@@ -41,10 +41,10 @@
 func (c *Core) loadBooks(i int, v *workerView) {
 	for key := range v.tasks {
 		e := c.runs[key.run]
-		c.cluster.Load(i, e.run.Workload.Name, e.run.Tasks[key.index].Need)
+		c.cluster.AllocateUnindexed(i, e.run.Workload.Name, e.run.Tasks[key.index].Need)
 	}
 	for _, status := range v.orphans {
-		c.cluster.Load(i, status.Workload, status.Need)
+		c.cluster.AllocateUnindexed(i, status.Workload, status.Need)
 	}
 }
 
--- a/internal/planner/mix_baseline_test.go
+++ b/internal/planner/mix_baseline_test.go
@@ -28,7 +28,7 @@
 		rack := i / u.perRack
 		nodes[i] = cluster.Node{
 			ID: fmt.Sprintf("w%03d", i), Region: "r", Zone: fmt.Sprintf("z%d", rack%4), Rack: fmt.Sprintf("k%d", rack),
-			Capacity: u.capacity, Free: u.capacity, Late: u.capacity,
+			Capacity: u.capacity, Free: u.capacity, FreeForLong: u.capacity,
 		}
 	}
 	return nodes
@@ -54,7 +54,7 @@
 	for now := time.Duration(0); now < mixPatience && (next < len(stream.jobs) || len(queue) > 0 || len(s.running) > 0); now += mixTick {
 		for key, t := range s.running {
 			if t.ends <= now {
-				s.cluster.Give(t.node, "", stream.workloads[stream.jobs[t.job].workload].Need)
+				s.cluster.Release(t.node, "", stream.workloads[stream.jobs[t.job].workload].Need)
 				delete(s.running, key)
 			}
 		}
@@ -82,12 +82,12 @@
 			if node < 0 {
 				break
 			}
-			s.cluster.Take(node, "", w.Need)
+			s.cluster.Allocate(node, "", w.Need)
 			placed = append(placed, &mixTask{job: job, index: i, submitted: j.at, node: node, left: d})
 		}
 		if w.Kind == "job" && len(placed) < len(j.tasks) {
 			for _, t := range placed {
-				s.cluster.Give(t.node, "", w.Need)
+				s.cluster.Release(t.node, "", w.Need)
 			}
 			placed = nil
 		}
--- a/internal/planner/place.go
+++ b/internal/planner/place.go
@@ -145,7 +145,7 @@
 	e.pending--
 	e.reason = ""
 	c.book(e, index)
-	cl.Take(node, e.run.Workload.Name, t.Need)
+	cl.Allocate(node, e.run.Workload.Name, t.Need)
 	key := taskKey{e.run.ID, index}
 	c.decided = append(c.decided, start{key, t.Attempt})
 	c.unwritten[key] = t.Attempt
--- a/internal/planner/ready.go
+++ b/internal/planner/ready.go
@@ -30,9 +30,9 @@
 
 func (c *Core) item(e *entry) order.Item {
 	w := e.run.Workload
-	item := order.Item{Run: e.run.ID, Team: w.Team, Rank: w.Urgency.Rank(), Since: e.since, Service: w.Kind == spec.Service, Gang: w.Kind == spec.Job}
+	item := order.Item{Run: e.run.ID, Team: w.Team, Rank: w.Urgency.Rank(), ReadySince: e.since, Service: w.Kind == spec.Service, Gang: w.Kind == spec.Job}
 	if w.Deadline > 0 && w.Kind != spec.Service {
-		item.Due = e.run.SubmittedAt.Add(w.Deadline).Add(-c.expectedRunTime(e))
+		item.LatestStart = e.run.SubmittedAt.Add(w.Deadline).Add(-c.expectedRunTime(e))
 	}
 	return item
 }
@@ -44,7 +44,7 @@
 	case c.neverFits(e):
 		return e.reason, false
 	case !c.dependenciesReady(e):
-		return string(policy.WaitsFor), false
+		return string(policy.WaitsForDependency), false
 	case c.outage && !e.repeatable():
 		return string(policy.WaitsForTable), false
 	case !c.gangWhole(e):
@@ -64,9 +64,9 @@
 	e.fleetVersion = c.fleetVersion
 	why, never := "", false
 	if e.run.Workload.Kind == spec.Job {
-		why, never = explain.NeverAll(c.cluster, c.need(e), len(e.run.Tasks))
+		why, never = explain.GangNeverFits(c.cluster, c.need(e), len(e.run.Tasks))
 	} else {
-		why, never = explain.Never(c.cluster, c.need(e))
+		why, never = explain.NeverFits(c.cluster, c.need(e))
 	}
 	if never && !e.never {
 		c.event("run_can_never_start", e.run.ID, 0, "", why)
--- a/internal/planner/report.go
+++ b/internal/planner/report.go
@@ -40,7 +40,7 @@
 		delete(v.orphans, ref)
 		c.strays[taskKey{ref.Run, ref.Index}]--
 		if i, ok := c.findNode(v.report.Worker); ok {
-			c.cluster.Give(i, status.Workload, status.Need)
+			c.cluster.Release(i, status.Workload, status.Need)
 		}
 	}
 }
@@ -88,7 +88,7 @@
 	t.Definition, t.StartedAt = e.run.Definition, now
 	c.book(e, index)
 	if i, ok := c.findNode(t.Worker); ok {
-		c.cluster.Take(i, e.run.Workload.Name, t.Need)
+		c.cluster.Allocate(i, e.run.Workload.Name, t.Need)
 	}
 	c.setRunning(e)
 	c.touchTask(e, index)
@@ -105,7 +105,7 @@
 	v.orphans[status.Ref] = status
 	c.strays[taskKey{status.Ref.Run, status.Ref.Index}]++
 	if i, ok := c.findNode(v.report.Worker); ok {
-		c.cluster.Take(i, status.Workload, status.Need)
+		c.cluster.Allocate(i, status.Workload, status.Need)
 	}
 	c.outbox.stop(v.report.Worker, v.report.Boot, worker.TaskStop{Ref: status.Ref, Action: worker.Kill})
 	c.event("task_stray", status.Ref.Run, status.Ref.Index, v.report.Worker, "")
--- a/internal/planner/reserve.go
+++ b/internal/planner/reserve.go
@@ -60,7 +60,7 @@
 }
 
 func (c *Core) firstGang(items []order.Item, now time.Time) *entry {
-	gangs := slices.DeleteFunc(slices.Clone(items), func(i order.Item) bool { return !i.Gang || now.Sub(i.Since) < patience })
+	gangs := slices.DeleteFunc(slices.Clone(items), func(i order.Item) bool { return !i.Gang || now.Sub(i.ReadySince) < patience })
 	if len(gangs) == 0 {
 		return nil
 	}
@@ -74,7 +74,7 @@
 	}
 	c.hold = reservation{}
 	for i := range cl.Len() {
-		cl.SetLate(i, cl.Node(i).Free)
+		cl.SetFreeForLong(i, cl.Node(i).Free)
 	}
 }
 
@@ -102,14 +102,14 @@
 	}
 	c.hold = reservation{run: e.run.ID, at: at, madeAt: now, fleet: c.fleetVersion}
 	for i, n := range placeOn(cl, free, need, len(e.run.Tasks)) {
-		cl.SetLate(i, free[i].Sub(need.Times(n)))
+		cl.SetFreeForLong(i, free[i].Sub(need.Times(n)))
 	}
 }
 
 func seatsIn(cl *cluster.Cluster, free []resource.Amount, need resource.Amount, limit int) int64 {
 	var seats int64
 	for i := range free {
-		if !cl.Node(i).Closed {
+		if !cl.Node(i).Unschedulable {
 			seats += need.CountIn(free[i], int64(limit))
 		}
 	}
@@ -122,7 +122,7 @@
 	nodes := make([]cluster.Node, cl.Len())
 	for i := range nodes {
 		nodes[i] = *cl.Node(i)
-		nodes[i].Free, nodes[i].Late = free[i], free[i]
+		nodes[i].Free, nodes[i].FreeForLong = free[i], free[i]
 	}
 	then := cluster.New(nodes)
 	counts := map[int]int64{}
--- a/internal/planner/urgent.go
+++ b/internal/planner/urgent.go
@@ -31,7 +31,7 @@
 	var victims []preempt.Victim
 	for _, item := range items {
 		e := c.active[item.Run]
-		if e == nil || e.pending == 0 || item.Rank != spec.Urgent.Rank() || e.reason != string(policy.NoRoom) {
+		if e == nil || e.pending == 0 || item.Rank != spec.Urgent.Rank() || e.reason != string(policy.NoCapacity) {
 			continue
 		}
 		if _, waiting := c.claims[item.Run]; waiting {
@@ -85,7 +85,7 @@
 			}
 			list = append(list, preempt.Victim{
 				Ref: c.ref(taskKey{id, i}), Node: node, Need: t.Need, Rank: e.run.Workload.Urgency.Rank(),
-				Progress: progress(t, now), Borrowed: shares[team.Name].Over(), Protected: team.Protected,
+				SinceCheckpoint: progress(t, now), Borrowed: shares[team.Name].OverQuota(), Protected: team.Protected,
 				Team: team.Name, Repeatable: e.run.Workload.Idempotent,
 			})
 		}
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -12,18 +12,18 @@
 	Workspace string
 	// Used is what its runs occupy, those included that may still be starting or stopping.
 	Used resource.Amount
-	// Unseen is what may run besides on workers that have not been heard yet.
-	Unseen resource.Amount
+	// Unconfirmed is what may run besides on workers that have not been heard yet.
+	Unconfirmed resource.Amount
 	// Cap bounds the sum; 0 in a dimension is no limit.
 	Cap resource.Amount
 	// Weight is its share when there is not enough for all, in jobs a second.
 	Weight float64
-	// Meter measures its jobs against that.
-	Meter fairness.Meter
+	// Bucket measures its jobs against that.
+	Bucket fairness.TokenBucket
 }
 
-// Book adds what a run occupies.
-func (a *Account) Book(need resource.Amount) { a.Used = a.Used.Add(need) }
+// Allocate adds what a run occupies.
+func (a *Account) Allocate(need resource.Amount) { a.Used = a.Used.Add(need) }
 
 // Release takes it off again.
 func (a *Account) Release(need resource.Amount) { a.Used = a.Used.Sub(need) }
@@ -39,15 +39,15 @@
 	return n
 }
 
-// Holds reports whether a gang of some need in all fits under the cap when nothing else of
+// FitsCap reports whether a gang of some need in all fits under the cap when nothing else of
 // the workspace runs.
-func (a *Account) Holds(need resource.Amount) bool { return need.Fits(unlimited(a.Cap)) }
+func (a *Account) FitsCap(need resource.Amount) bool { return need.Fits(unlimited(a.Cap)) }
 
 func (a *Account) room() resource.Amount {
-	return unlimited(a.Cap).Sub(a.Used).Sub(a.Unseen)
+	return unlimited(a.Cap).Sub(a.Used).Sub(a.Unconfirmed)
 }
 
-func (a *Account) idle() bool { return a.Used.IsZero() && a.Unseen.IsZero() }
+func (a *Account) idle() bool { return a.Used.IsZero() && a.Unconfirmed.IsZero() }
 
 // unlimited returns a cap with a bound that nothing reaches in place of no limit.
 func unlimited(limit resource.Amount) resource.Amount {
--- a/internal/quota/account_test.go
+++ b/internal/quota/account_test.go
@@ -20,14 +20,14 @@
 		{"no cap", Account{Used: resource.Amount{MilliCPU: 1 << 40}}, one, 7, 7},
 		{"memory binds", Account{Cap: limit}, one, 7, 3},
 		{"some is used", Account{Cap: limit, Used: one}, one, 7, 2},
-		{"some may run unseen", Account{Cap: limit, Unseen: one.Times(3)}, one, 7, 0},
-		{"used and unseen", Account{Cap: limit, Used: one, Unseen: one}, one, 7, 1},
+		{"some may run unseen", Account{Cap: limit, Unconfirmed: one.Times(3)}, one, 7, 0},
+		{"used and unseen", Account{Cap: limit, Used: one, Unconfirmed: one}, one, 7, 1},
 		{"fewer are wanted", Account{Cap: limit}, one, 2, 2},
 		{"the cap was lowered below what runs", Account{Cap: limit, Used: one.Times(9)}, one, 7, 0},
 		{"accelerators without a limit", Account{Cap: limit}, resource.Amount{Accelerators: 50}, 7, 7},
 		{"larger than the cap, nothing runs", Account{Cap: limit}, resource.Amount{MemoryMiB: 1001}, 7, 1},
 		{"larger than the cap, something runs", Account{Cap: limit, Used: one}, resource.Amount{MemoryMiB: 1001}, 7, 0},
-		{"larger than the cap, something may run", Account{Cap: limit, Unseen: one}, resource.Amount{MemoryMiB: 1001}, 7, 0},
+		{"larger than the cap, something may run", Account{Cap: limit, Unconfirmed: one}, resource.Amount{MemoryMiB: 1001}, 7, 0},
 		{"none is wanted", Account{Cap: limit}, one, 0, 0},
 	} {
 		if got := test.account.Startable(test.need, test.most); got != test.want {
--- a/internal/relay/dial.go
+++ b/internal/relay/dial.go
@@ -14,7 +14,7 @@
 // open dials an instance and has it take the connection as a link, by the upgrade of an
 // HTTP request, so that a relay needs no port of its own.
 func open(ctx context.Context, address string) (net.Conn, error) {
-	conn, err := traffic.For(traffic.Relays).Dial((&net.Dialer{}).DialContext)(ctx, "tcp4", address)
+	conn, err := traffic.CounterFor(traffic.Relays).WrapDial((&net.Dialer{}).DialContext)(ctx, "tcp4", address)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/routing/grant.go
+++ b/internal/routing/grant.go
@@ -30,9 +30,9 @@
 // its cause is ErrNeverArrived or ErrAnswerLost.
 func (g *Grant) Context() context.Context { return g.ctx }
 
-// Answering notes that the upstream's answer has begun; from now on the
+// ResponseStarted notes that the upstream's answer has begun; from now on the
 // request is never taken for one on a silent connection.
-func (g *Grant) Answering() { g.answering.Store(true) }
+func (g *Grant) ResponseStarted() { g.answering.Store(true) }
 
 // Done returns the slot. Only the first call counts.
 func (g *Grant) Done(result Result, now time.Time) {
--- a/internal/routing/queue_test.go
+++ b/internal/routing/queue_test.go
@@ -13,7 +13,7 @@
 
 func oneWorker(slots int) *Router {
 	r := NewRouter()
-	r.Set(WorkerInfo{ID: "w", Slots: slots, Services: []string{"s"}, Open: true}, time.Now())
+	r.SetWorker(WorkerInfo{ID: "w", Slots: slots, Services: []string{"s"}, Open: true}, time.Now())
 	return r
 }
 
@@ -64,7 +64,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		defer time.Sleep(time.Second) // lets waiters return their slots
 		r := oneWorker(1)
-		r.Learn("s", 10*time.Second)
+		r.ObserveLatency("s", 10*time.Second)
 		held, _ := r.Acquire(context.Background(), "s", request("held", 1, time.Minute), time.Now())
 		started := time.Now()
 		_, err := r.Acquire(context.Background(), "s", request("hopeless", 1, time.Second), time.Now())
@@ -133,7 +133,7 @@
 	now := time.Unix(1000, 0)
 	r := NewRouter()
 	for _, id := range []string{"bad", "good1", "good2"} {
-		r.Set(WorkerInfo{ID: id, Slots: 8, Services: []string{"s"}, Open: true}, now)
+		r.SetWorker(WorkerInfo{ID: id, Slots: 8, Services: []string{"s"}, Open: true}, now)
 	}
 	failed := 0
 	for i := range 300 {
@@ -141,7 +141,7 @@
 		g := r.TryAcquire(context.Background(), "s", Request{ID: fmt.Sprint(i), Deadline: now.Add(time.Second)}, now)
 		if g.Worker == "bad" {
 			failed++
-			g.Done(Broken, now)
+			g.Done(Failed, now)
 			continue
 		}
 		g.Done(Answered, now.Add(5*time.Millisecond))
@@ -161,7 +161,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.Done(Broken, time.Now())
+		g.Done(Failed, time.Now())
 		if r.MayRetry("s") {
 			retries++
 		}
@@ -176,7 +176,7 @@
 func TestDoubtfulRequests(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := oneWorker(8)
-	r.Set(WorkerInfo{ID: "w", Slots: 8, Services: []string{"s"}, Open: true}, now)
+	r.SetWorker(WorkerInfo{ID: "w", Slots: 8, Services: []string{"s"}, Open: true}, now)
 	grants := map[string]*Grant{}
 	for _, id := range []string{"revoked", "finished", "running"} {
 		grants[id] = r.TryAcquire(context.Background(), "s", Request{ID: id, Deadline: now.Add(time.Minute)}, now)
@@ -205,17 +205,17 @@
 	now := time.Unix(1000, 0)
 	r := NewRouter()
 	for _, id := range []string{"taken", "own"} {
-		r.Set(WorkerInfo{ID: id, Epoch: 1, Slots: 4, Services: []string{"s"}, Open: true}, now)
+		r.SetWorker(WorkerInfo{ID: id, Epoch: 1, Slots: 4, Services: []string{"s"}, Open: true}, now)
 	}
-	r.Close("taken", 1)
+	r.CloseWorker("taken", 1)
 	for i := range 4 {
 		g := r.TryAcquire(context.Background(), "s", Request{ID: fmt.Sprint(i), Deadline: now.Add(time.Second)}, now)
 		if g == nil || g.Worker != "own" {
 			t.Fatalf("got %+v", g)
 		}
 	}
-	r.Set(WorkerInfo{ID: "taken", Epoch: 2, Slots: 4, Services: []string{"s"}, Open: true}, now)
-	r.Close("taken", 1)
+	r.SetWorker(WorkerInfo{ID: "taken", Epoch: 2, Slots: 4, Services: []string{"s"}, Open: true}, now)
+	r.CloseWorker("taken", 1)
 	if g := r.TryAcquire(context.Background(), "s", Request{ID: "again", Deadline: now.Add(time.Second)}, now); g == nil || g.Worker != "taken" {
 		t.Errorf("after it was claimed anew: %+v", g)
 	}
--- a/internal/routing/result.go
+++ b/internal/routing/result.go
@@ -7,8 +7,8 @@
 const (
 	// Answered means that the upstream gave an answer, of whatever status.
 	Answered Result = iota
-	// Broken means that it failed to answer.
-	Broken
+	// Failed means that it failed to answer.
+	Failed
 	// Abandoned means that the caller went away; it says nothing about the
 	// upstream.
 	Abandoned
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -23,8 +23,8 @@
 	return &Router{pools: map[string]*pool{}, upstreams: map[string]*upstream{}}
 }
 
-// Set adds a worker or replaces what is known of it.
-func (r *Router) Set(info WorkerInfo, now time.Time) {
+// SetWorker adds a worker or replaces what is known of it.
+func (r *Router) SetWorker(info WorkerInfo, now time.Time) {
 	r.mu.Lock()
 	u, ok := r.upstreams[info.ID]
 	if !ok {
@@ -42,10 +42,10 @@
 	r.freed(u, now)
 }
 
-// Close takes a worker out until the owner says more of it, because it refused
+// CloseWorker takes a worker out until the owner says more of it, because it refused
 // a request under the epoch. Otherwise it would be chosen again at once: a
 // worker that refuses is always free.
-func (r *Router) Close(id string, epoch uint64) {
+func (r *Router) CloseWorker(id string, epoch uint64) {
 	r.mu.RLock()
 	u, ok := r.upstreams[id]
 	r.mu.RUnlock()
@@ -59,9 +59,9 @@
 	}
 }
 
-// Remove forgets a worker. Requests in progress there go on to their end; they
+// RemoveWorker forgets a worker. Requests in progress there go on to their end; they
 // are returned, nil if there are none.
-func (r *Router) Remove(id string) *Remainder {
+func (r *Router) RemoveWorker(id string) *RemovedWorker {
 	r.mu.Lock()
 	u, ok := r.upstreams[id]
 	if ok {
@@ -72,8 +72,8 @@
 	if !ok {
 		return nil
 	}
-	rest := &Remainder{upstream: u}
-	if rest.Empty() {
+	rest := &RemovedWorker{upstream: u}
+	if rest.Idle() {
 		return nil
 	}
 	return rest
@@ -144,8 +144,8 @@
 // MayRetry takes one retry from the service's budget if there is one left.
 func (r *Router) MayRetry(service string) bool { return r.pool(service).mayRetry() }
 
-// Learn notes how long an answered request of the service took.
-func (r *Router) Learn(service string, took time.Duration) { r.pool(service).learn(took) }
+// ObserveLatency notes how long an answered request of the service took.
+func (r *Router) ObserveLatency(service string, took time.Duration) { r.pool(service).learn(took) }
 
 // Slots returns the free slots and all slots of each service here.
 func (r *Router) Slots() map[string]Slots {
@@ -160,9 +160,9 @@
 	return result
 }
 
-// Doubtful returns the ids of requests on a worker that were granted before
+// Unanswered returns the ids of requests on a worker that were granted before
 // since and show no sign of an answer.
-func (r *Router) Doubtful(id string, since time.Time) []string {
+func (r *Router) Unanswered(id string, since time.Time) []string {
 	r.mu.RLock()
 	u, ok := r.upstreams[id]
 	r.mu.RUnlock()
--- a/internal/routing/naive_test.go
+++ b/internal/routing/slot_model_test.go
@@ -57,7 +57,7 @@
 						info.Services = append(info.Services, name)
 					}
 				}
-				r.Set(info, now)
+				r.SetWorker(info, now)
 				naive.slots[id], naive.services[id], naive.open[id] = info.Slots, info.Services, info.Open
 			},
 			"acquire": func(rt *rapid.T) {
--- a/internal/routing/upstream.go
+++ b/internal/routing/upstream.go
@@ -30,12 +30,12 @@
 	if !u.info.Open {
 		return 0
 	}
-	return max(u.info.Slots-u.info.Older-len(u.inFlight), 0)
+	return max(u.info.Slots-u.info.OlderRequests-len(u.inFlight), 0)
 }
 
 // cost is lower for an upstream that is expected to answer sooner.
 func (u *upstream) costLocked() float64 {
-	load := float64(len(u.inFlight)+u.info.Older+1) / float64(max(u.info.Slots, 1))
+	load := float64(len(u.inFlight)+u.info.OlderRequests+1) / float64(max(u.info.Slots, 1))
 	return float64(u.latency) * load
 }
 
@@ -66,7 +66,7 @@
 	case Answered:
 		u.failures, u.backoff, u.ejected = 0, 0, time.Time{}
 		u.learn(now.Sub(g.GrantedAt))
-	case Broken:
+	case Failed:
 		u.failures++
 		if u.failures >= ejectAfter || u.backoff > 0 {
 			u.eject(now)
--- a/internal/routing/worker_info.go
+++ b/internal/routing/worker_info.go
@@ -7,8 +7,8 @@
 	// Epoch goes with each request; the worker refuses a lower one.
 	Epoch uint64
 	Slots int
-	// Older counts slots held by requests of earlier owners.
-	Older int
+	// OlderRequests counts slots held by requests of earlier owners.
+	OlderRequests int
 	// Services are those with a running replica, sorted.
 	Services []string
 	// Open says that the worker may get new requests.
--- a/internal/store/patience.go
+++ b/internal/store/patience.go
@@ -12,5 +12,5 @@
 // are made again too early lengthen the queues of a slow store, but those on a connection
 // that went silent should be made again soon.
 var callPatience = patience.Settings{
-	Least: 450 * time.Millisecond, Most: 2200 * time.Millisecond, Factor: 6, AnswerWeight: 0.1, SilenceWeight: 0.3,
+	Min: 450 * time.Millisecond, Max: 2200 * time.Millisecond, Factor: 6, AnswerWeight: 0.1, TimeoutWeight: 0.3,
 }
--- a/internal/store/watched.go
+++ b/internal/store/watched.go
@@ -32,7 +32,7 @@
 	// pending are the starts of the calls under way.
 	pending  map[int]time.Time
 	next     int
-	patience *patience.Patience
+	patience *patience.AdaptiveTimeout
 	// endedAt is when the last call ended, in whichever way.
 	endedAt time.Time
 }
@@ -134,9 +134,9 @@
 		w.mu.Unlock()
 		switch {
 		case err == nil:
-			w.patience.Answered(time.Since(began))
+			w.patience.ObserveAnswer(time.Since(began))
 		case errors.Is(err, ErrUnknown) && errors.Is(ctx.Err(), context.DeadlineExceeded):
-			w.patience.GaveUp(time.Since(began))
+			w.patience.ObserveTimeout(time.Since(began))
 		}
 		w.note(ctx, began, err)
 	}
--- a/internal/store/watched_test.go
+++ b/internal/store/watched_test.go
@@ -56,25 +56,25 @@
 func TestPatienceFollowsASlowStore(t *testing.T) {
 	p := patience.New(callPatience)
 	for range 50 {
-		p.Answered(5 * time.Millisecond)
+		p.ObserveAnswer(5 * time.Millisecond)
 	}
-	if got := p.Limit(); got != callPatience.Least {
+	if got := p.Limit(); got != callPatience.Min {
 		t.Errorf("limit %v with answers of 5 ms", got)
 	}
-	p.GaveUp(callPatience.Least)
+	p.ObserveTimeout(callPatience.Min)
 	if got := p.Limit(); got < 700*time.Millisecond {
 		t.Errorf("limit %v after one call that was given up", got)
 	}
 	for range 20 {
-		p.Answered(600 * time.Millisecond)
+		p.ObserveAnswer(600 * time.Millisecond)
 	}
-	if got := p.Limit(); got != callPatience.Most {
+	if got := p.Limit(); got != callPatience.Max {
 		t.Errorf("limit %v with answers of 600 ms", got)
 	}
 	for range 60 {
-		p.Answered(5 * time.Millisecond)
+		p.ObserveAnswer(5 * time.Millisecond)
 	}
-	if got := p.Limit(); got != callPatience.Least {
+	if got := p.Limit(); got != callPatience.Min {
 		t.Errorf("limit %v after the slow time", got)
 	}
 }
--- a/internal/traffic/counter.go
+++ b/internal/traffic/counter.go
@@ -12,8 +12,8 @@
 // of TCP and IP. It is safe for concurrent use.
 type Counter struct{ in, out, connections *metrics.Counter }
 
-// For returns the process's counter for a purpose.
-func For(p Purpose) *Counter {
+// CounterFor returns the process's counter for a purpose.
+func CounterFor(p Purpose) *Counter {
 	return &Counter{
 		in:          metrics.GetOrCreateCounter(fmt.Sprintf(`gentianstand_traffic_bytes_total{purpose=%q,way="in"}`, p)),
 		out:         metrics.GetOrCreateCounter(fmt.Sprintf(`gentianstand_traffic_bytes_total{purpose=%q,way="out"}`, p)),
@@ -30,8 +30,8 @@
 // Connections returns how many connections were opened since the start of the process.
 func (c *Counter) Connections() uint64 { return c.connections.Get() }
 
-// Dial returns dial with its connections counted.
-func (c *Counter) Dial(dial DialFunc) DialFunc {
+// WrapDial returns dial with its connections counted.
+func (c *Counter) WrapDial(dial DialFunc) DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
 		if err != nil {
@@ -41,8 +41,8 @@
 	}
 }
 
-// Listen returns a listener whose connections are counted.
-func (c *Counter) Listen(l net.Listener) net.Listener { return &listener{l, c} }
+// WrapListener returns a listener whose connections are counted.
+func (c *Counter) WrapListener(l net.Listener) net.Listener { return &listener{l, c} }
 
 func (c *Counter) conn(conn net.Conn) net.Conn {
 	c.connections.Inc()
--- a/internal/traffic/counter_test.go
+++ b/internal/traffic/counter_test.go
@@ -13,7 +13,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	counted := For(purpose).Listen(listener)
+	counted := CounterFor(purpose).WrapListener(listener)
 	defer counted.Close()
 	accepted := make(chan net.Conn, 1)
 	go func() {
@@ -23,7 +23,7 @@
 		}
 		accepted <- conn
 	}()
-	dial := For(other).Dial((&net.Dialer{}).DialContext)
+	dial := CounterFor(other).WrapDial((&net.Dialer{}).DialContext)
 	conn, err := dial(t.Context(), "tcp4", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -38,10 +38,10 @@
 	if _, err := far.Read(buffer); err != nil {
 		t.Fatal(err)
 	}
-	if c := For(purpose); c.In() != 5 || c.Out() != 0 || c.Connections() != 1 {
+	if c := CounterFor(purpose); c.In() != 5 || c.Out() != 0 || c.Connections() != 1 {
 		t.Errorf("accepted: %d in, %d out, %d connections", c.In(), c.Out(), c.Connections())
 	}
-	if c := For(other); c.In() != 0 || c.Out() != 5 || c.Connections() != 1 {
+	if c := CounterFor(other); c.In() != 0 || c.Out() != 5 || c.Connections() != 1 {
 		t.Errorf("dialed: %d in, %d out, %d connections", c.In(), c.Out(), c.Connections())
 	}
 }
@@ -49,7 +49,7 @@
 func TestLogLinesTellWhatWasAdded(t *testing.T) {
 	last := map[string]uint64{}
 	since(last)
-	For(Store).in.Add(7)
+	CounterFor(Store).in.Add(7)
 	if got := since(last); got["store_in"] != uint64(7) || len(got) != 1 {
 		t.Errorf("%v, want 7 bytes from the store and nothing else", got)
 	}
--- a/internal/traffic/log.go
+++ b/internal/traffic/log.go
@@ -31,7 +31,7 @@
 func since(last map[string]uint64) logrus.Fields {
 	fields := logrus.Fields{}
 	for _, p := range Purposes {
-		c := For(p)
+		c := CounterFor(p)
 		for name, total := range map[string]uint64{"in": c.In(), "out": c.Out(), "connections": c.Connections()} {
 			key := string(p) + "_" + name
 			if grown := total - last[key]; grown > 0 {
