--- a/internal/cell/fair_shares.go
+++ b/internal/cell/fair_shares.go
@@ -7,7 +7,7 @@
 func (c *Cell) meterJobs() {
 	slices.SortFunc(c.unmeteredJobs, func(a, b *jobState) int { return a.record.AcceptedAt.Compare(b.record.AcceptedAt) })
 	for _, j := range c.unmeteredJobs {
-		j.overShare = !j.account.Meter.Within(j.account.Weight, j.record.AcceptedAt)
+		j.overShare = !j.account.Bucket.Take(j.account.Weight, j.record.AcceptedAt)
 	}
 	c.unmeteredJobs = nil
 }
