--- a/internal/celljobs/jobs.go
+++ b/internal/celljobs/jobs.go
@@ -29,8 +29,8 @@
 	return &Jobs{store: s, cell: cell, readers: mostReaders}
 }
 
-// Reading returns the same jobs, read some partitions at a time; see ReadersFor.
-func (b *Jobs) Reading(readers int) *Jobs {
+// WithReaders returns the same jobs, read some partitions at a time; see ReadersFor.
+func (b *Jobs) WithReaders(readers int) *Jobs {
 	return &Jobs{store: b.store, cell: b.cell, readers: readers}
 }
 
@@ -45,7 +45,7 @@
 
 // Create stores a record. A record that is already there counts as stored, so a
 // submission may be repeated; created says that this submission wrote it. It returns
-// store.ErrUnavailable only if no attempt can have taken effect, ErrTaken if the id is
+// store.ErrUnavailable only if no attempt can have taken effect, ErrIDTaken if the id is
 // that of another workspace's job, and store.ErrUnknown otherwise.
 func (b *Jobs) Create(ctx context.Context, r *job.Record) (created bool, err error) {
 	value, err := job.EncodeRecord(r)
@@ -67,10 +67,10 @@
 	return err == nil, err
 }
 
-// ErrTaken says that a job's id is in use by another workspace.
-var ErrTaken = errors.New("the id is in use by another workspace")
+// ErrIDTaken says that a job's id is in use by another workspace.
+var ErrIDTaken = errors.New("the id is in use by another workspace")
 
-// takenBy returns ErrTaken if a stored record is that of another workspace. A record
+// takenBy returns ErrIDTaken if a stored record is that of another workspace. A record
 // without one was handed in without a key, as a queue's calls may be again.
 func takenBy(workspace string, rows []store.Row) error {
 	stored, err := recordIn(rows)
@@ -78,7 +78,7 @@
 		return err
 	}
 	if stored.Workspace != "" && workspace != "" && stored.Workspace != workspace {
-		return ErrTaken
+		return ErrIDTaken
 	}
 	return nil
 }
--- a/internal/celljobs/settle.go
+++ b/internal/celljobs/settle.go
@@ -43,12 +43,12 @@
 	err     error
 }
 
-// Settle makes attempts at a transaction, a further one whenever no answer has
+// CommitWithRetry makes attempts at a transaction, a further one whenever no answer has
 // come for the usual time, until one is answered, ctx ends, or the store is lost.
 // It returns store.ErrUnavailable only if no attempt can have taken effect. Where an
 // attempt took effect without an answer, a later one returns a store.ConflictError with
 // the rows of the first.
-func (b *Jobs) Settle(ctx context.Context, tx store.Tx) (version uint64, err error) {
+func (b *Jobs) CommitWithRetry(ctx context.Context, tx store.Tx) (version uint64, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	a := &attempts{store: b.store, tx: tx, ended: make(chan ended, attemptsOpen)}
@@ -65,9 +65,9 @@
 	}
 }
 
-// settle is Settle for rows whose version nobody needs.
+// settle is CommitWithRetry for rows whose version nobody needs.
 func (b *Jobs) settle(ctx context.Context, tx store.Tx) error {
-	_, err := b.Settle(ctx, tx)
+	_, err := b.CommitWithRetry(ctx, tx)
 	return err
 }
 
--- a/internal/cellleader/leader.go
+++ b/internal/cellleader/leader.go
@@ -145,7 +145,7 @@
 	defer cancel()
 	for answer := range l.pingAll(callCtx, l.directory.Others(), t.number) {
 		if answer.Reply.GetTerm() > t.number {
-			t.Overtaken("another instance knows a later term")
+			t.Superseded("another instance knows a later term")
 			return
 		}
 	}
--- a/internal/cellleader/leader_test.go
+++ b/internal/cellleader/leader_test.go
@@ -36,7 +36,7 @@
 	earlier atomic.Bool
 }
 
-func (m *member) owns() bool { return m.leader.Local() != nil }
+func (m *member) owns() bool { return m.leader.LocalOwner() != nil }
 
 // die ends the member as a crash does.
 func (m *member) die() {
--- a/internal/cellleader/questions.go
+++ b/internal/cellleader/questions.go
@@ -16,10 +16,10 @@
 	return l.known.Address, l.term != nil
 }
 
-// Local returns the owner of this instance if it has loaded the cell and its
+// LocalOwner returns the owner of this instance if it has loaded the cell and its
 // ownership was confirmed lately, or nil. What an owner knows that may have been
 // overtaken is out of date, and news that is told to it is lost.
-func (l *Leader) Local() *cellowner.Owner {
+func (l *Leader) LocalOwner() *cellowner.Owner {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.term == nil || !l.term.loaded.Load() || !l.term.Confirmed() {
@@ -30,7 +30,7 @@
 
 // Submitted implements cellpeer.Owning.
 func (l *Leader) Submitted(r *job.Record) bool {
-	o := l.Local()
+	o := l.LocalOwner()
 	if o != nil {
 		o.Submitted(r)
 	}
@@ -39,7 +39,7 @@
 
 // Backlogs implements cellpeer.Owning.
 func (l *Leader) Backlogs() []admission.Backlog {
-	o := l.Local()
+	o := l.LocalOwner()
 	if o == nil {
 		return nil
 	}
@@ -48,7 +48,7 @@
 
 // Cancelled implements cellpeer.Owning.
 func (l *Leader) Cancelled(id string) bool {
-	o := l.Local()
+	o := l.LocalOwner()
 	if o != nil {
 		o.Cancelled(id)
 	}
@@ -57,7 +57,7 @@
 
 // Status implements cellpeer.Owning. The state is empty for an unknown job.
 func (l *Leader) Status(id string) (job.Status, bool) {
-	o := l.Local()
+	o := l.LocalOwner()
 	if o == nil {
 		return job.Status{}, false
 	}
@@ -67,7 +67,7 @@
 
 // Waiting implements cellpeer.Owning.
 func (l *Leader) Waiting(queue string) (int, bool) {
-	o := l.Local()
+	o := l.LocalOwner()
 	if o == nil {
 		return 0, false
 	}
--- a/internal/cellleader/stop.go
+++ b/internal/cellleader/stop.go
@@ -129,7 +129,7 @@
 	if l.term != nil {
 		if r.Term > l.term.number {
 			l.log.WithFields(logrus.Fields{"from": r.From, "term": r.Term}).Info("later_term_heard")
-			l.term.Overtaken("another instance knows a later term")
+			l.term.Superseded("another instance knows a later term")
 			reply.Owner = false
 			return reply
 		}
--- a/internal/cellleader/term.go
+++ b/internal/cellleader/term.go
@@ -46,7 +46,7 @@
 	defer close(t.done)
 	err := t.owner.Run(ctx, func() { t.loaded.Store(true) })
 	if err != nil && ctx.Err() == nil {
-		t.Overtaken("the cell could not be loaded: " + err.Error())
+		t.Superseded("the cell could not be loaded: " + err.Error())
 	}
 }
 
@@ -75,7 +75,7 @@
 	if t.beside != "" && r.From == t.beside {
 		t.beside = ""
 		t.leader.log.WithFields(logrus.Fields{"term": t.number, "holder": r.From}).Info("earlier_owner_stopped")
-		t.owner.EarlierStopped(now)
+		t.owner.PreviousOwnerStopped(now)
 	}
 }
 
@@ -95,8 +95,8 @@
 	return !l.pinged.Load() && l.directory.Known() && len(l.directory.Others()) == 0
 }
 
-// Overtaken implements cellowner.Leadership.
-func (t *term) Overtaken(why string) {
+// Superseded implements cellowner.Leadership.
+func (t *term) Superseded(why string) {
 	t.lost.Do(func() {
 		go t.leader.overtaken(t, why)
 	})
--- a/internal/cellowner/aways.go
+++ b/internal/cellowner/aways.go
@@ -16,5 +16,5 @@
 		o.deps.Log.WithFields(logrus.Fields{"task": a.Task.String(), "why": a.Reason, "away_ms": a.For.Milliseconds(),
 			"run": a.Run, "worker": a.Worker, "roomy": a.Roomy}).Warn("lasting_task_away")
 	}
-	o.deps.Metrics.LastingTasksAway.Set(float64(total))
+	o.deps.Metrics.LongRunningTasksDown.Set(float64(total))
 }
--- a/internal/cellowner/commit_loop.go
+++ b/internal/cellowner/commit_loop.go
@@ -63,7 +63,7 @@
 			pause = commitRetry
 			o.wakeCommit()
 		case claimLost:
-			o.deps.Leadership.Overtaken("the row of the ownership has changed")
+			o.deps.Leadership.Superseded("the row of the ownership has changed")
 			return
 		}
 		if !wait(ctx, pause) {
@@ -89,7 +89,7 @@
 	}
 	callCtx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	version, err := o.deps.Jobs.Settle(callCtx, tx)
+	version, err := o.deps.Jobs.CommitWithRetry(callCtx, tx)
 	o.deps.Metrics.Commits.Inc()
 	o.deps.Metrics.CommitSeconds.UpdateDuration(began)
 	if err != nil {
--- a/internal/cellowner/deps.go
+++ b/internal/cellowner/deps.go
@@ -19,7 +19,7 @@
 	Advisers Advisers
 	// Catalog returns the configuration in force, or nil before one is known.
 	Catalog    func() *catalog.Catalog
-	Upkeep     UpkeepDeps
+	Maintenance     MaintenanceDeps
 	Leadership Leadership
 	Metrics    *Metrics
 	// AcrossPartitions says that the store takes transactions over several partitions.
--- a/internal/cellowner/follow.go
+++ b/internal/cellowner/follow.go
@@ -69,7 +69,7 @@
 		return false
 	}
 	if row.Version != o.claim.Version {
-		o.deps.Leadership.Overtaken("the row of the ownership has changed")
+		o.deps.Leadership.Superseded("the row of the ownership has changed")
 		return false
 	}
 	return true
--- a/internal/cellowner/follow_test.go
+++ b/internal/cellowner/follow_test.go
@@ -69,8 +69,8 @@
 		time.Sleep(5 * time.Second)
 		o.readRoster(t.Context())
 		o.summarize(time.Now())
-		if got := lines.LastEntry().Data["workers_news_ms"]; got != int64(5000) || o.deps.Metrics.WorkersNewsAge.Get() != 5 {
-			t.Errorf("the news of workers is %v ms old, by the metric %v s", got, o.deps.Metrics.WorkersNewsAge.Get())
+		if got := lines.LastEntry().Data["workers_news_ms"]; got != int64(5000) || o.deps.Metrics.WorkersUpdateAge.Get() != 5 {
+			t.Errorf("the news of workers is %v ms old, by the metric %v s", got, o.deps.Metrics.WorkersUpdateAge.Get())
 		}
 	})
 }
--- a/internal/cellowner/leadership.go
+++ b/internal/cellowner/leadership.go
@@ -5,6 +5,6 @@
 	// Confirmed reports whether the ownership was confirmed lately, so that it is
 	// safe to extend leases and to start runs.
 	Confirmed() bool
-	// Overtaken reports that another owner was found.
-	Overtaken(why string)
+	// Superseded reports that another owner was found.
+	Superseded(why string)
 }
--- a/internal/cellowner/look_loop.go
+++ b/internal/cellowner/look_loop.go
@@ -56,7 +56,7 @@
 		callCtx, cancel := context.WithTimeout(ctx, look.Wait+o.patience.Limit())
 		report, err := o.deps.Runner.Look(callCtx, target, look)
 		cancel()
-		o.deps.Metrics.Looks.Inc()
+		o.deps.Metrics.Polls.Inc()
 		if err != nil {
 			o.lookFailed(ctx, id, err, pause)
 			pause = lookRetry
@@ -84,7 +84,7 @@
 }
 
 func (o *Owner) lookFailed(ctx context.Context, id string, err error, pause time.Duration) {
-	o.deps.Metrics.LookErrors.Inc()
+	o.deps.Metrics.PollErrors.Inc()
 	if ctx.Err() != nil {
 		return
 	}
--- a/internal/cellowner/metrics.go
+++ b/internal/cellowner/metrics.go
@@ -7,8 +7,8 @@
 	Starts         *metrics.Counter
 	StartErrors    *metrics.Counter
 	StartRepeats   *metrics.Counter
-	Looks          *metrics.Counter
-	LookErrors     *metrics.Counter
+	Polls          *metrics.Counter
+	PollErrors     *metrics.Counter
 	Commits        *metrics.Counter
 	CommitErrors   *metrics.Counter
 	AdviceErrors   *metrics.Counter
@@ -16,7 +16,7 @@
 	CommitSeconds  *metrics.Histogram
 	AdviceSeconds  *metrics.Histogram
 	PlanSeconds    *metrics.Histogram
-	RecoverSeconds *metrics.Histogram
+	TakeOverSeconds *metrics.Histogram
 	// UrgentWaitSeconds and WaitSeconds are how long tasks of the most urgent queues,
 	// and of the others, waited for their first start.
 	UrgentWaitSeconds *metrics.Histogram
@@ -26,13 +26,13 @@
 	WaitingTasks *metrics.Gauge
 	// ImpossibleTasks are those of WaitingTasks that no known worker may or can run.
 	ImpossibleTasks *metrics.Gauge
-	// LastingTasksAway are the tasks that are to last and have not been at work for long.
-	LastingTasksAway *metrics.Gauge
-	// QuotaTasks are those of WaitingTasks that their workspace's quota holds back.
-	QuotaTasks *metrics.Gauge
-	// JobsNewsAge and WorkersNewsAge are how long ago, in seconds, news of them was read.
-	JobsNewsAge    *metrics.Gauge
-	WorkersNewsAge *metrics.Gauge
+	// LongRunningTasksDown are the tasks that are to last and have not been at work for long.
+	LongRunningTasksDown *metrics.Gauge
+	// QuotaWaitingTasks are those of WaitingTasks that their workspace's quota holds back.
+	QuotaWaitingTasks *metrics.Gauge
+	// JobsUpdateAge and WorkersNewsAge are how long ago, in seconds, news of them was read.
+	JobsUpdateAge    *metrics.Gauge
+	WorkersUpdateAge *metrics.Gauge
 }
 
 // NewMetrics registers the metrics in a set.
@@ -41,8 +41,8 @@
 		Starts:         set.NewCounter("gentianstand_cell_starts_total"),
 		StartRepeats:   set.NewCounter("gentianstand_cell_start_repeats_total"),
 		StartErrors:    set.NewCounter("gentianstand_cell_start_errors_total"),
-		Looks:          set.NewCounter("gentianstand_cell_looks_total"),
-		LookErrors:     set.NewCounter("gentianstand_cell_look_errors_total"),
+		Polls:          set.NewCounter("gentianstand_cell_looks_total"),
+		PollErrors:     set.NewCounter("gentianstand_cell_look_errors_total"),
 		Commits:        set.NewCounter("gentianstand_cell_commits_total"),
 		CommitErrors:   set.NewCounter("gentianstand_cell_commit_errors_total"),
 		AdviceErrors:   set.NewCounter("gentianstand_cell_advice_errors_total"),
@@ -50,16 +50,16 @@
 		CommitSeconds:  set.NewHistogram("gentianstand_cell_commit_seconds"),
 		AdviceSeconds:  set.NewHistogram("gentianstand_cell_advice_seconds"),
 		PlanSeconds:    set.NewHistogram("gentianstand_cell_plan_seconds"),
-		RecoverSeconds: set.NewHistogram("gentianstand_cell_take_over_seconds"),
+		TakeOverSeconds: set.NewHistogram("gentianstand_cell_take_over_seconds"),
 
 		UrgentWaitSeconds: set.NewHistogram(`gentianstand_cell_wait_seconds{urgent="true"}`),
 		WaitSeconds:       set.NewHistogram(`gentianstand_cell_wait_seconds{urgent="false"}`),
 		FreeShare:         set.NewGauge("gentianstand_cell_free_share", nil),
 		WaitingTasks:      set.NewGauge("gentianstand_cell_waiting_tasks", nil),
 		ImpossibleTasks:   set.NewGauge("gentianstand_cell_impossible_tasks", nil),
-		LastingTasksAway:  set.NewGauge("gentianstand_cell_lasting_tasks_away", nil),
-		QuotaTasks:        set.NewGauge("gentianstand_cell_quota_waiting_tasks", nil),
-		JobsNewsAge:       set.NewGauge(`gentianstand_cell_news_age_seconds{of="jobs"}`, nil),
-		WorkersNewsAge:    set.NewGauge(`gentianstand_cell_news_age_seconds{of="workers"}`, nil),
+		LongRunningTasksDown:  set.NewGauge("gentianstand_cell_lasting_tasks_away", nil),
+		QuotaWaitingTasks:        set.NewGauge("gentianstand_cell_quota_waiting_tasks", nil),
+		JobsUpdateAge:       set.NewGauge(`gentianstand_cell_news_age_seconds{of="jobs"}`, nil),
+		WorkersUpdateAge:    set.NewGauge(`gentianstand_cell_news_age_seconds{of="workers"}`, nil),
 	}
 }
--- a/internal/cellowner/orders.go
+++ b/internal/cellowner/orders.go
@@ -87,6 +87,6 @@
 func (o *Owner) checkFence(err error) {
 	var refusal *runner.Refusal
 	if errors.As(err, &refusal) && refusal.Reason == runner.Fenced {
-		o.deps.Leadership.Overtaken("a worker has seen a higher fencing token")
+		o.deps.Leadership.Superseded("a worker has seen a higher fencing token")
 	}
 }
--- a/internal/cellowner/orders_test.go
+++ b/internal/cellowner/orders_test.go
@@ -43,7 +43,7 @@
 type confirmed struct{}
 
 func (confirmed) Confirmed() bool  { return true }
-func (confirmed) Overtaken(string) {}
+func (confirmed) Superseded(string) {}
 
 // ownerOfOne returns an owner with one task to start on one worker.
 func ownerOfOne(t *testing.T, client runner.Client) (*Owner, cell.StartOrder) {
--- a/internal/cellowner/owner.go
+++ b/internal/cellowner/owner.go
@@ -74,7 +74,7 @@
 	if err := o.load(ctx); err != nil {
 		return err
 	}
-	o.deps.Metrics.RecoverSeconds.UpdateDuration(began)
+	o.deps.Metrics.TakeOverSeconds.UpdateDuration(began)
 	o.deps.Log.WithField("took_ms", time.Since(began).Milliseconds()).Info("cell_loaded")
 	loaded()
 	o.loops.Go(func() { o.planLoop(ctx) })
@@ -193,8 +193,8 @@
 	o.wakeCommit()
 }
 
-// EarlierStopped takes in that the earlier owner gives no orders any more.
-func (o *Owner) EarlierStopped(now time.Time) {
+// PreviousOwnerStopped takes in that the earlier owner gives no orders any more.
+func (o *Owner) PreviousOwnerStopped(now time.Time) {
 	o.cell.EarlierStopped(now)
 	o.wake()
 }
--- a/internal/cellowner/plan_loop.go
+++ b/internal/cellowner/plan_loop.go
@@ -81,8 +81,8 @@
 	o.tellQuotaWaits(now)
 	o.deps.Metrics.FreeShare.Set(s.FreeShare)
 	o.deps.Metrics.WaitingTasks.Set(float64(s.WaitingTasks))
-	o.deps.Metrics.JobsNewsAge.Set(jobsNews.Seconds())
-	o.deps.Metrics.WorkersNewsAge.Set(workersNews.Seconds())
+	o.deps.Metrics.JobsUpdateAge.Set(jobsNews.Seconds())
+	o.deps.Metrics.WorkersUpdateAge.Set(workersNews.Seconds())
 }
 
 // carryOut sends an order without waiting for its answer.
--- a/internal/cellowner/quota_waits.go
+++ b/internal/cellowner/quota_waits.go
@@ -20,5 +20,5 @@
 		o.deps.Log.WithFields(logrus.Fields{"workspace": w.Workspace, "tasks": w.Tasks, "used": w.Used.String(), "unseen": w.Unseen.String(),
 			"cap": w.Cap.String(), "version": w.Version}).Info("workspace_at_quota")
 	}
-	o.deps.Metrics.QuotaTasks.Set(float64(tasks))
+	o.deps.Metrics.QuotaWaitingTasks.Set(float64(tasks))
 }
--- a/internal/cellowner/upkeep_loop.go
+++ b/internal/cellowner/upkeep_loop.go
@@ -21,10 +21,10 @@
 
 // upkeepLoop sees to the waves of upkeep until ctx ends.
 func (o *Owner) upkeepLoop(ctx context.Context) {
-	if o.deps.Upkeep.Source == nil {
+	if o.deps.Maintenance.Source == nil {
 		return
 	}
-	u := &upkeeper{owner: o, UpkeepDeps: o.deps.Upkeep, beganAt: time.Now(), trackers: map[uint64]*upkeep.Tracker{}}
+	u := &upkeeper{owner: o, MaintenanceDeps: o.deps.Maintenance, beganAt: time.Now(), trackers: map[uint64]*upkeep.Tracker{}}
 	for {
 		u.readWaves(ctx)
 		next := time.Now().Add(wavesPeriod)
--- a/internal/cellowner/upkeep_test.go
+++ b/internal/cellowner/upkeep_test.go
@@ -70,7 +70,7 @@
 type recordedLeadership struct{ lost []string }
 
 func (r *recordedLeadership) Confirmed() bool      { return true }
-func (r *recordedLeadership) Overtaken(why string) { r.lost = append(r.lost, why) }
+func (r *recordedLeadership) Superseded(why string) { r.lost = append(r.lost, why) }
 
 // upkeeperOfOne returns an upkeeper of a wave of one machine, whose worker is idle.
 func upkeeperOfOne(t *testing.T, f *smallFleet, kept *rows, l Leadership, age time.Duration) (*upkeeper, *oneWave) {
@@ -81,7 +81,7 @@
 	source := &oneWave{wave: upkeep.Wave{Number: 3, Machines: []string{"m-1"}, Within: time.Second, AtOnce: 1}}
 	f.machines = []upkeep.Machine{{Name: "m-1", Worker: "idle", Up: true}}
 	u := &upkeeper{owner: o, beganAt: time.Now().Add(-age), trackers: map[uint64]*upkeep.Tracker{},
-		UpkeepDeps: UpkeepDeps{Source: source, Fleet: f, Holder: "edge-1", HolderLease: 3 * time.Second}}
+		MaintenanceDeps: MaintenanceDeps{Source: source, Fleet: f, Holder: "edge-1", HolderLease: 3 * time.Second}}
 	o.cell.Plan(time.Now().Add(10*time.Second), cell.AdviceSlots{})
 	return u, source
 }
--- a/internal/cellowner/upkeeper.go
+++ b/internal/cellowner/upkeeper.go
@@ -12,7 +12,7 @@
 
 // upkeeper is the state of upkeepLoop.
 type upkeeper struct {
-	UpkeepDeps
+	MaintenanceDeps
 	owner    *Owner
 	beganAt  time.Time
 	trackers map[uint64]*upkeep.Tracker
@@ -59,7 +59,7 @@
 	}
 	u.owner.deps.Log.WithFields(logrus.Fields{"wave": w.Number, "machines": len(w.Machines), "at_once": w.AtOnce,
 		"within_ms": w.Within.Milliseconds(), "begun": len(had)}).Info("wave_followed")
-	u.trackers[w.Number] = upkeep.NewTracker(w, u.Lasts, had, time.Now())
+	u.trackers[w.Number] = upkeep.NewTracker(w, u.Duration, had, time.Now())
 	u.report(ctx, w.Number, false)
 }
 
@@ -167,7 +167,7 @@
 	case errors.Is(a.err, upkeep.ErrNotConcerned):
 		t.Unneeded(a.order.Machine)
 	case errors.Is(a.err, upkeep.ErrFenced):
-		u.owner.deps.Leadership.Overtaken("the fleet has seen a higher fencing token")
+		u.owner.deps.Leadership.Superseded("the fleet has seen a higher fencing token")
 	default:
 		t.Unanswered(a.order.Machine, time.Now())
 	}
--- a/internal/cellpeer/store_error.go
+++ b/internal/cellpeer/store_error.go
@@ -13,7 +13,7 @@
 // storeError tells a peer whether a write certainly did nothing (unavailable)
 // or may have taken effect (deadline exceeded).
 func storeError(err error) error {
-	if errors.Is(err, celljobs.ErrTaken) {
+	if errors.Is(err, celljobs.ErrIDTaken) {
 		return twirp.NewError(twirp.AlreadyExists, err.Error())
 	}
 	if errors.Is(err, store.ErrUnavailable) {
@@ -27,7 +27,7 @@
 func StoreErrorFrom(err error) error {
 	var remote twirp.Error
 	if errors.As(err, &remote) && remote.Code() == twirp.AlreadyExists {
-		return celljobs.ErrTaken
+		return celljobs.ErrIDTaken
 	}
 	if errors.As(err, &remote) && remote.Code() == twirp.Unavailable {
 		return fmt.Errorf("%w: %s", store.ErrUnavailable, remote.Msg())
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -88,7 +88,7 @@
 	if err != nil {
 		i.metrics.SubmitErrors.Inc()
 		i.log.WithFields(logrus.Fields{"job": r.ID, "queue": r.Queue, "took_ms": time.Since(began).Milliseconds()}).WithError(err).Info("job_not_accepted")
-		if errors.Is(err, celljobs.ErrTaken) {
+		if errors.Is(err, celljobs.ErrIDTaken) {
 			return fault.New(fault.Conflict, "job %s: %w", r.ID, err)
 		}
 		return i.storeFault(err)
--- a/internal/node/module.go
+++ b/internal/node/module.go
@@ -88,7 +88,7 @@
 func newWatched(o Outside) *store.Watched { return store.NewWatched(o.Store) }
 
 func newJobs(s Settings, w *store.Watched) *celljobs.Jobs {
-	return celljobs.New(w, theCell).Reading(celljobs.ReadersFor(s.LinkMbps))
+	return celljobs.New(w, theCell).WithReaders(celljobs.ReadersFor(s.LinkMbps))
 }
 
 func newDirectory(self cellpeer.Instance, w *store.Watched, log *logrus.Entry) *cellpeer.Directory {
@@ -104,7 +104,7 @@
 			SpareWorkers: spareWorkers, Early: s.Early, FarFactor: s.FarFactor, Without: s.Without}
 		return cellowner.New(settings, claim, cellowner.Deps{
 			Store: w, Jobs: jobs, Roster: roster.NewNamed(o.Roster(w, log), namedIn(current)), Runner: r.runner(), Advisers: advisers, Catalog: current.Get,
-			Upkeep: newUpkeep(s, o, w, log), Leadership: l, Metrics: m, AcrossPartitions: s.AcrossPartitions, Log: log,
+			Maintenance: newUpkeep(s, o, w, log), Leadership: l, Metrics: m, AcrossPartitions: s.AcrossPartitions, Log: log,
 		})
 	}
 	return cellleader.New(theCell, d, c, w, newOwner, r, log)
@@ -120,11 +120,11 @@
 }
 
 // newUpkeep returns what the owner needs for waves, or nothing where there are none.
-func newUpkeep(s Settings, o Outside, w *store.Watched, log *logrus.Entry) cellowner.UpkeepDeps {
+func newUpkeep(s Settings, o Outside, w *store.Watched, log *logrus.Entry) cellowner.MaintenanceDeps {
 	if o.Fleet == nil {
-		return cellowner.UpkeepDeps{}
+		return cellowner.MaintenanceDeps{}
 	}
-	return cellowner.UpkeepDeps{Source: o.Waves(w, log), Fleet: o.Fleet, Holder: s.Name, Lasts: s.UpkeepLasts, HolderLease: s.HolderLease}
+	return cellowner.MaintenanceDeps{Source: o.Waves(w, log), Fleet: o.Fleet, Holder: s.Name, Duration: s.UpkeepLasts, HolderLease: s.HolderLease}
 }
 
 func newIntake(jobs *celljobs.Jobs, w *store.Watched, l *cellleader.Leader, f *cellpeer.StoreFinder, c *cellpeer.Clients, set *metrics.Set, log *logrus.Entry) *intake.Intake {
