--- a/internal/cellowner/deps.go
+++ b/internal/cellowner/deps.go
@@ -18,10 +18,10 @@
 	Runner   runner.Client
 	Advisers Advisers
 	// Catalog returns the configuration in force, or nil before one is known.
-	Catalog    func() *catalog.Catalog
-	Maintenance     MaintenanceDeps
-	Leadership Leadership
-	Metrics    *Metrics
+	Catalog     func() *catalog.Catalog
+	Maintenance MaintenanceDeps
+	Leadership  Leadership
+	Metrics     *Metrics
 	// AcrossPartitions says that the store takes transactions over several partitions.
 	AcrossPartitions bool
 	Log              logrus.FieldLogger
--- a/internal/cellowner/metrics.go
+++ b/internal/cellowner/metrics.go
@@ -4,18 +4,18 @@
 
 // Metrics are the counters and histograms of owning a cell.
 type Metrics struct {
-	Starts         *metrics.Counter
-	StartErrors    *metrics.Counter
-	StartRepeats   *metrics.Counter
-	Polls          *metrics.Counter
-	PollErrors     *metrics.Counter
-	Commits        *metrics.Counter
-	CommitErrors   *metrics.Counter
-	AdviceErrors   *metrics.Counter
-	StartSeconds   *metrics.Histogram
-	CommitSeconds  *metrics.Histogram
-	AdviceSeconds  *metrics.Histogram
-	PlanSeconds    *metrics.Histogram
+	Starts          *metrics.Counter
+	StartErrors     *metrics.Counter
+	StartRepeats    *metrics.Counter
+	Polls           *metrics.Counter
+	PollErrors      *metrics.Counter
+	Commits         *metrics.Counter
+	CommitErrors    *metrics.Counter
+	AdviceErrors    *metrics.Counter
+	StartSeconds    *metrics.Histogram
+	CommitSeconds   *metrics.Histogram
+	AdviceSeconds   *metrics.Histogram
+	PlanSeconds     *metrics.Histogram
 	TakeOverSeconds *metrics.Histogram
 	// UrgentWaitSeconds and WaitSeconds are how long tasks of the most urgent queues,
 	// and of the others, waited for their first start.
@@ -38,28 +38,28 @@
 // NewMetrics registers the metrics in a set.
 func NewMetrics(set *metrics.Set) *Metrics {
 	return &Metrics{
-		Starts:         set.NewCounter("gentianstand_cell_starts_total"),
-		StartRepeats:   set.NewCounter("gentianstand_cell_start_repeats_total"),
-		StartErrors:    set.NewCounter("gentianstand_cell_start_errors_total"),
-		Polls:          set.NewCounter("gentianstand_cell_looks_total"),
-		PollErrors:     set.NewCounter("gentianstand_cell_look_errors_total"),
-		Commits:        set.NewCounter("gentianstand_cell_commits_total"),
-		CommitErrors:   set.NewCounter("gentianstand_cell_commit_errors_total"),
-		AdviceErrors:   set.NewCounter("gentianstand_cell_advice_errors_total"),
-		StartSeconds:   set.NewHistogram("gentianstand_cell_start_seconds"),
-		CommitSeconds:  set.NewHistogram("gentianstand_cell_commit_seconds"),
-		AdviceSeconds:  set.NewHistogram("gentianstand_cell_advice_seconds"),
-		PlanSeconds:    set.NewHistogram("gentianstand_cell_plan_seconds"),
+		Starts:          set.NewCounter("gentianstand_cell_starts_total"),
+		StartRepeats:    set.NewCounter("gentianstand_cell_start_repeats_total"),
+		StartErrors:     set.NewCounter("gentianstand_cell_start_errors_total"),
+		Polls:           set.NewCounter("gentianstand_cell_looks_total"),
+		PollErrors:      set.NewCounter("gentianstand_cell_look_errors_total"),
+		Commits:         set.NewCounter("gentianstand_cell_commits_total"),
+		CommitErrors:    set.NewCounter("gentianstand_cell_commit_errors_total"),
+		AdviceErrors:    set.NewCounter("gentianstand_cell_advice_errors_total"),
+		StartSeconds:    set.NewHistogram("gentianstand_cell_start_seconds"),
+		CommitSeconds:   set.NewHistogram("gentianstand_cell_commit_seconds"),
+		AdviceSeconds:   set.NewHistogram("gentianstand_cell_advice_seconds"),
+		PlanSeconds:     set.NewHistogram("gentianstand_cell_plan_seconds"),
 		TakeOverSeconds: set.NewHistogram("gentianstand_cell_take_over_seconds"),
 
-		UrgentWaitSeconds: set.NewHistogram(`gentianstand_cell_wait_seconds{urgent="true"}`),
-		WaitSeconds:       set.NewHistogram(`gentianstand_cell_wait_seconds{urgent="false"}`),
-		FreeShare:         set.NewGauge("gentianstand_cell_free_share", nil),
-		WaitingTasks:      set.NewGauge("gentianstand_cell_waiting_tasks", nil),
-		ImpossibleTasks:   set.NewGauge("gentianstand_cell_impossible_tasks", nil),
-		LongRunningTasksDown:  set.NewGauge("gentianstand_cell_lasting_tasks_away", nil),
-		QuotaWaitingTasks:        set.NewGauge("gentianstand_cell_quota_waiting_tasks", nil),
-		JobsUpdateAge:       set.NewGauge(`gentianstand_cell_news_age_seconds{of="jobs"}`, nil),
-		WorkersUpdateAge:    set.NewGauge(`gentianstand_cell_news_age_seconds{of="workers"}`, nil),
+		UrgentWaitSeconds:    set.NewHistogram(`gentianstand_cell_wait_seconds{urgent="true"}`),
+		WaitSeconds:          set.NewHistogram(`gentianstand_cell_wait_seconds{urgent="false"}`),
+		FreeShare:            set.NewGauge("gentianstand_cell_free_share", nil),
+		WaitingTasks:         set.NewGauge("gentianstand_cell_waiting_tasks", nil),
+		ImpossibleTasks:      set.NewGauge("gentianstand_cell_impossible_tasks", nil),
+		LongRunningTasksDown: set.NewGauge("gentianstand_cell_lasting_tasks_away", nil),
+		QuotaWaitingTasks:    set.NewGauge("gentianstand_cell_quota_waiting_tasks", nil),
+		JobsUpdateAge:        set.NewGauge(`gentianstand_cell_news_age_seconds{of="jobs"}`, nil),
+		WorkersUpdateAge:     set.NewGauge(`gentianstand_cell_news_age_seconds{of="workers"}`, nil),
 	}
 }
--- a/internal/cellowner/orders_test.go
+++ b/internal/cellowner/orders_test.go
@@ -42,7 +42,7 @@
 // confirmed is a leadership that holds.
 type confirmed struct{}
 
-func (confirmed) Confirmed() bool  { return true }
+func (confirmed) Confirmed() bool   { return true }
 func (confirmed) Superseded(string) {}
 
 // ownerOfOne returns an owner with one task to start on one worker.
--- a/internal/cellowner/upkeep_test.go
+++ b/internal/cellowner/upkeep_test.go
@@ -69,7 +69,7 @@
 // recordedLeadership notes why the ownership was given up.
 type recordedLeadership struct{ lost []string }
 
-func (r *recordedLeadership) Confirmed() bool      { return true }
+func (r *recordedLeadership) Confirmed() bool       { return true }
 func (r *recordedLeadership) Superseded(why string) { r.lost = append(r.lost, why) }
 
 // upkeeperOfOne returns an upkeeper of a wave of one machine, whose worker is idle.
