--- a/internal/cellowner/orders_test.go
+++ b/internal/cellowner/orders_test.go
@@ -42,8 +42,8 @@
 // confirmed is a leadership that holds.
 type confirmed struct{}
 
-func (confirmed) Confirmed() bool  { return true }
-func (confirmed) Overtaken(string) {}
+func (confirmed) Confirmed() bool   { return true }
+func (confirmed) Superseded(string) {}
 
 // ownerOfOne returns an owner with one task to start on one worker.
 func ownerOfOne(t *testing.T, client runner.Client) (*Owner, cell.StartOrder) {
