--- a/internal/admission/book.go
+++ b/internal/admission/book.go
@@ -58,7 +58,7 @@
 // no use, and their callers would not know. That is the less urgent queues first, and of
 // each queue the shortest jobs. What lasts, or is for later, has no such time.
 func (b *Book) Refuse(r *job.Record, now time.Time) (retryAfter time.Duration, refuse bool) {
-	if r.Schedule != nil || r.Lasts() {
+	if r.Schedule != nil || r.LongRunning() {
 		return 0, false
 	}
 	excess := b.Wait(r.Service, r.Priority, now) - time.Duration(lateFactor*float64(r.Objective()))
--- a/internal/cell/adopt.go
+++ b/internal/cell/adopt.go
@@ -97,8 +97,8 @@
 		a.changedAt = now
 	}
 	a.gauge = r.Gauge
-	if r.Saved != "" {
-		a.task.keep(r.Saved)
+	if r.Checkpoint != "" {
+		a.task.keep(r.Checkpoint)
 	}
 }
 
--- a/internal/cell/answers.go
+++ b/internal/cell/answers.go
@@ -26,7 +26,7 @@
 		c.confirmed(a, now)
 	case errors.As(err, &refusal):
 		c.refused(a, refusal, now)
-	case errors.Is(err, runner.ErrGone):
+	case errors.Is(err, runner.ErrIncarnationGone):
 		// The worker's next look finds the same and drops all its runs.
 		c.drop(a, "worker_replaced", now)
 	default:
@@ -67,7 +67,7 @@
 	switch refusal.Reason {
 	case runner.BadTicket:
 		s.advice.expire(a.worker)
-	case runner.Unhealthy, runner.NoRoom:
+	case runner.Unhealthy, runner.InsufficientCapacity:
 		a.worker.health.refused(now)
 	case runner.RunTooOld:
 		// The worker knows this run or a higher one, which a report will show.
--- a/internal/cell/ask.go
+++ b/internal/cell/ask.go
@@ -186,7 +186,7 @@
 		c.log.WithField("stage", stage.String()).WithError(err).Info("advice_failed")
 		return
 	}
-	until := now.Add(j.record.Advice.Valid - ticketMargin)
+	until := now.Add(j.record.Advice.TicketTTL - ticketMargin)
 	// What was asked of the life before does not hold for a worker that has restarted since.
 	for _, id := range asked {
 		if w := c.workers[id]; w != nil && !w.knownSince.After(askedAt) {
--- a/internal/cell/ask_bench_test.go
+++ b/internal/cell/ask_bench_test.go
@@ -20,7 +20,7 @@
 			}
 			s := job.Step{Count: 10, Need: resource.Amount{MilliCPU: 4000, MemoryMiB: 100}, Estimate: time.Second}
 			r := &job.Record{ID: fmt.Sprintf("%016x", 1), Queue: "q", Service: "desk", MaxAttempts: 3, Stretch: 2,
-				AcceptedAt: siteStart, Steps: []job.Step{s}, Advice: &job.AdviceCost{PerCall: time.Second, Valid: time.Minute}}
+				AcceptedAt: siteStart, Steps: []job.Step{s}, Advice: &job.AdviceCost{PerCall: time.Second, TicketTTL: time.Minute}}
 			c.Add(r, true)
 			now := siteStart.Add(time.Second)
 			room := c.newRoom(now)
--- a/internal/cell/ask_held_test.go
+++ b/internal/cell/ask_held_test.go
@@ -41,7 +41,7 @@
 	lasting := step(1)
 	lasting.LongRunning = true
 	r := s.record(1, lasting)
-	r.Advice = &job.AdviceCost{PerCall: 560 * time.Millisecond, PerWorker: 8 * time.Millisecond, Valid: 2 * time.Second}
+	r.Advice = &job.AdviceCost{PerCall: 560 * time.Millisecond, PerWorker: 8 * time.Millisecond, TicketTTL: 2 * time.Second}
 	s.cell.Load(r, nil)
 	began, limit := s.now, s.cell.unseenLimit()
 	asks := &adviser{site: s}
@@ -86,7 +86,7 @@
 // lastingOnA starts the lasting task of an advised job on worker a, the only one that reports.
 func (s *site) lastingOnA() (*adviser, *job.Record) {
 	r := s.record(1, lasting(1, 0))
-	r.Advice = &job.AdviceCost{PerCall: 560 * time.Millisecond, PerWorker: 8 * time.Millisecond, Valid: 2 * time.Second}
+	r.Advice = &job.AdviceCost{PerCall: 560 * time.Millisecond, PerWorker: 8 * time.Millisecond, TicketTTL: 2 * time.Second}
 	asks := &adviser{site: s}
 	s.report("a")
 	s.cell.Add(r, true)
--- a/internal/cell/ask_order.go
+++ b/internal/cell/ask_order.go
@@ -71,7 +71,7 @@
 		return -1
 	case b.near && !a.near:
 		return 1
-	case o.stage.step.Fills && a.w.servers != b.w.servers:
+	case o.stage.step.BestEffort && a.w.servers != b.w.servers:
 		return cmp.Compare(a.w.servers, b.w.servers)
 	}
 	return cmp.Or(cmp.Compare(b.takes, a.takes), cmp.Compare(a.lot, b.lot))
--- a/internal/cell/ask_test.go
+++ b/internal/cell/ask_test.go
@@ -13,7 +13,7 @@
 
 // advised makes a record need tickets.
 func advised(r *job.Record, perCall time.Duration) *job.Record {
-	r.Advice = &job.AdviceCost{PerCall: perCall, Valid: 2 * time.Second}
+	r.Advice = &job.AdviceCost{PerCall: perCall, TicketTTL: 2 * time.Second}
 	return r
 }
 
@@ -158,7 +158,7 @@
 	settings := Settings{Term: 1, Lease: 3500 * time.Millisecond, Waited: func(_ int, d time.Duration) { waited = append(waited, d) }}
 	s := newSiteWith(t, settings, usualWorker("a"))
 	two := s.record(1, step(1), step(1))
-	two.Steps[1].After = []int{0}
+	two.Steps[1].DependsOn = []int{0}
 	s.cell.Add(two, true)
 	s.plan()
 	s.pass(300 * time.Millisecond)
@@ -166,7 +166,7 @@
 	for _, o := range s.plan() {
 		s.confirm(o)
 		s.pass(time.Second)
-		s.finish(o, runner.FailedRun)
+		s.finish(o, runner.Failed)
 		s.report("a")
 	}
 	for _, o := range s.plan() {
--- a/internal/cell/bench_test.go
+++ b/internal/cell/bench_test.go
@@ -44,7 +44,7 @@
 	for n := range waiting {
 		s := job.Step{Count: 10, Need: resource.Amount{MilliCPU: 4000, MemoryMiB: 100}, Estimate: time.Second}
 		r := &job.Record{ID: fmt.Sprintf("%016x", n), Queue: "q", Service: "desk", Priority: 2, MaxAttempts: 3, Stretch: 2,
-			AcceptedAt: siteStart, Steps: []job.Step{s}, Advice: &job.AdviceCost{PerCall: time.Second, Valid: time.Minute}}
+			AcceptedAt: siteStart, Steps: []job.Step{s}, Advice: &job.AdviceCost{PerCall: time.Second, TicketTTL: time.Minute}}
 		if workspaces > 0 {
 			r.Workspace = fmt.Sprint(n % workspaces)
 		}
--- a/internal/cell/cell.go
+++ b/internal/cell/cell.go
@@ -59,7 +59,7 @@
 	questions questions
 	known     knownWorkers
 	// gone are the incarnations that have ended and that the roster may still list, by id.
-	gone map[string]runner.Born
+	gone map[string]runner.Incarnation
 	// missing are jobs that workers report and the cell does not know; absent are
 	// those of them that the store does not have either.
 	missing map[string]struct{}
@@ -85,7 +85,7 @@
 		settings: s, log: log, began: now, recovering: true,
 		jobs: map[string]*jobState{}, active: map[string]*jobState{},
 		workers: map[string]*worker{}, waiting: map[*stage]struct{}{}, dirty: map[*jobState]struct{}{},
-		known: newKnownWorkers(), questions: questions{}, gone: map[string]runner.Born{}, missing: map[string]struct{}{}, absent: map[string]struct{}{},
+		known: newKnownWorkers(), questions: questions{}, gone: map[string]runner.Incarnation{}, missing: map[string]struct{}{}, absent: map[string]struct{}{},
 		lost: map[string]*lostWorker{}, isolated: map[*attempt]struct{}{},
 		durations: durations{mean: map[string]time.Duration{}}, quotas: quota.NewLedger(),
 	}
--- a/internal/cell/commit_test.go
+++ b/internal/cell/commit_test.go
@@ -17,7 +17,7 @@
 		r := s.record(n+1, step(1))
 		if n%4 > 0 {
 			r.Steps = append(r.Steps, step(1))
-			r.Steps[1].After = []int{0}
+			r.Steps[1].DependsOn = []int{0}
 		} else {
 			ended = append(ended, r.ID)
 		}
--- a/internal/cell/copies_test.go
+++ b/internal/cell/copies_test.go
@@ -131,7 +131,7 @@
 	only.AllowDuplicates = true
 	r := s.record(1, only, step(1))
 	r.MaxAttempts = 1
-	r.Steps[1].After = []int{0}
+	r.Steps[1].DependsOn = []int{0}
 	s.cell.Add(r, true)
 	var o StartOrder
 	for _, o = range s.plan() {
@@ -142,7 +142,7 @@
 	s.confirm(second)
 	s.finish(second, runner.Done)
 	s.report("b")
-	s.finish(o, runner.FailedRun)
+	s.finish(o, runner.Failed)
 	s.report("a")
 	s.plan()
 	s.commit()
--- a/internal/cell/crash_blame_test.go
+++ b/internal/cell/crash_blame_test.go
@@ -126,7 +126,7 @@
 	s.report("b")
 	order := s.plan()[r.ID+".0.0.0"]
 	s.cell.StartAnswered(order, runner.Answer{}, &runner.Refusal{Reason: runner.Unhealthy}, s.now)
-	s.cell.LookFailed(order.Worker.ID, runner.ErrGone, s.now)
+	s.cell.LookFailed(order.Worker.ID, runner.ErrIncarnationGone, s.now)
 	if got := s.cell.jobs[r.ID].stages[0].tasks[0].crashes.losses(); got != 0 {
 		t.Errorf("%d lost workers count for the task, want none", got)
 	}
--- a/internal/cell/crash_worker_test.go
+++ b/internal/cell/crash_worker_test.go
@@ -32,7 +32,7 @@
 		}
 	case state.cut && w.now.After(state.lease):
 		for task, r := range maps.Clone(worker.runs) {
-			worker.end(task, r.run, runner.Lapsed)
+			worker.end(task, r.run, runner.LeaseExpired)
 		}
 	default:
 		w.work(worker)
@@ -66,7 +66,7 @@
 	for _, worker := range w.workers {
 		for task, r := range maps.Clone(worker.runs) {
 			if id, err := job.ParseTaskID(task); err == nil && broken[id.Job] {
-				worker.end(task, r.run, runner.Broken)
+				worker.end(task, r.run, runner.GangBroken)
 			}
 		}
 	}
@@ -77,7 +77,7 @@
 	old := w.workers[id]
 	w.lives++
 	r := old.roster
-	r.Born = runner.Born(w.now.UnixMilli())
+	r.Incarnation = runner.Incarnation(w.now.UnixMilli())
 	if w.sameIDs {
 		w.workers[id] = &loadWorker{roster: r, runs: map[string]*loadRun{}, startedAt: w.now}
 		w.states[id] = &crashWorker{lease: w.now}
@@ -112,11 +112,11 @@
 	switch {
 	case !ok:
 	case state.replaced && !w.elsewhere:
-		w.cell.LookFailed(id, runner.ErrGone, w.now)
+		w.cell.LookFailed(id, runner.ErrIncarnationGone, w.now)
 	case state.cut || !state.backAt.IsZero():
 		w.cell.LookFailed(id, runner.ErrNoAnswer, w.now)
 	default:
-		if look.LeaseUntil != nil && target.Born == w.workers[id].roster.Born {
+		if look.LeaseUntil != nil && target.Incarnation == w.workers[id].roster.Incarnation {
 			w.grant(id, *look.LeaseUntil)
 		}
 		w.report(w.workers[id])
@@ -142,8 +142,8 @@
 		w.cell.StartAnswered(order, runner.Answer{}, &runner.Refusal{Reason: runner.Unhealthy}, w.now)
 		return
 	}
-	if order.Worker.Born != w.workers[id].roster.Born {
-		w.cell.StartAnswered(order, runner.Answer{}, runner.ErrGone, w.now)
+	if order.Worker.Incarnation != w.workers[id].roster.Incarnation {
+		w.cell.StartAnswered(order, runner.Answer{}, runner.ErrIncarnationGone, w.now)
 		return
 	}
 	w.grant(id, order.Start.LeaseUntil)
--- a/internal/cell/ends.go
+++ b/internal/cell/ends.go
@@ -22,28 +22,28 @@
 		return true
 	}
 	a := t.find(w, e.Run)
-	if e.Saved != "" {
-		t.keep(e.Saved)
+	if e.Checkpoint != "" {
+		t.keep(e.Checkpoint)
 		if a != nil {
 			t.percent = max(t.percent, a.percent)
 		}
 	}
 	t.lastRun = max(t.lastRun, e.Run)
-	if e.How != runner.Done && e.How != runner.Stopped {
-		c.log.WithFields(logrus.Fields{"task": e.Task, "run": e.Run, "worker": w.ID, "how": e.How, "failures": t.failures()}).Info("run_ended")
+	if e.Kind != runner.Done && e.Kind != runner.Stopped {
+		c.log.WithFields(logrus.Fields{"task": e.Task, "run": e.Run, "worker": w.ID, "how": e.Kind, "failures": t.failures()}).Info("run_ended")
 	}
-	switch e.How {
+	switch e.Kind {
 	case runner.Done:
 		c.runDone(t, a, w, now)
-	case runner.FailedRun:
+	case runner.Failed:
 		c.clearCrashes(t)
 		c.taskFailed(t, w, e.Run, now)
 	}
 	c.dirty[t.stage.job] = struct{}{}
 	if a != nil {
-		c.drop(a, string(e.How), now)
+		c.drop(a, string(e.Kind), now)
 	}
-	if e.How != runner.Done && t.stage.step.Gang {
+	if e.Kind != runner.Done && t.stage.step.Gang {
 		c.breakGang(t.stage, now)
 	}
 	c.finish(t.stage.job, now)
@@ -70,7 +70,7 @@
 // and did not resume from a checkpoint.
 func (c *Cell) noteDuration(a *attempt, now time.Time) {
 	step := a.task.stage.step
-	if a.fromStart && !step.LongRunning && !step.Gang && !step.Fills {
+	if a.fromStart && !step.LongRunning && !step.Gang && !step.BestEffort {
 		if a.elapsed(now) > suspectFactor*c.usualDuration(a) {
 			c.blameWorker(a, now)
 		}
--- a/internal/cell/evacuate.go
+++ b/internal/cell/evacuate.go
@@ -79,7 +79,7 @@
 // several.
 func (c *Cell) mayEnd(a *attempt) bool {
 	s := a.task.stage
-	if !s.step.LongRunning || s.step.MayMiss == 0 {
+	if !s.step.LongRunning || s.step.MaxUnavailable == 0 {
 		return true
 	}
 	away := 0
@@ -88,7 +88,7 @@
 			away++
 		}
 	}
-	return away < s.step.MayMiss
+	return away < s.step.MaxUnavailable
 }
 
 // works reports whether a lasting task is at work, as far as its worker has told.
--- a/internal/cell/evacuate_test.go
+++ b/internal/cell/evacuate_test.go
@@ -11,7 +11,7 @@
 // lasting returns a step of lasting tasks, one on a worker, of which some may be away.
 func lasting(count, mayMiss int) job.Step {
 	s := step(count)
-	s.LongRunning, s.MayMiss, s.MaxPerWorker = true, mayMiss, 1
+	s.LongRunning, s.MaxUnavailable, s.MaxPerWorker = true, mayMiss, 1
 	return s
 }
 
--- a/internal/cell/job_state.go
+++ b/internal/cell/job_state.go
@@ -43,7 +43,7 @@
 		}
 		for i := range r.Steps {
 			s := j.stages[k*steps+i]
-			for _, before := range r.Steps[i].After {
+			for _, before := range r.Steps[i].DependsOn {
 				s.after = append(s.after, j.stages[k*steps+before])
 			}
 		}
--- a/internal/cell/known_worker.go
+++ b/internal/cell/known_worker.go
@@ -14,7 +14,7 @@
 	// were starting.
 	Suspects []KnownRun `cbor:"5,keyasint,omitempty"`
 	// Born is the incarnation that all this is said of, or 0 if it was not known.
-	Born runner.Born `cbor:"6,keyasint,omitempty"`
+	Born runner.Incarnation `cbor:"6,keyasint,omitempty"`
 	// LeaseLeftMillis is how long leases on the worker may last from when this was stored,
 	// told by the owner of Term at the end of its term. It is 0 if no owner told.
 	LeaseLeftMillis int64  `cbor:"7,keyasint,omitempty"`
--- a/internal/cell/known_workers.go
+++ b/internal/cell/known_workers.go
@@ -37,7 +37,7 @@
 	for _, k := range workers {
 		w := c.workers[k.ID]
 		if w == nil {
-			w = newWorker(roster.Worker{ID: k.ID, Born: k.Born, Address: k.Address}, now)
+			w = newWorker(roster.Worker{ID: k.ID, Incarnation: k.Born, Address: k.Address}, now)
 			c.workers[k.ID] = w
 			c.unregister(w, now)
 		}
--- a/internal/cell/lasting_advice_test.go
+++ b/internal/cell/lasting_advice_test.go
@@ -27,7 +27,7 @@
 // priority 1 that has run for ten seconds, and room on all workers.
 func lastingLoad(t *testing.T) (l *load, lasts string) {
 	l = newLoad(t, 8)
-	cost := &job.AdviceCost{PerCall: 500 * time.Millisecond, PerWorker: 8 * time.Millisecond, Valid: 2 * time.Second}
+	cost := &job.AdviceCost{PerCall: 500 * time.Millisecond, PerWorker: 8 * time.Millisecond, TicketTTL: 2 * time.Second}
 	l.advice = map[string]*job.AdviceCost{"watch": cost, "work": cost}
 	l.adviser.lanes = AdviceSlots{Quick: 2, Any: 5}
 	l.workOf = func(id job.TaskID, _ *loadWorker) time.Duration {
@@ -59,7 +59,7 @@
 	task := job.TaskID{Job: id}.String()
 	for _, w := range l.workers {
 		if r := w.runs[task]; r != nil {
-			w.end(task, r.run, runner.FailedRun)
+			w.end(task, r.run, runner.Failed)
 			return
 		}
 	}
--- a/internal/cell/lasting_came_back_test.go
+++ b/internal/cell/lasting_came_back_test.go
@@ -28,7 +28,7 @@
 	}
 	s.commit()
 	r := s.lastingRecord(1, 4000)
-	r.Advice = &job.AdviceCost{PerCall: 560 * time.Millisecond, PerWorker: 8 * time.Millisecond, Valid: 2 * time.Second}
+	r.Advice = &job.AdviceCost{PerCall: 560 * time.Millisecond, PerWorker: 8 * time.Millisecond, TicketTTL: 2 * time.Second}
 	s.cell.Add(r, true)
 	hear := func() {
 		for _, w := range workers {
--- a/internal/cell/lasting_failures_test.go
+++ b/internal/cell/lasting_failures_test.go
@@ -15,7 +15,7 @@
 	for n := range failures {
 		s.report("a")
 		s.runs["a"] = nil
-		s.ends["a"] = append(s.ends["a"], runner.End{Sequence: uint64(n + 1), Task: o.Start.Task, Run: o.Start.Run, How: runner.FailedRun})
+		s.ends["a"] = append(s.ends["a"], runner.End{Sequence: uint64(n + 1), Task: o.Start.Task, Run: o.Start.Run, Kind: runner.Failed})
 		var ok bool
 		for range 20 {
 			if o, ok = s.look("a")[o.Start.Task]; ok {
--- a/internal/cell/lasting_given_up_test.go
+++ b/internal/cell/lasting_given_up_test.go
@@ -23,7 +23,7 @@
 		}
 		s.confirm(o)
 		s.pass(after)
-		s.cell.LookFailed(o.Worker.ID, runner.ErrGone, s.now)
+		s.cell.LookFailed(o.Worker.ID, runner.ErrIncarnationGone, s.now)
 		s.runs[o.Worker.ID] = nil
 		starts = s.look(s.cell.WorkerIDs()...)
 	}
--- a/internal/cell/lasting_load_test.go
+++ b/internal/cell/lasting_load_test.go
@@ -37,10 +37,10 @@
 	l.rnd = rand.New(rand.NewSource(seed))
 	const valid = 2 * time.Second
 	l.advice = map[string]*job.AdviceCost{
-		"watch":  {PerCall: 560 * time.Millisecond, PerWorker: 8 * time.Millisecond, Valid: valid},
-		"urgent": {PerCall: 15 * time.Millisecond, PerWorker: time.Millisecond, Valid: valid},
-		"slow":   {PerCall: 530 * time.Millisecond, PerWorker: 5 * time.Millisecond, Valid: valid},
-		"batch":  {PerCall: 60 * time.Millisecond, PerWorker: 2 * time.Millisecond, Valid: valid},
+		"watch":  {PerCall: 560 * time.Millisecond, PerWorker: 8 * time.Millisecond, TicketTTL: valid},
+		"urgent": {PerCall: 15 * time.Millisecond, PerWorker: time.Millisecond, TicketTTL: valid},
+		"slow":   {PerCall: 530 * time.Millisecond, PerWorker: 5 * time.Millisecond, TicketTTL: valid},
+		"batch":  {PerCall: 60 * time.Millisecond, PerWorker: 2 * time.Millisecond, TicketTTL: valid},
 	}
 	l.adviser.lanes = AdviceSlots{Quick: 4, Any: lanes}
 	l.adviser.goodPercent = 30
@@ -88,7 +88,7 @@
 	task := job.TaskID{Job: jobs[l.rnd.Intn(len(jobs))], Index: l.rnd.Intn(6)}.String()
 	for _, w := range l.workers {
 		if r := w.runs[task]; r != nil {
-			w.end(task, r.run, runner.FailedRun)
+			w.end(task, r.run, runner.Failed)
 		}
 	}
 }
--- a/internal/cell/lasting_retry_test.go
+++ b/internal/cell/lasting_retry_test.go
@@ -58,7 +58,7 @@
 
 // fail ends the run of a job's task.
 func (w *lastingWorld) fail(id string) {
-	w.finish(w.starts[id], runner.FailedRun)
+	w.finish(w.starts[id], runner.Failed)
 	delete(w.starts, id)
 	w.away[id] = w.now
 }
--- a/internal/cell/lasting_site_test.go
+++ b/internal/cell/lasting_site_test.go
@@ -62,7 +62,7 @@
 // failAndAwait fails a run and checks that its task is not away for long.
 func (s *site) failAndAwait(o StartOrder, each func(), workers ...string) {
 	s.t.Helper()
-	s.finish(o, runner.FailedRun)
+	s.finish(o, runner.Failed)
 	if away := s.awayFor(o, 20*time.Second, each, workers...); away > longestAway {
 		s.t.Errorf("the lasting task was away for %v", away)
 	}
--- a/internal/cell/lease_test.go
+++ b/internal/cell/lease_test.go
@@ -134,7 +134,7 @@
 	s.confirm(s.plan()[r.ID+".0.0.0"])
 	s.report("a")
 	s.report("b")
-	s.cell.LookFailed("a", runner.ErrGone, s.now)
+	s.cell.LookFailed("a", runner.ErrIncarnationGone, s.now)
 	if o, ok := s.plan()[r.ID+".0.0.0"]; !ok || o.Worker.ID != "b" {
 		t.Error("the task was not started at once on the other worker")
 	}
--- a/internal/cell/life.go
+++ b/internal/cell/life.go
@@ -10,11 +10,11 @@
 // one, which counts its ends and its time anew.
 type life struct {
 	// incarnation names it, or is 0 before the worker has told.
-	incarnation runner.Born
+	incarnation runner.Incarnation
 	// knownSince is when the cell learned of it. before is the one in whose place it came,
 	// or 0.
 	knownSince time.Time
-	before     runner.Born
+	before     runner.Incarnation
 	// reported says that it answered a look under this ownership since it was
 	// last taken as lapsed; its books are complete only then.
 	reported   bool
--- a/internal/cell/load_world_test.go
+++ b/internal/cell/load_world_test.go
@@ -143,7 +143,7 @@
 		case !r.stop.IsZero() && !l.now.Before(r.stop):
 			w.endSaved(task, r.run, runner.Stopped, r.saved(l.now))
 		case w.failing:
-			w.end(task, r.run, runner.FailedRun)
+			w.end(task, r.run, runner.Failed)
 		case !l.now.Before(r.endsAt):
 			w.end(task, r.run, runner.Done)
 		}
@@ -157,7 +157,7 @@
 func (w *loadWorker) endSaved(task string, run uint64, how runner.EndKind, saved string) {
 	delete(w.runs, task)
 	w.sequence++
-	w.ends = append(w.ends, runner.End{Sequence: w.sequence, Task: task, Run: run, How: how, Saved: saved})
+	w.ends = append(w.ends, runner.End{Sequence: w.sequence, Task: task, Run: run, Kind: how, Checkpoint: saved})
 }
 
 func (l *load) report(w *loadWorker) {
@@ -166,21 +166,21 @@
 		return
 	}
 	if w.gone {
-		l.cell.LookFailed(w.roster.ID, runner.ErrGone, l.now)
+		l.cell.LookFailed(w.roster.ID, runner.ErrIncarnationGone, l.now)
 		return
 	}
 	if l.now.Before(w.downUntil) {
 		l.cell.LookFailed(w.roster.ID, runner.ErrNoAnswer, l.now)
 		return
 	}
-	if target.Born == w.roster.Born {
+	if target.Incarnation == w.roster.Incarnation {
 		l.forget(w, look.Acknowledged)
 	}
-	report := runner.Report{Born: w.roster.Born, Clock: w.clock(l.now), Ended: w.ends}
+	report := runner.Report{Incarnation: w.roster.Incarnation, Clock: w.clock(l.now), Ended: w.ends}
 	for _, task := range slices.Sorted(maps.Keys(w.runs)) {
 		r := w.runs[task]
 		percent := int(100 * l.now.Sub(r.began) / max(1, r.endsAt.Sub(r.began)))
-		report.Running = append(report.Running, runner.RunState{Task: task, Run: r.run, Saved: r.saved(l.now), Percent: min(percent, 99)})
+		report.Running = append(report.Running, runner.RunState{Task: task, Run: r.run, Checkpoint: r.saved(l.now), Percent: min(percent, 99)})
 	}
 	l.cell.Reported(w.roster.ID, report, l.now, l.now)
 }
@@ -191,7 +191,7 @@
 		if e.Sequence > through {
 			return false
 		}
-		if e.How == runner.Done {
+		if e.Kind == runner.Done {
 			l.acknowledged[e.Task] = true
 		}
 		return true
@@ -204,8 +204,8 @@
 	switch {
 	case l.now.Before(w.downUntil):
 		return runner.ErrNoAnswer
-	case w.gone, to.Born != w.roster.Born:
-		return runner.ErrGone
+	case w.gone, to.Incarnation != w.roster.Incarnation:
+		return runner.ErrIncarnationGone
 	}
 	return nil
 }
@@ -252,8 +252,8 @@
 // newRun begins a run, from its checkpoint if it has one.
 func (l *load) newRun(order StartOrder, w *loadWorker) *loadRun {
 	r := &loadRun{run: order.Start.Run, began: l.now, saves: l.cell.jobs[order.Task.Job].record.Steps[order.Task.Step].Checkpoint}
-	if order.Start.Saved != "" {
-		resumed, err := time.ParseDuration(order.Start.Saved)
+	if order.Start.Checkpoint != "" {
+		resumed, err := time.ParseDuration(order.Start.Checkpoint)
 		if err != nil {
 			l.t.Fatal(err)
 		}
--- a/internal/cell/looks.go
+++ b/internal/cell/looks.go
@@ -11,14 +11,14 @@
 
 // NextLook returns where and how to look at a worker next; ok is false if the
 // worker is no longer known, or parked.
-func (c *Cell) NextLook(id string, now time.Time) (target runner.Target, look runner.Look, ok bool) {
+func (c *Cell) NextLook(id string, now time.Time) (target runner.Target, look runner.Poll, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	w := c.workers[id]
 	if w == nil || w.parked {
 		return target, look, false
 	}
-	look = runner.Look{Token: c.settings.Term, Acknowledged: w.acked}
+	look = runner.Poll{Token: c.settings.Term, Acknowledged: w.acked}
 	if w.clockAt.IsZero() || !w.failingAt.IsZero() {
 		// A look without an answer may have been carried out. If each one carried
 		// a later lease end, the lease of a lost worker would never be over.
@@ -63,7 +63,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	w := c.workers[id]
-	if w == nil || w.parked || !c.heardFrom(w, report.Born, sentAt, now) {
+	if w == nil || w.parked || !c.heardFrom(w, report.Incarnation, sentAt, now) {
 		return
 	}
 	if w.clockAt.IsZero() {
@@ -141,7 +141,7 @@
 }
 
 // listIsFull reports whether a worker may have more ends than it lists.
-func listIsFull(report runner.Report) bool { return len(report.Ended) >= runner.MostListed }
+func listIsFull(report runner.Report) bool { return len(report.Ended) >= runner.MaxReportedEnds }
 
 // notShown deals with a booked run that a report, which lists some ends, does not show.
 func (c *Cell) notShown(a *attempt, listed int, sentAt, now time.Time) {
@@ -167,7 +167,7 @@
 	if w == nil || w.parked {
 		return
 	}
-	if errors.Is(err, runner.ErrGone) {
+	if errors.Is(err, runner.ErrIncarnationGone) {
 		if c.lost[w.ID] == nil {
 			c.noteSuspects(w, now)
 		}
--- a/internal/cell/many_ends_test.go
+++ b/internal/cell/many_ends_test.go
@@ -15,7 +15,7 @@
 func (s *site) reportSome(id string) {
 	acked := s.cell.workers[id].acked
 	all := slices.DeleteFunc(s.ends[id], func(e runner.End) bool { return e.Sequence <= acked })
-	s.ends[id] = slices.Clone(all[:min(len(all), runner.MostListed)])
+	s.ends[id] = slices.Clone(all[:min(len(all), runner.MaxReportedEnds)])
 	s.report(id)
 	s.ends[id] = all
 }
@@ -31,10 +31,10 @@
 func TestRunWhoseEndIsNotListedYetIsNotTakenForLost(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
-	r := s.record(1, small(runner.MostListed+1))
+	r := s.record(1, small(runner.MaxReportedEnds+1))
 	starts := s.started(r)
-	last := starts[fmt.Sprintf("%s.0.0.%d", r.ID, runner.MostListed)]
-	for n := range runner.MostListed {
+	last := starts[fmt.Sprintf("%s.0.0.%d", r.ID, runner.MaxReportedEnds)]
+	for n := range runner.MaxReportedEnds {
 		s.finish(starts[fmt.Sprintf("%s.0.0.%d", r.ID, n)], runner.Done)
 	}
 	s.pass(time.Second)
@@ -69,8 +69,8 @@
 func TestNewOwnerWaitsForAllEndsOfAWorker(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
-	r := s.record(1, small(runner.MostListed+1))
-	for n := range runner.MostListed + 1 {
+	r := s.record(1, small(runner.MaxReportedEnds+1))
+	for n := range runner.MaxReportedEnds + 1 {
 		s.end("a", fmt.Sprintf("%s.0.0.%d", r.ID, n), 1, runner.Done)
 	}
 	next := newSite(t, 2, usualWorker("a"))
--- a/internal/cell/model_ends_test.go
+++ b/internal/cell/model_ends_test.go
@@ -24,7 +24,7 @@
 		case r.stop:
 			how = runner.Stopped
 		case rapid.IntRange(0, 4).Draw(m.rt, "fails") == 0:
-			how = runner.FailedRun
+			how = runner.Failed
 		}
 		w.end(task, r.run, how)
 		return
--- a/internal/cell/model_jobs_test.go
+++ b/internal/cell/model_jobs_test.go
@@ -15,7 +15,7 @@
 		Steps: []job.Step{step(rapid.IntRange(1, 3).Draw(m.rt, "tasks"))}}
 	if rapid.Bool().Draw(m.rt, "two steps") {
 		second := step(1)
-		second.After = []int{0}
+		second.DependsOn = []int{0}
 		r.Steps = append(r.Steps, second)
 	}
 	m.records = append(m.records, r)
--- a/internal/cell/model_lasting_test.go
+++ b/internal/cell/model_lasting_test.go
@@ -94,7 +94,7 @@
 			continue
 		}
 		task := slices.Min(slices.Collect(maps.Keys(w.runs)))
-		how := runner.FailedRun
+		how := runner.Failed
 		if w.runs[task].stop {
 			how = runner.Stopped
 		}
--- a/internal/cell/model_orders_test.go
+++ b/internal/cell/model_orders_test.go
@@ -46,8 +46,8 @@
 		if w.roster.ID != to.ID {
 			continue
 		}
-		if w.roster.Born != to.Born {
-			answer(runner.ErrGone)
+		if w.roster.Incarnation != to.Incarnation {
+			answer(runner.ErrIncarnationGone)
 			continue
 		}
 		if w.cut && fate < 4 {
--- a/internal/cell/model_restart_test.go
+++ b/internal/cell/model_restart_test.go
@@ -37,7 +37,7 @@
 		return
 	}
 	r := m.stale[len(m.stale)-1]
-	m.rt.Logf("%v stale entry of %s, born %d", m.now.Sub(siteStart), r.ID, r.Born)
+	m.rt.Logf("%v stale entry of %s, born %d", m.now.Sub(siteStart), r.ID, r.Incarnation)
 	m.current().cell.register(r, m.now)
 }
 
@@ -52,9 +52,9 @@
 	if rapid.IntRange(0, 3).Draw(m.rt, "clock set back") == 0 {
 		born = siteStart.Add(-time.Duration(m.restarts) * time.Second)
 	}
-	r.Born = runner.Born(born.UnixMilli())
+	r.Incarnation = runner.Incarnation(born.UnixMilli())
 	m.workers[n] = m.newWorker(r)
-	m.rt.Logf("%v %s starts again, born %d", m.now.Sub(siteStart), r.ID, r.Born)
+	m.rt.Logf("%v %s starts again, born %d", m.now.Sub(siteStart), r.ID, r.Incarnation)
 	if rapid.Bool().Draw(m.rt, "registers") {
 		m.current().cell.register(r, m.now)
 	}
--- a/internal/cell/model_test.go
+++ b/internal/cell/model_test.go
@@ -106,7 +106,7 @@
 }
 
 func (m *model) acknowledged(e runner.End) {
-	if e.How == runner.Done {
+	if e.Kind == runner.Done {
 		m.done[e.Task] = true
 	}
 }
@@ -237,7 +237,7 @@
 	if !ok {
 		return
 	}
-	report, err := w.look(target.Born, look)
+	report, err := w.look(target.Incarnation, look)
 	m.rt.Logf("%v term %d: look at %s lost %v: %v %v", m.now.Sub(siteStart), o.cell.settings.Term, w.roster.ID, lost, report, err)
 	if (lost || w.cut) && w.alive {
 		err = runner.ErrNoAnswer
--- a/internal/cell/model_worker_test.go
+++ b/internal/cell/model_worker_test.go
@@ -47,7 +47,7 @@
 		return
 	}
 	for _, task := range slices.Sorted(maps.Keys(w.runs)) {
-		w.end(task, w.runs[task].run, runner.Lapsed)
+		w.end(task, w.runs[task].run, runner.LeaseExpired)
 	}
 	w.lapsedThrough = w.sequence
 }
@@ -55,17 +55,17 @@
 func (w *modelWorker) end(task string, run uint64, how runner.EndKind) {
 	delete(w.runs, task)
 	w.sequence++
-	w.ends = append(w.ends, runner.End{Sequence: w.sequence, Task: task, Run: run, How: how})
+	w.ends = append(w.ends, runner.End{Sequence: w.sequence, Task: task, Run: run, Kind: how})
 	w.world.runEnded(w, task)
 }
 
 // look answers a look that was meant for one incarnation.
-func (w *modelWorker) look(born runner.Born, look runner.Look) (runner.Report, error) {
+func (w *modelWorker) look(born runner.Incarnation, look runner.Poll) (runner.Report, error) {
 	w.lapse()
 	if !w.alive {
-		return runner.Report{}, runner.ErrGone
+		return runner.Report{}, runner.ErrIncarnationGone
 	}
-	if born != w.roster.Born {
+	if born != w.roster.Incarnation {
 		look.LeaseUntil, look.Acknowledged = nil, 0
 	}
 	if look.Token < w.token {
@@ -82,7 +82,7 @@
 		w.ends = w.ends[1:]
 		w.listed = max(0, w.listed-1)
 	}
-	report := runner.Report{Born: w.roster.Born, Clock: w.clock(), Ended: append([]runner.End(nil), w.ends...)}
+	report := runner.Report{Incarnation: w.roster.Incarnation, Clock: w.clock(), Ended: append([]runner.End(nil), w.ends...)}
 	for task, r := range w.runs {
 		report.Running = append(report.Running, runner.RunState{Task: task, Run: r.run, Percent: 10})
 	}
@@ -92,7 +92,7 @@
 func (w *modelWorker) start(s runner.Start) error {
 	w.lapse()
 	if !w.alive {
-		return runner.ErrGone
+		return runner.ErrIncarnationGone
 	}
 	if s.Token < w.token {
 		return &runner.Refusal{Reason: runner.Fenced}
@@ -106,7 +106,7 @@
 	}
 	w.leaseEnd = max(w.leaseEnd, min(s.LeaseUntil, w.clock()+6*time.Second))
 	if s.LeaseUntil <= w.clock() {
-		return &runner.Refusal{Reason: runner.LeaseOver}
+		return &runner.Refusal{Reason: runner.OrderExpired}
 	}
 	w.highest[s.Task] = s.Run
 	w.runs[s.Task] = &modelRun{run: s.Run}
@@ -117,7 +117,7 @@
 func (w *modelWorker) stop(s runner.Stop) error {
 	w.lapse()
 	if !w.alive {
-		return runner.ErrGone
+		return runner.ErrIncarnationGone
 	}
 	if s.Token < w.token {
 		return &runner.Refusal{Reason: runner.Fenced}
--- a/internal/cell/pace_order.go
+++ b/internal/cell/pace_order.go
@@ -9,7 +9,7 @@
 type PaceOrder struct {
 	Worker runner.Target
 	Task   job.TaskID
-	Pace   runner.Pace
+	Pace   runner.Throttle
 }
 
 func (PaceOrder) isOrder() {}
--- a/internal/cell/pacing.go
+++ b/internal/cell/pacing.go
@@ -27,12 +27,12 @@
 func (c *Cell) paceFillers(w *worker, now time.Time) {
 	worst := 0.0
 	for a := range w.attempts {
-		if target := a.task.stage.step.TailTarget; target > 0 && a.phase == running {
+		if target := a.task.stage.step.TailLatencyTarget; target > 0 && a.phase == running {
 			worst = max(worst, a.gauge/float64(target.Milliseconds()))
 		}
 	}
 	for a := range w.attempts {
-		if !a.task.stage.step.Fills || a.phase != running || now.Sub(a.pacedAt) < paceEvery {
+		if !a.task.stage.step.BestEffort || a.phase != running || now.Sub(a.pacedAt) < paceEvery {
 			continue
 		}
 		next := nextPace(a.pace, worst)
@@ -61,7 +61,7 @@
 // restorePace lets fillers go on at full speed where no serving task is left.
 func (c *Cell) restorePace(w *worker, now time.Time) {
 	for a := range w.attempts {
-		if a.task.stage.step.Fills && a.phase == running && a.pace != 100 && now.Sub(a.pacedAt) >= paceEvery {
+		if a.task.stage.step.BestEffort && a.phase == running && a.pace != 100 && now.Sub(a.pacedAt) >= paceEvery {
 			c.sendPace(a, 100, 0, now)
 		}
 	}
@@ -72,5 +72,5 @@
 	a.pace = percent
 	a.pacedAt = now
 	c.orders = append(c.orders, PaceOrder{Worker: a.worker.target, Task: a.task.id(),
-		Pace: runner.Pace{Task: a.task.id().String(), Run: a.run, Token: c.settings.Term, Percent: percent}})
+		Pace: runner.Throttle{Task: a.task.id().String(), Run: a.run, Token: c.settings.Term, Percent: percent}})
 }
--- a/internal/cell/pacing_test.go
+++ b/internal/cell/pacing_test.go
@@ -13,8 +13,8 @@
 	t.Helper()
 	s.report("a")
 	serve, fill := step(1), step(1)
-	serve.LongRunning, serve.TailTarget = true, 100*time.Millisecond
-	fill.Fills, fill.Estimate = true, time.Minute
+	serve.LongRunning, serve.TailLatencyTarget = true, 100*time.Millisecond
+	fill.BestEffort, fill.Estimate = true, time.Minute
 	s.cell.Add(s.record(1, serve, fill), true)
 	starts := s.plan()
 	for _, o := range starts {
@@ -68,7 +68,7 @@
 			t.Fatalf("paced to %d, want %d", pace, want)
 		}
 	}
-	s.finish(serving, runner.FailedRun)
+	s.finish(serving, runner.Failed)
 	s.pass(paceEvery)
 	s.report("a")
 	// The serving task is not started again beside the filling one.
--- a/internal/cell/place.go
+++ b/internal/cell/place.go
@@ -128,10 +128,10 @@
 	if s.step.DataRack != "" && w.Rack != s.step.DataRack {
 		score += farWeight
 	}
-	if s.step.Fills && w.servers > 0 || s.step.TailTarget > 0 && w.fillers > 0 {
+	if s.step.BestEffort && w.servers > 0 || s.step.TailLatencyTarget > 0 && w.fillers > 0 {
 		score += disturbWeight
 	}
-	if s.step.Fills {
+	if s.step.BestEffort {
 		score += float64(w.fillers)
 	}
 	return score
@@ -277,6 +277,6 @@
 	c.stats.Starts++
 	c.orders = append(c.orders, StartOrder{Worker: on.w.target, Task: t.id(), Start: runner.Start{
 		Task: t.id().String(), Run: run, Spec: t.stage.job.record.Spec, Token: c.settings.Term,
-		LeaseUntil: on.w.extendLease(c.settings.Lease, now), Saved: t.saved, Ticket: on.ticket,
+		LeaseUntil: on.w.extendLease(c.settings.Lease, now), Checkpoint: t.saved, Ticket: on.ticket,
 	}})
 }
--- a/internal/cell/progress.go
+++ b/internal/cell/progress.go
@@ -30,7 +30,7 @@
 		}
 		if len(t.failedRuns) > 0 || t.saved != "" || t.lastRun > 0 {
 			p.Tasks = append(p.Tasks, job.TaskProgress{Index: t.index, FailedRuns: t.failedRuns,
-				LastRun: t.lastRun, Saved: t.saved, CrashedRuns: slices.Clone(t.crashes.crashed), CrashedAtOnce: t.crashes.atOnce,
+				LastRun: t.lastRun, Checkpoint: t.saved, CrashedRuns: slices.Clone(t.crashes.crashed), CrashedAtStart: t.crashes.atOnce,
 				LostRuns: slices.Clone(t.crashes.silent), LostAtMillis: t.crashes.lostAtMillis()})
 		}
 	}
@@ -68,8 +68,8 @@
 		t := s.tasks[kept.Index]
 		t.failedRuns = kept.FailedRuns
 		t.lastRun = kept.LastRun
-		t.saved = kept.Saved
-		t.crashes = crashHistory{crashed: kept.CrashedRuns, atOnce: kept.CrashedAtOnce, silent: kept.LostRuns, lostAt: lostAtFrom(kept.LostAtMillis, now)}
+		t.saved = kept.Checkpoint
+		t.crashes = crashHistory{crashed: kept.CrashedRuns, atOnce: kept.CrashedAtStart, silent: kept.LostRuns, lostAt: lostAtFrom(kept.LostAtMillis, now)}
 		s.lostWorkers = s.lostWorkers || t.crashes.any()
 	}
 }
--- a/internal/cell/quotas_test.go
+++ b/internal/cell/quotas_test.go
@@ -39,7 +39,7 @@
 	lasting := step(5)
 	lasting.LongRunning = true
 	filling := step(5)
-	filling.Fills = true
+	filling.BestEffort = true
 	gang, wideGang := step(3), step(4)
 	gang.Gang, wideGang.Gang = true, true
 	two := step(2)
@@ -129,7 +129,7 @@
 	large := step(2)
 	large.Need = resource.Amount{MilliCPU: 12000, MemoryMiB: 100}
 	over := s.recordOf("north", 3, step(4), large)
-	over.Advice = &job.AdviceCost{PerCall: time.Millisecond, Valid: time.Minute}
+	over.Advice = &job.AdviceCost{PerCall: time.Millisecond, TicketTTL: time.Minute}
 	s.cell.Add(over, true)
 	for range 10 {
 		s.pass(100 * time.Millisecond)
@@ -163,7 +163,7 @@
 	s := newSite(t, 2, usualWorker("w1"), usualWorker("w2"))
 	s.configure(1, "north", cores(3))
 	s.cell.Load(s.recordOf("north", 1, step(3)), &job.Progress{})
-	s.cell.Inherit([]KnownWorker{{ID: "w1", Address: "w1:1", Born: usualWorker("w1").Born}, {ID: "w2", Address: "w2:1", Born: usualWorker("w2").Born}}, s.now)
+	s.cell.Inherit([]KnownWorker{{ID: "w1", Address: "w1:1", Born: usualWorker("w1").Incarnation}, {ID: "w2", Address: "w2:1", Born: usualWorker("w2").Incarnation}}, s.now)
 	s.cell.InheritedAll()
 	s.report("w1")
 	s.cell.Add(s.recordOf("north", 2, step(3)), true)
--- a/internal/cell/recover_test.go
+++ b/internal/cell/recover_test.go
@@ -15,8 +15,8 @@
 	r := s.record(1, step(1))
 	s.cell.Load(r, nil)
 	task := r.ID + ".0.0.0"
-	s.end("a", task, 2, runner.FailedRun)
-	s.end("b", task, 1, runner.FailedRun)
+	s.end("a", task, 2, runner.Failed)
+	s.end("b", task, 1, runner.Failed)
 	s.report("a")
 	s.report("b")
 	third, ok := s.plan()[task]
@@ -24,7 +24,7 @@
 		t.Fatal("the third run was not started")
 	}
 	s.confirm(third)
-	s.finish(third, runner.FailedRun)
+	s.finish(third, runner.Failed)
 	s.report(third.Worker.ID)
 	if again, ok := s.plan()[task]; ok {
 		t.Fatalf("run %d was started after three failed runs", again.Start.Run)
@@ -43,7 +43,7 @@
 	s.report("a")
 	first := s.plan()[r.ID+".0.0.0"]
 	s.confirm(first)
-	s.finish(first, runner.FailedRun)
+	s.finish(first, runner.Failed)
 	s.report("a")
 	commit := s.cell.NextCommit(1)
 
@@ -87,7 +87,7 @@
 func TestStageAfterAVisibleRunIsNotHeldBack(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"), usualWorker("b"))
 	second := step(1)
-	second.After = []int{0}
+	second.DependsOn = []int{0}
 	r := s.record(1, step(1), second)
 	s.cell.Load(r, nil)
 	first := r.ID + ".0.0.0"
--- a/internal/cell/reservation.go
+++ b/internal/cell/reservation.go
@@ -75,7 +75,7 @@
 // reserve keeps workers for the large tasks of a stage that found no room, those that
 // will have room first. Tasks of the most urgent queues stop others instead.
 func (c *Cell) reserve(s *stage, room *room, now time.Time) {
-	if !c.uses(Reservations) || s.job.record.Priority <= 0 || s.step.Fills || !s.largeOn(room.least) || !room.mayReserve() {
+	if !c.uses(Reservations) || s.job.record.Priority <= 0 || s.step.BestEffort || !s.largeOn(room.least) || !room.mayReserve() {
 		return
 	}
 	wanted := c.startable(s) - room.reserved[s]
--- a/internal/cell/restart.go
+++ b/internal/cell/restart.go
@@ -10,7 +10,7 @@
 
 // heardFrom notes which incarnation of a worker answered a look, and reports whether it is
 // the present one.
-func (c *Cell) heardFrom(w *worker, born runner.Born, sentAt, now time.Time) bool {
+func (c *Cell) heardFrom(w *worker, born runner.Incarnation, sentAt, now time.Time) bool {
 	switch {
 	case born == 0 || born == w.incarnation:
 	case w.incarnation == 0:
@@ -25,14 +25,14 @@
 }
 
 // setIncarnation notes which incarnation of a worker the books are about.
-func (c *Cell) setIncarnation(w *worker, born runner.Born) {
-	w.incarnation, w.target.Born = born, born
+func (c *Cell) setIncarnation(w *worker, born runner.Incarnation) {
+	w.incarnation, w.target.Incarnation = born, born
 	c.known.changed(w.ID)
 }
 
 // restarted begins the books on a new incarnation of a worker. The one before has crashed
 // with all that ran there, and no order that was meant for it reaches the new one.
-func (c *Cell) restarted(w *worker, born runner.Born, now time.Time) {
+func (c *Cell) restarted(w *worker, born runner.Incarnation, now time.Time) {
 	c.log.WithFields(workerFields(w)).WithFields(logrus.Fields{"now_born": born, "runs": len(w.attempts),
 		"seen": w.seen, "acknowledged": w.acked}).Info("worker_restarted")
 	if c.lost[w.ID] == nil {
@@ -48,7 +48,7 @@
 	// known may use it.
 	w.saved = false
 	c.setIncarnation(w, born)
-	if w.unmatched.Born == born {
+	if w.unmatched.Incarnation == born {
 		c.describe(w, w.unmatched, now)
 	}
 }
--- a/internal/cell/restart_site_test.go
+++ b/internal/cell/restart_site_test.go
@@ -14,8 +14,8 @@
 	s.pass(time.Second)
 	s.runs[id], s.ends[id] = nil, nil
 	next := usualWorker(id)
-	next.Born = runner.Born(s.now.UnixMilli())
-	s.born[id] = next.Born
+	next.Incarnation = runner.Incarnation(s.now.UnixMilli())
+	s.born[id] = next.Incarnation
 	return next
 }
 
@@ -93,8 +93,8 @@
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
 	next := s.restart("a")
-	next.Born = runner.Born(siteStart.Add(-time.Hour).UnixMilli())
-	s.born["a"] = next.Born
+	next.Incarnation = runner.Incarnation(siteStart.Add(-time.Hour).UnixMilli())
+	s.born["a"] = next.Incarnation
 	s.list(next)
 	s.report("a")
 	s.commit()
@@ -110,8 +110,8 @@
 	s := newSite(t, 1, before)
 	s.report("a")
 	next := s.restart("a")
-	next.Born = runner.Born(siteStart.Add(-time.Hour).UnixMilli())
-	s.born["a"] = next.Born
+	next.Incarnation = runner.Incarnation(siteStart.Add(-time.Hour).UnixMilli())
+	s.born["a"] = next.Incarnation
 	s.report("a")
 	s.list(next)
 	s.commit()
@@ -130,7 +130,7 @@
 func TestWorkerWhoseClockShowsNothingKeepsItsLease(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.pass(s.cell.unseenLimit())
-	s.cell.Reported("a", runner.Report{Born: usualWorker("a").Born}, s.now, s.now)
+	s.cell.Reported("a", runner.Report{Incarnation: usualWorker("a").Incarnation}, s.now, s.now)
 	s.cell.Add(s.record(1, step(2)), true)
 	for _, o := range s.plan() {
 		s.confirm(o)
@@ -158,7 +158,7 @@
 				s.cell.SetRoster([]roster.Worker{before}, s.now)
 			}
 			task := job.TaskID{Job: record.ID}.String()
-			s.cell.Inherit([]KnownWorker{{ID: "a", Born: before.Born, Address: before.Address, Closed: true,
+			s.cell.Inherit([]KnownWorker{{ID: "a", Born: before.Incarnation, Address: before.Address, Closed: true,
 				Runs: []KnownRun{{Task: task, Run: 1}}}}, s.now)
 			s.cell.InheritedAll()
 			s.report("a")
@@ -181,7 +181,7 @@
 	before := usualWorker("a")
 	s.cell.SetRoster([]roster.Worker{s.restart("a")}, s.now)
 	task := job.TaskID{Job: record.ID}
-	s.cell.Inherit([]KnownWorker{{ID: "a", Born: before.Born, Address: before.Address, Closed: true,
+	s.cell.Inherit([]KnownWorker{{ID: "a", Born: before.Incarnation, Address: before.Address, Closed: true,
 		Suspects: []KnownRun{{Task: task.String(), Run: 1}}}}, s.now)
 	if crashed := s.cell.task(task).crashes.crashed; len(crashed) != 1 {
 		t.Errorf("crashes %v, want that of run 1", crashed)
@@ -193,7 +193,7 @@
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
 	record := s.record(1, step(2))
-	record.Advice = &job.AdviceCost{Valid: time.Minute}
+	record.Advice = &job.AdviceCost{TicketTTL: time.Minute}
 	s.cell.Add(record, true)
 	s.plan()
 	s.advise("a")
--- a/internal/cell/restart_world_test.go
+++ b/internal/cell/restart_world_test.go
@@ -20,7 +20,7 @@
 	w.runs, w.ends, w.sequence = map[string]*loadRun{}, nil, 0
 	w.startedAt = l.now.Add(down)
 	w.downUntil = w.startedAt
-	w.roster.Born = runner.Born(w.startedAt.UnixMilli())
+	w.roster.Incarnation = runner.Incarnation(w.startedAt.UnixMilli())
 }
 
 // register has a worker write its entry in the roster.
--- a/internal/cell/roster.go
+++ b/internal/cell/roster.go
@@ -46,7 +46,7 @@
 
 func (c *Cell) register(r roster.Worker, now time.Time) {
 	if ended, gone := c.gone[r.ID]; gone {
-		if r.Born == ended || r.Born == 0 {
+		if r.Incarnation == ended || r.Incarnation == 0 {
 			return
 		}
 		delete(c.gone, r.ID)
@@ -66,10 +66,10 @@
 	}
 	switch {
 	// The last one is of workers whose entries do not tell.
-	case r.Born == w.incarnation, w.incarnation == 0, r.Born == 0 && w.Worker.Born == 0:
+	case r.Incarnation == w.incarnation, w.incarnation == 0, r.Incarnation == 0 && w.Worker.Incarnation == 0:
 		c.describe(w, r, now)
-	case r.Born > w.incarnation && r.Born != w.before:
-		c.restarted(w, r.Born, now)
+	case r.Incarnation > w.incarnation && r.Incarnation != w.before:
+		c.restarted(w, r.Incarnation, now)
 		c.describe(w, r, now)
 	default:
 		// News that is old, of another writer, or of a worker whose time of day was set
@@ -80,13 +80,13 @@
 
 // describe takes in an entry of a worker's present incarnation.
 func (c *Cell) describe(w *worker, r roster.Worker, now time.Time) {
-	if r.Born == w.Worker.Born {
+	if r.Incarnation == w.Worker.Incarnation {
 		// A heartbeat that was written before the draining one may be read after it.
 		r.Draining = r.Draining || w.Draining
 	}
 	w.Worker = r
-	if w.incarnation == 0 && r.Born != 0 {
-		c.setIncarnation(w, r.Born)
+	if w.incarnation == 0 && r.Incarnation != 0 {
+		c.setIncarnation(w, r.Incarnation)
 	}
 	w.target.Address, w.target.Zone = r.Address, r.Zone
 	w.unlistedAt = time.Time{}
--- a/internal/cell/site_test.go
+++ b/internal/cell/site_test.go
@@ -23,7 +23,7 @@
 	now   time.Time
 	clock map[string]time.Duration
 	// born are the incarnations of workers that do not have their first one.
-	born map[string]runner.Born
+	born map[string]runner.Incarnation
 	ends map[string][]runner.End
 	runs map[string][]runner.RunState
 	// chunks are the known workers as they are stored.
@@ -41,7 +41,7 @@
 }
 
 func newSiteWith(t *testing.T, settings Settings, workers ...roster.Worker) *site {
-	s := &site{t: t, now: siteStart, clock: map[string]time.Duration{}, born: map[string]runner.Born{}, ends: map[string][]runner.End{},
+	s := &site{t: t, now: siteStart, clock: map[string]time.Duration{}, born: map[string]runner.Incarnation{}, ends: map[string][]runner.End{},
 		runs: map[string][]runner.RunState{}, chunks: map[int][]KnownWorker{}, slots: AdviceSlots{Quick: 2, Any: 4}}
 	s.cell = New(settings, s.now, quietLog())
 	s.cell.SetRoster(workers, s.now)
@@ -57,7 +57,7 @@
 
 // usualWorker has 16 cores and 32 GiB.
 func usualWorker(id string) roster.Worker {
-	return roster.Worker{ID: id, Born: runner.Born(siteStart.UnixMilli()), Address: id + ":1", Service: "desk", Capacity: resource.Amount{MilliCPU: 16000, MemoryMiB: 32768}, Labels: []string{"a", "r1"}, Rack: "r1"}
+	return roster.Worker{ID: id, Incarnation: runner.Incarnation(siteStart.UnixMilli()), Address: id + ":1", Service: "desk", Capacity: resource.Amount{MilliCPU: 16000, MemoryMiB: 32768}, Labels: []string{"a", "r1"}, Rack: "r1"}
 }
 
 // record returns a job with steps on the usual queue.
@@ -90,7 +90,7 @@
 	s.ends[id] = left
 	s.pass(time.Millisecond)
 	clock := s.now.Sub(siteStart) + time.Hour
-	s.cell.Reported(id, runner.Report{Born: s.born[id], Clock: clock, Running: s.runs[id], Ended: left}, sentAt, s.now)
+	s.cell.Reported(id, runner.Report{Incarnation: s.born[id], Clock: clock, Running: s.runs[id], Ended: left}, sentAt, s.now)
 }
 
 // plan plans and returns the start orders by task name.
@@ -124,7 +124,7 @@
 		}
 	}
 	s.runs[worker] = left
-	s.ends[worker] = append(s.ends[worker], runner.End{Sequence: uint64(len(s.ends[worker]) + 1), Task: task, Run: run, How: how})
+	s.ends[worker] = append(s.ends[worker], runner.End{Sequence: uint64(len(s.ends[worker]) + 1), Task: task, Run: run, Kind: how})
 }
 
 // commit stores everything that is dirty, and keeps the known workers for the next owner.
--- a/internal/cell/watch.go
+++ b/internal/cell/watch.go
@@ -113,7 +113,7 @@
 // it started again elsewhere.
 func (c *Cell) watchProgress(a *attempt, now time.Time) {
 	step := a.task.stage.step
-	if step.Gang || step.LongRunning || step.Fills || a.changedAt.IsZero() {
+	if step.Gang || step.LongRunning || step.BestEffort || a.changedAt.IsZero() {
 		return
 	}
 	still := now.Sub(a.changedAt)
--- a/internal/cell/worker.go
+++ b/internal/cell/worker.go
@@ -63,11 +63,11 @@
 }
 
 func newWorker(r roster.Worker, now time.Time) *worker {
-	return &worker{Worker: r, lot: xxhash.Sum64String(r.ID), life: &life{incarnation: r.Born, knownSince: now}, target: targetOf(r), attempts: map[*attempt]struct{}{}}
+	return &worker{Worker: r, lot: xxhash.Sum64String(r.ID), life: &life{incarnation: r.Incarnation, knownSince: now}, target: targetOf(r), attempts: map[*attempt]struct{}{}}
 }
 
 func targetOf(r roster.Worker) runner.Target {
-	return runner.Target{ID: r.ID, Born: r.Born, Address: r.Address, Zone: r.Zone}
+	return runner.Target{ID: r.ID, Incarnation: r.Incarnation, Address: r.Address, Zone: r.Zone}
 }
 
 // free returns what is left of the worker's capacity.
@@ -82,10 +82,10 @@
 		account.Book(step.Need)
 	}
 	a.task.stage.perWorker[w]++
-	if step.Fills {
+	if step.BestEffort {
 		w.fillers++
 	}
-	if step.TailTarget > 0 {
+	if step.TailLatencyTarget > 0 {
 		w.servers++
 	}
 }
@@ -102,10 +102,10 @@
 		account.Release(step.Need)
 	}
 	a.task.stage.perWorker[w]--
-	if step.Fills {
+	if step.BestEffort {
 		w.fillers--
 	}
-	if step.TailTarget > 0 {
+	if step.TailLatencyTarget > 0 {
 		w.servers--
 	}
 }
@@ -123,7 +123,9 @@
 
 // described reports whether the worker's entry in the roster is one of its present
 // incarnation: the next one may have other room and another kind.
-func (w *worker) described() bool { return w.Worker.Born == 0 || w.Worker.Born == w.incarnation }
+func (w *worker) described() bool {
+	return w.Worker.Incarnation == 0 || w.Worker.Incarnation == w.incarnation
+}
 
 // clockGuess returns our best guess of the worker's clock.
 func (w *worker) clockGuess(now time.Time) time.Duration {
--- a/internal/cellowner/commit_test.go
+++ b/internal/cellowner/commit_test.go
@@ -67,7 +67,7 @@
 	o.deps.Store = rows
 	o.deps.Jobs = celljobs.New(store.NewWatched(rows), "cell-0")
 	o.start(t.Context(), order)
-	client.running = []runner.RunState{{Task: order.Start.Task, Run: order.Start.Run, Percent: 50, Saved: "half"}}
+	client.running = []runner.RunState{{Task: order.Start.Task, Run: order.Start.Run, Percent: 50, Checkpoint: "half"}}
 	o.look(t, client)
 	o.cell.Cancel("00000000000000aa", time.Now())
 	rows.keep = true
@@ -112,7 +112,7 @@
 func (o *Owner) look(t *testing.T, client runner.Client) {
 	t.Helper()
 	sentAt := time.Now()
-	report, err := client.Look(t.Context(), runner.Target{}, runner.Look{})
+	report, err := client.Poll(t.Context(), runner.Target{}, runner.Poll{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cellowner/look_loop.go
+++ b/internal/cellowner/look_loop.go
@@ -54,7 +54,7 @@
 			return
 		}
 		callCtx, cancel := context.WithTimeout(ctx, look.Wait+o.patience.Limit())
-		report, err := o.deps.Runner.Look(callCtx, target, look)
+		report, err := o.deps.Runner.Poll(callCtx, target, look)
 		cancel()
 		o.deps.Metrics.Looks.Inc()
 		if err != nil {
--- a/internal/cellowner/newest_end.go
+++ b/internal/cellowner/newest_end.go
@@ -4,12 +4,12 @@
 
 // newestEnd is the newest end that a report lists, by the incarnation that counts them.
 type newestEnd struct {
-	born     runner.Born
+	born     runner.Incarnation
 	sequence uint64
 }
 
 func newestEndOf(r runner.Report) newestEnd {
-	newest := newestEnd{born: r.Born}
+	newest := newestEnd{born: r.Incarnation}
 	for _, e := range r.Ended {
 		newest.sequence = max(newest.sequence, e.Sequence)
 	}
--- a/internal/cellowner/newest_end_test.go
+++ b/internal/cellowner/newest_end_test.go
@@ -8,8 +8,8 @@
 
 // Guards against ends on a restarted worker that wait for a commit which nothing asks for.
 func TestEndsOfAnotherIncarnationAreNew(t *testing.T) {
-	ends := func(born runner.Born, sequences ...uint64) newestEnd {
-		r := runner.Report{Born: born}
+	ends := func(born runner.Incarnation, sequences ...uint64) newestEnd {
+		r := runner.Report{Incarnation: born}
 		for _, n := range sequences {
 			r.Ended = append(r.Ended, runner.End{Sequence: n})
 		}
--- a/internal/cellowner/orders.go
+++ b/internal/cellowner/orders.go
@@ -65,7 +65,7 @@
 }
 
 func (o *Owner) pace(ctx context.Context, order cell.PaceOrder) {
-	_, err := o.deps.Runner.Pace(ctx, order.Worker, order.Pace)
+	_, err := o.deps.Runner.Throttle(ctx, order.Worker, order.Pace)
 	o.checkFence(err)
 	o.cell.PaceAnswered(order, err, time.Now())
 }
--- a/internal/cellowner/orders_test.go
+++ b/internal/cellowner/orders_test.go
@@ -35,7 +35,7 @@
 	return runner.Answer{}, nil
 }
 
-func (l *losing) Look(context.Context, runner.Target, runner.Look) (runner.Report, error) {
+func (l *losing) Poll(context.Context, runner.Target, runner.Poll) (runner.Report, error) {
 	return runner.Report{Clock: time.Minute, Running: l.running}, nil
 }
 
@@ -56,7 +56,7 @@
 	commit := o.cell.NextCommit(1)
 	o.cell.Committed(commit)
 	sentAt := time.Now()
-	report, err := client.Look(t.Context(), runner.Target{}, runner.Look{})
+	report, err := client.Poll(t.Context(), runner.Target{}, runner.Poll{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cellowner/peak_bench_test.go
+++ b/internal/cellowner/peak_bench_test.go
@@ -76,7 +76,7 @@
 
 func (w *timedWorkers) clock() time.Duration { return time.Since(w.began) }
 
-func (w *timedWorkers) Look(ctx context.Context, t runner.Target, l runner.Look) (runner.Report, error) {
+func (w *timedWorkers) Poll(ctx context.Context, t runner.Target, l runner.Poll) (runner.Report, error) {
 	one := w.get(t.ID)
 	report, changed := one.report(l.Acknowledged, w.clock())
 	if len(report.Ended) == 0 && l.Wait > 0 {
@@ -126,7 +126,7 @@
 	}
 	delete(w.runs, task)
 	w.sequence++
-	w.ends = append(w.ends, runner.End{Sequence: w.sequence, Task: task, Run: run, How: runner.Done})
+	w.ends = append(w.ends, runner.End{Sequence: w.sequence, Task: task, Run: run, Kind: runner.Done})
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
@@ -136,7 +136,7 @@
 	return runner.Answer{Clock: w.clock()}, nil
 }
 
-func (w *timedWorkers) Pace(context.Context, runner.Target, runner.Pace) (runner.Answer, error) {
+func (w *timedWorkers) Throttle(context.Context, runner.Target, runner.Throttle) (runner.Answer, error) {
 	return runner.Answer{Clock: w.clock()}, nil
 }
 
@@ -206,11 +206,11 @@
 		steps := []job.Step{{Count: 3 + random.Intn(10), Need: resource.Amount{MilliCPU: 3600, MemoryMiB: 7300}, Estimate: 640 * time.Millisecond}}
 		if random.Intn(10) < 6 {
 			next := steps[0]
-			next.After = []int{0}
+			next.DependsOn = []int{0}
 			steps = append(steps, next)
 		}
 		o.Submitted(&job.Record{ID: fmt.Sprintf("%016x", i), Queue: "q", Service: "desk", MaxAttempts: 3, Stretch: 1.5, AcceptedAt: time.Now(),
-			Spec: "640ms", Steps: steps, Advice: &job.AdviceCost{PerCall: 36 * time.Millisecond, PerWorker: 520 * time.Microsecond, Valid: 2500 * time.Millisecond}})
+			Spec: "640ms", Steps: steps, Advice: &job.AdviceCost{PerCall: 36 * time.Millisecond, PerWorker: 520 * time.Microsecond, TicketTTL: 2500 * time.Millisecond}})
 	}
 	b.StopTimer()
 	starts := float64(m.Starts.Get() - startsBefore)
--- a/internal/cellowner/poison_test.go
+++ b/internal/cellowner/poison_test.go
@@ -16,7 +16,7 @@
 func TestRowsThatNoCallerCouldSubmitEndNoOwner(t *testing.T) {
 	log, lines := logtest.NewNullLogger()
 	sound := &job.Record{ID: "00000000000000aa", Queue: "q", Steps: []job.Step{{Count: 1}}, AcceptedAt: time.Now()}
-	noSuchStep := &job.Record{ID: "00000000000000bb", Queue: "q", Steps: []job.Step{{Count: 1, After: []int{7}}}, AcceptedAt: time.Now()}
+	noSuchStep := &job.Record{ID: "00000000000000bb", Queue: "q", Steps: []job.Step{{Count: 1, DependsOn: []int{7}}}, AcceptedAt: time.Now()}
 	noSuchTask := &job.Record{ID: "00000000000000cc", Queue: "q", Steps: []job.Step{{Count: 1}}, AcceptedAt: time.Now()}
 	kept, err := job.EncodeProgress(&job.Progress{Stages: []job.StageProgress{{Tasks: []job.TaskProgress{{Index: -1, LastRun: 1}}}}})
 	if err != nil {
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -74,7 +74,7 @@
 // OutcomeUnknown that the caller has to ask again.
 func (i *Intake) Submit(ctx context.Context, r *job.Record) error {
 	began := time.Now()
-	if err := r.Check(); err != nil {
+	if err := r.Validate(); err != nil {
 		return fault.New(fault.BadRequest, "job %s: %w", r.ID, err)
 	}
 	if err := i.admit(ctx, r); err != nil {
--- a/internal/job/advice_cost.go
+++ b/internal/job/advice_cost.go
@@ -9,8 +9,8 @@
 	PerCall time.Duration `cbor:"1,keyasint"`
 	// PerWorker is added for each worker asked about.
 	PerWorker time.Duration `cbor:"2,keyasint"`
-	// Valid is how long a ticket may be used.
-	Valid time.Duration `cbor:"3,keyasint"`
+	// TicketTTL is how long a ticket may be used.
+	TicketTTL time.Duration `cbor:"3,keyasint"`
 }
 
 // Duration returns how long a call about a number of workers takes.
--- a/internal/job/codec.go
+++ b/internal/job/codec.go
@@ -36,7 +36,7 @@
 		// Of a job that has ended or was withdrawn its steps are not kept.
 		return r, nil
 	}
-	if err := r.Check(); err != nil {
+	if err := r.Validate(); err != nil {
 		return r, fmt.Errorf("decode %T: %w", r, err)
 	}
 	return r, nil
--- a/internal/job/codec_test.go
+++ b/internal/job/codec_test.go
@@ -17,7 +17,7 @@
 			stage.SetDone(i)
 		}
 		stage.Tasks = append(stage.Tasks, TaskProgress{Index: 3, FailedRuns: rapid.SliceOfN(rapid.Uint64(), 1, 4).Draw(rt, "failed"),
-			LastRun: rapid.Uint64().Draw(rt, "last"), Saved: rapid.String().Draw(rt, "saved")})
+			LastRun: rapid.Uint64().Draw(rt, "last"), Checkpoint: rapid.String().Draw(rt, "saved")})
 		want := &Progress{Final: Cancelled, EndedAtMillis: 5, Stages: []StageProgress{stage}}
 		data, err := EncodeProgress(want)
 		if err != nil {
@@ -42,7 +42,7 @@
 // FuzzDecode: rows may be damaged or of a later version; reading them gives an
 // error and never more.
 func FuzzDecode(f *testing.F) {
-	record, err := EncodeRecord(&Record{ID: "5c0e7a21d94b36f8", Steps: []Step{{Count: 2, After: []int{0}}}})
+	record, err := EncodeRecord(&Record{ID: "5c0e7a21d94b36f8", Steps: []Step{{Count: 2, DependsOn: []int{0}}}})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -84,18 +84,18 @@
 		"no steps":       {},
 		"no tasks":       step(func(s *Step) { s.Count = 0 }),
 		"negative need":  step(func(s *Step) { s.Need.MilliCPU = -1 }),
-		"cycle":          step(func(s *Step) { s.After = []int{0} }),
+		"cycle":          step(func(s *Step) { s.DependsOn = []int{0} }),
 		"negative limit": step(func(s *Step) { s.MaxPerWorker = -1 }),
 		"too many tasks": step(func(s *Step) { s.Count = MaxTasks + 1 }),
 		"long spec":      {Spec: packed.Text(make([]byte, MaxSpecBytes+1)), Steps: []Step{{Count: 1}}},
 		"no occurrence":  {Steps: []Step{{Count: 1}}, Schedule: &Schedule{}},
 	}
 	for name, r := range bad {
-		if r.Check() == nil {
+		if r.Validate() == nil {
 			t.Errorf("%s was accepted", name)
 		}
 	}
-	if err := step(func(*Step) {}).Check(); err != nil {
+	if err := step(func(*Step) {}).Validate(); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/job/fuzz_test.go
+++ b/internal/job/fuzz_test.go
@@ -9,7 +9,7 @@
 // FuzzRecord: a row that can be read as a record is written again as the same record.
 func FuzzRecord(f *testing.F) {
 	sound, err := EncodeRecord(&Record{ID: "5c0e7a21d94b36f8", Queue: "q", AcceptedAt: time.UnixMilli(5).UTC(),
-		Steps: []Step{{Count: 2, Estimate: time.Second}, {Count: 1, After: []int{0}, Gang: true}}})
+		Steps: []Step{{Count: 2, Estimate: time.Second}, {Count: 1, DependsOn: []int{0}, Gang: true}}})
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/job/objective_test.go
+++ b/internal/job/objective_test.go
@@ -9,8 +9,8 @@
 	r := &Record{Stretch: 2, Target: time.Second, Steps: []Step{
 		{Count: 1, Estimate: time.Second},
 		{Count: 1, Estimate: 5 * time.Second},
-		{Count: 1, Estimate: 3 * time.Second, After: []int{0}},
-		{Count: 1, Estimate: 2 * time.Second, After: []int{2}},
+		{Count: 1, Estimate: 3 * time.Second, DependsOn: []int{0}},
+		{Count: 1, Estimate: 2 * time.Second, DependsOn: []int{2}},
 	}}
 	if got := r.Objective(); got != 13*time.Second {
 		t.Errorf("%v, want 2 x (1+3+2) s + 1 s", got)
@@ -19,7 +19,7 @@
 	if got := r.Objective(); got != 13*time.Second+2*3*400*time.Millisecond {
 		t.Errorf("with advice %v", got)
 	}
-	if r.Lasts() {
+	if r.LongRunning() {
 		t.Error("no step lasts")
 	}
 }
--- a/internal/job/step.go
+++ b/internal/job/step.go
@@ -14,8 +14,8 @@
 	Need resource.Amount `cbor:"2,keyasint"`
 	// Estimate is the caller's rough guess of a task's duration.
 	Estimate time.Duration `cbor:"3,keyasint,omitempty"`
-	// After lists earlier steps whose tasks must all be done first.
-	After []int `cbor:"4,keyasint,omitempty"`
+	// DependsOn lists earlier steps whose tasks must all be done first.
+	DependsOn []int `cbor:"4,keyasint,omitempty"`
 	// Checkpoint says that a stopped task can resume from its last checkpoint.
 	Checkpoint bool `cbor:"5,keyasint,omitempty"`
 	// Gang says that the tasks work only while all of them run.
@@ -26,9 +26,9 @@
 	AllowDuplicates bool `cbor:"8,keyasint,omitempty"`
 	// LongRunning says that the tasks run until the job is cancelled.
 	LongRunning bool `cbor:"9,keyasint,omitempty"`
-	// Fills says that the tasks use only processor time that others leave;
+	// BestEffort says that the tasks use only processor time that others leave;
 	// their processor need does not count against a worker's capacity.
-	Fills bool `cbor:"10,keyasint,omitempty"`
+	BestEffort bool `cbor:"10,keyasint,omitempty"`
 	// RequiredLabel is a label the worker must carry, or empty.
 	RequiredLabel string `cbor:"11,keyasint,omitempty"`
 	// DataRack is the rack near the data; other racks are much slower.
@@ -37,16 +37,16 @@
 	Image string `cbor:"13,keyasint,omitempty"`
 	// MaxPerWorker limits the step's tasks on one worker; 0 is no limit.
 	MaxPerWorker int `cbor:"14,keyasint,omitempty"`
-	// TailTarget is the response time that a serving task has to stay below.
-	TailTarget time.Duration `cbor:"15,keyasint,omitempty"`
-	// MayMiss is how many tasks may be away at once by the scheduler's doing.
-	MayMiss int `cbor:"16,keyasint,omitempty"`
+	// TailLatencyTarget is the response time that a serving task has to stay below.
+	TailLatencyTarget time.Duration `cbor:"15,keyasint,omitempty"`
+	// MaxUnavailable is how many tasks may be away at once by the scheduler's doing.
+	MaxUnavailable int `cbor:"16,keyasint,omitempty"`
 }
 
 // Occupied returns what a task of the step takes from a worker's capacity.
 func (s *Step) Occupied() resource.Amount {
 	need := s.Need
-	if s.Fills {
+	if s.BestEffort {
 		need.MilliCPU = 0
 	}
 	return need
--- a/internal/job/check.go
+++ b/internal/job/validate.go
@@ -8,10 +8,10 @@
 // The limits of one job. A row of the store holds 64 KiB, and a spec of 4,000
 // bytes leaves room for a few hundred steps of about 100 bytes.
 const (
-	MaxSpecBytes = 4000
-	MaxSteps     = 256
-	MaxTasks     = 10000
-	MaxRepeats   = 10000
+	MaxSpecBytes   = 4000
+	MaxSteps       = 256
+	MaxTasks       = 10000
+	MaxOccurrences = 10000
 )
 
 var idPattern = regexp.MustCompile(`^[0-9a-f]{16}$`)
@@ -19,20 +19,20 @@
 // ValidID reports whether id is 16 lower-case hexadecimal digits.
 func ValidID(id string) bool { return idPattern.MatchString(id) }
 
-// Check returns what is wrong with a submitted record, with the place, or nil.
-func (r *Record) Check() error {
+// Validate returns what is wrong with a submitted record, with the place, or nil.
+func (r *Record) Validate() error {
 	if len(r.Spec) > MaxSpecBytes {
 		return fmt.Errorf("spec: %d bytes; at most %d", len(r.Spec), MaxSpecBytes)
 	}
 	if len(r.Steps) == 0 || len(r.Steps) > MaxSteps {
 		return fmt.Errorf("steps: %d of them; 1 to %d allowed", len(r.Steps), MaxSteps)
 	}
-	if s := r.Schedule; s != nil && (s.Count < 1 || s.Count > MaxRepeats || s.Every < 0) {
-		return fmt.Errorf("repeats: %d every %v; 1 to %d, with a period that is not negative", s.Count, s.Every, MaxRepeats)
+	if s := r.Schedule; s != nil && (s.Count < 1 || s.Count > MaxOccurrences || s.Every < 0) {
+		return fmt.Errorf("repeats: %d every %v; 1 to %d, with a period that is not negative", s.Count, s.Every, MaxOccurrences)
 	}
 	tasks := 0
 	for i := range r.Steps {
-		if err := r.Steps[i].check(i); err != nil {
+		if err := r.Steps[i].validate(i); err != nil {
 			return fmt.Errorf("steps[%d]: %w", i, err)
 		}
 		tasks += r.Steps[i].Count
@@ -43,19 +43,19 @@
 	return nil
 }
 
-// check looks at one step. Because a step may only name earlier ones, the
+// validate looks at one step. Because a step may only name earlier ones, the
 // dependencies cannot form a cycle.
-func (s *Step) check(index int) error {
+func (s *Step) validate(index int) error {
 	if s.Count < 1 {
 		return fmt.Errorf("count is %d; at least 1", s.Count)
 	}
 	if s.Need.MilliCPU < 0 || s.Need.MemoryMiB < 0 || s.Need.Accelerators < 0 {
 		return fmt.Errorf("needs %v; no amount may be negative", s.Need)
 	}
-	if s.MaxPerWorker < 0 || s.MayMiss < 0 || s.Estimate < 0 || s.TailTarget < 0 {
+	if s.MaxPerWorker < 0 || s.MaxUnavailable < 0 || s.Estimate < 0 || s.TailLatencyTarget < 0 {
 		return fmt.Errorf("a limit, estimate or target is negative")
 	}
-	for _, before := range s.After {
+	for _, before := range s.DependsOn {
 		if before < 0 || before >= index {
 			return fmt.Errorf("after names step %d; only earlier steps are allowed", before)
 		}
--- a/internal/node/module.go
+++ b/internal/node/module.go
@@ -103,7 +103,7 @@
 		settings := cell.Settings{Term: term, Lease: min(lease, s.MaxLease), EarlierStopped: earlierStopped, StopGrace: s.StopGrace,
 			SpareWorkers: spareWorkers, Early: s.Early, FarFactor: s.FarFactor, Without: s.Without}
 		return cellowner.New(settings, claim, cellowner.Deps{
-			Store: w, Jobs: jobs, Roster: roster.NewNamed(o.Roster(w, log), namedIn(current)), Runner: r.runner(), Advisers: advisers, Catalog: current.Get,
+			Store: w, Jobs: jobs, Roster: roster.NewServiceFilter(o.Roster(w, log), namedIn(current)), Runner: r.runner(), Advisers: advisers, Catalog: current.Get,
 			Upkeep: newUpkeep(s, o, w, log), Leadership: l, Metrics: m, AcrossPartitions: s.AcrossPartitions, Log: log,
 		})
 	}
--- a/internal/relay/convert.go
+++ b/internal/relay/convert.go
@@ -6,7 +6,7 @@
 	"gentianstand/internal/runner"
 )
 
-func lookFrom(l runner.Look) *look {
+func lookFrom(l runner.Poll) *look {
 	w := &look{Token: l.Token, Acknowledged: l.Acknowledged, WaitMillis: l.Wait.Milliseconds()}
 	if l.LeaseUntil != nil {
 		ms := l.LeaseUntil.Milliseconds()
@@ -15,8 +15,8 @@
 	return w
 }
 
-func (l *look) runner() runner.Look {
-	r := runner.Look{Token: l.Token, Acknowledged: l.Acknowledged, Wait: time.Duration(l.WaitMillis) * time.Millisecond}
+func (l *look) runner() runner.Poll {
+	r := runner.Poll{Token: l.Token, Acknowledged: l.Acknowledged, Wait: time.Duration(l.WaitMillis) * time.Millisecond}
 	if l.LeaseMillis != nil {
 		until := time.Duration(*l.LeaseMillis) * time.Millisecond
 		r.LeaseUntil = &until
@@ -25,10 +25,10 @@
 }
 
 func startFrom(s runner.Start) *start {
-	return &start{Task: s.Task, Run: s.Run, Token: s.Token, LeaseMillis: s.LeaseUntil.Milliseconds(), Saved: s.Saved, Ticket: s.Ticket, Spec: s.Spec}
+	return &start{Task: s.Task, Run: s.Run, Token: s.Token, LeaseMillis: s.LeaseUntil.Milliseconds(), Saved: s.Checkpoint, Ticket: s.Ticket, Spec: s.Spec}
 }
 
 func (s *start) runner() runner.Start {
 	return runner.Start{Task: s.Task, Run: s.Run, Token: s.Token, LeaseUntil: time.Duration(s.LeaseMillis) * time.Millisecond,
-		Saved: s.Saved, Ticket: s.Ticket, Spec: s.Spec}
+		Checkpoint: s.Saved, Ticket: s.Ticket, Spec: s.Spec}
 }
--- a/internal/relay/encoder.go
+++ b/internal/relay/encoder.go
@@ -48,7 +48,7 @@
 	if !known {
 		number = uint32(len(e.workers) + 1)
 		e.workers[to] = number
-		r.Target, r.BornMillis = &target{ID: to.ID, Address: to.Address}, int64(to.Born)
+		r.Target, r.BornMillis = &target{ID: to.ID, Address: to.Address}, int64(to.Incarnation)
 	}
 	r.Worker = number
 }
--- a/internal/relay/errors.go
+++ b/internal/relay/errors.go
@@ -20,7 +20,7 @@
 	switch {
 	case errors.As(err, &refusal):
 		return refused, refusal.Reason
-	case errors.Is(err, runner.ErrGone):
+	case errors.Is(err, runner.ErrIncarnationGone):
 		return gone, ""
 	}
 	return unanswered, ""
@@ -39,7 +39,7 @@
 	case refused:
 		return &runner.Refusal{Reason: runner.RefusalReason(r.Reason)}
 	case gone:
-		return runner.ErrGone
+		return runner.ErrIncarnationGone
 	case expired:
 		return errNotSent
 	}
--- a/internal/relay/fake_workers_test.go
+++ b/internal/relay/fake_workers_test.go
@@ -16,7 +16,7 @@
 	stops  []runner.Stop
 	looks  int
 	// looked is the last look.
-	looked runner.Look
+	looked runner.Poll
 	// hang has starts wait until their time is over, and over counts those that were
 	// done then; fail is what they return.
 	hang bool
@@ -24,13 +24,13 @@
 	fail error
 }
 
-func (f *fakeWorkers) Look(_ context.Context, w runner.Target, l runner.Look) (runner.Report, error) {
+func (f *fakeWorkers) Poll(_ context.Context, w runner.Target, l runner.Poll) (runner.Report, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.looks++
 	f.looked = l
-	return runner.Report{Born: w.Born, Clock: 1234 * time.Millisecond, Ended: []runner.End{},
-		Running: []runner.RunState{{Task: w.ID + "-task", Run: l.Token, Saved: "s", Percent: f.looks, Gauge: 17}}}, nil
+	return runner.Report{Incarnation: w.Incarnation, Clock: 1234 * time.Millisecond, Ended: []runner.End{},
+		Running: []runner.RunState{{Task: w.ID + "-task", Run: l.Token, Checkpoint: "s", Percent: f.looks, Gauge: 17}}}, nil
 }
 
 func (f *fakeWorkers) Start(ctx context.Context, _ runner.Target, s runner.Start) (runner.Answer, error) {
@@ -56,7 +56,7 @@
 	return runner.Answer{Clock: time.Second}, nil
 }
 
-func (f *fakeWorkers) Pace(context.Context, runner.Target, runner.Pace) (runner.Answer, error) {
+func (f *fakeWorkers) Throttle(context.Context, runner.Target, runner.Throttle) (runner.Answer, error) {
 	return runner.Answer{}, nil
 }
 
--- a/internal/relay/link_bytes_test.go
+++ b/internal/relay/link_bytes_test.go
@@ -36,7 +36,7 @@
 				if got := l.do(within(t), callTo(w1, startOf("5c0e7a21d94b36f8.0.1.17", 7))); got.err != nil {
 					t.Error(got.err)
 				}
-				if got := l.do(within(t), callTo(w1, request{Look: lookFrom(runner.Look{Token: 7, Wait: time.Second})})); got.err != nil {
+				if got := l.do(within(t), callTo(w1, request{Look: lookFrom(runner.Poll{Token: 7, Wait: time.Second})})); got.err != nil {
 					t.Error(got.err)
 				}
 			}
--- a/internal/relay/link_test.go
+++ b/internal/relay/link_test.go
@@ -96,7 +96,7 @@
 
 func startOf(task string, token uint64) request {
 	return request{Start: startFrom(runner.Start{Task: task, Run: 3, Spec: "the text of the job", Token: token,
-		LeaseUntil: 5 * time.Second, Saved: "s", Ticket: "t-" + task})}
+		LeaseUntil: 5 * time.Second, Checkpoint: "s", Ticket: "t-" + task})}
 }
 
 func TestCallsReachTheWorkerAsTheyWereMade(t *testing.T) {
@@ -114,13 +114,13 @@
 		}
 	}
 	for percent := 1; percent < 4; percent++ {
-		look := runner.Look{Token: 7, Acknowledged: 57, Wait: time.Second}
-		target := runner.Target{ID: w1.ID, Born: runner.Born(1767225600000 + percent), Address: w1.Address}
+		look := runner.Poll{Token: 7, Acknowledged: 57, Wait: time.Second}
+		target := runner.Target{ID: w1.ID, Incarnation: runner.Incarnation(1767225600000 + percent), Address: w1.Address}
 		got := l.do(within(t), callTo(target, request{Look: lookFrom(look)}))
-		if s.workers.looked != look || got.report.Born != target.Born {
-			t.Errorf("look %d arrived as %+v, at incarnation %d", percent, s.workers.looked, got.report.Born)
+		if s.workers.looked != look || got.report.Incarnation != target.Incarnation {
+			t.Errorf("look %d arrived as %+v, at incarnation %d", percent, s.workers.looked, got.report.Incarnation)
 		}
-		want := runner.RunState{Task: "w-1-task", Run: 7, Saved: "s", Percent: percent, Gauge: 17}
+		want := runner.RunState{Task: "w-1-task", Run: 7, Checkpoint: "s", Percent: percent, Gauge: 17}
 		if got.err != nil || got.report.Clock != 1234*time.Millisecond || len(got.report.Running) != 1 || got.report.Running[0] != want {
 			t.Errorf("look %d: %+v", percent, got)
 		}
@@ -130,7 +130,7 @@
 func TestOutcomesOfTheWorkerAreTold(t *testing.T) {
 	s := newSite(t)
 	l := s.link(t)
-	for name, fail := range map[string]error{"refused": &runner.Refusal{Reason: runner.BadTicket}, "gone": runner.ErrGone, "no answer": runner.ErrNoAnswer} {
+	for name, fail := range map[string]error{"refused": &runner.Refusal{Reason: runner.BadTicket}, "gone": runner.ErrIncarnationGone, "no answer": runner.ErrNoAnswer} {
 		s.workers.mu.Lock()
 		s.workers.fail = fail
 		s.workers.mu.Unlock()
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -89,11 +89,11 @@
 	return all
 }
 
-// Look implements runner.Client.
-func (p *Pool) Look(ctx context.Context, w runner.Target, l runner.Look) (runner.Report, error) {
+// Poll implements runner.Client.
+func (p *Pool) Poll(ctx context.Context, w runner.Target, l runner.Poll) (runner.Report, error) {
 	got, done := p.relay(ctx, w, &call{request: request{Look: lookFrom(l)}})
 	if !done {
-		return p.workers.Look(ctx, w, l)
+		return p.workers.Poll(ctx, w, l)
 	}
 	return got.report, got.err
 }
@@ -116,11 +116,11 @@
 	return got.answer, got.err
 }
 
-// Pace implements runner.Client.
-func (p *Pool) Pace(ctx context.Context, w runner.Target, c runner.Pace) (runner.Answer, error) {
+// Throttle implements runner.Client.
+func (p *Pool) Throttle(ctx context.Context, w runner.Target, c runner.Throttle) (runner.Answer, error) {
 	got, done := p.relay(ctx, w, &call{request: request{Pace: &pace{Task: c.Task, Run: c.Run, Token: c.Token, Percent: c.Percent}}})
 	if !done {
-		return p.workers.Pace(ctx, w, c)
+		return p.workers.Throttle(ctx, w, c)
 	}
 	return got.answer, got.err
 }
--- a/internal/relay/pool_test.go
+++ b/internal/relay/pool_test.go
@@ -71,7 +71,7 @@
 }
 
 func (f *fleet) look(t *testing.T) error {
-	_, err := f.pool.Look(within(t), w1, runner.Look{Token: 1, Wait: time.Second})
+	_, err := f.pool.Poll(within(t), w1, runner.Poll{Token: 1, Wait: time.Second})
 	return err
 }
 
--- a/internal/relay/reports.go
+++ b/internal/relay/reports.go
@@ -10,7 +10,7 @@
 // lastReport is what is kept of a worker's last report.
 type lastReport struct {
 	running []runner.RunState
-	born    runner.Born
+	born    runner.Incarnation
 }
 
 // shorten puts a report into a reply in its short form.
@@ -24,19 +24,19 @@
 	for i, run := range full.Running {
 		short.Running[i] = runState{Percent: run.Percent, Gauge: float32(run.Gauge)}
 		place, known := places[run.Task]
-		if known && before[place].Run == run.Run && before[place].Saved == run.Saved {
+		if known && before[place].Run == run.Run && before[place].Checkpoint == run.Checkpoint {
 			short.Running[i].Before = 1 + place
 			continue
 		}
-		short.Running[i].Task, short.Running[i].Run, short.Running[i].Saved = run.Task, run.Run, run.Saved
+		short.Running[i].Task, short.Running[i].Run, short.Running[i].Saved = run.Task, run.Run, run.Checkpoint
 	}
 	for i, e := range full.Ended {
-		short.Ended[i] = end{Sequence: e.Sequence, Task: e.Task, Run: e.Run, How: string(e.How), Saved: e.Saved}
+		short.Ended[i] = end{Sequence: e.Sequence, Task: e.Task, Run: e.Run, How: string(e.Kind), Saved: e.Checkpoint}
 	}
-	if full.Born != r[worker].born {
-		out.BornMillis = int64(full.Born)
+	if full.Incarnation != r[worker].born {
+		out.BornMillis = int64(full.Incarnation)
 	}
-	r[worker] = lastReport{full.Running, full.Born}
+	r[worker] = lastReport{full.Running, full.Incarnation}
 	out.Report = short
 }
 
@@ -45,13 +45,13 @@
 func (r reports) restore(in *reply) (full runner.Report, ok bool) {
 	short := in.Report
 	before := r[short.Worker].running
-	full.Born = r[short.Worker].born
+	full.Incarnation = r[short.Worker].born
 	if in.BornMillis != 0 {
-		full.Born = runner.Born(in.BornMillis)
+		full.Incarnation = runner.Incarnation(in.BornMillis)
 	}
 	full.Running = make([]runner.RunState, len(short.Running))
 	for i, s := range short.Running {
-		run := runner.RunState{Task: s.Task, Run: s.Run, Saved: s.Saved}
+		run := runner.RunState{Task: s.Task, Run: s.Run, Checkpoint: s.Saved}
 		if s.Before > len(before) || s.Before < 0 {
 			return full, false
 		}
@@ -63,8 +63,8 @@
 	}
 	full.Ended = make([]runner.End, len(short.Ended))
 	for i, e := range short.Ended {
-		full.Ended[i] = runner.End{Sequence: e.Sequence, Task: e.Task, Run: e.Run, How: runner.EndKind(e.How), Saved: e.Saved}
+		full.Ended[i] = runner.End{Sequence: e.Sequence, Task: e.Task, Run: e.Run, Kind: runner.EndKind(e.How), Checkpoint: e.Saved}
 	}
-	r[short.Worker] = lastReport{full.Running, full.Born}
+	r[short.Worker] = lastReport{full.Running, full.Incarnation}
 	return full, true
 }
--- a/internal/relay/reports_test.go
+++ b/internal/relay/reports_test.go
@@ -13,14 +13,14 @@
 
 // anyReport draws a report in which few tasks come and go.
 func anyReport(t *rapid.T) runner.Report {
-	r := runner.Report{Born: rapid.SampledFrom([]runner.Born{1767225600000, 1767225609000}).Draw(t, "born"), Running: []runner.RunState{}, Ended: []runner.End{}}
+	r := runner.Report{Incarnation: rapid.SampledFrom([]runner.Incarnation{1767225600000, 1767225609000}).Draw(t, "born"), Running: []runner.RunState{}, Ended: []runner.End{}}
 	for _, task := range rapid.SliceOfDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}), rapid.ID[string]).Draw(t, "tasks") {
 		r.Running = append(r.Running, runner.RunState{Task: task, Run: rapid.Uint64Range(1, 3).Draw(t, "run"),
-			Saved: rapid.SampledFrom([]string{"", "s1", "s2"}).Draw(t, "saved"), Percent: rapid.IntRange(0, 100).Draw(t, "percent"),
+			Checkpoint: rapid.SampledFrom([]string{"", "s1", "s2"}).Draw(t, "saved"), Percent: rapid.IntRange(0, 100).Draw(t, "percent"),
 			Gauge: float64(rapid.IntRange(0, 5000).Draw(t, "gauge"))})
 	}
 	if rapid.Bool().Draw(t, "end") {
-		r.Ended = append(r.Ended, runner.End{Sequence: 7, Task: "f", Run: 2, How: runner.Done, Saved: "s"})
+		r.Ended = append(r.Ended, runner.End{Sequence: 7, Task: "f", Run: 2, Kind: runner.Done, Checkpoint: "s"})
 	}
 	return r
 }
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -85,7 +85,7 @@
 // resolve puts in what the owner left out.
 func (s *session) resolve(r *request) (runner.Target, error) {
 	if r.Target != nil {
-		s.workers[r.Worker] = runner.Target{ID: r.Target.ID, Born: runner.Born(r.BornMillis), Address: r.Target.Address}
+		s.workers[r.Worker] = runner.Target{ID: r.Target.ID, Incarnation: runner.Incarnation(r.BornMillis), Address: r.Target.Address}
 	}
 	if r.Start != nil {
 		if r.Start.Slot >= slots {
@@ -167,7 +167,7 @@
 	switch {
 	case r.Look != nil:
 		var full runner.Report
-		if full, err = client.Look(ctx, w, r.Look.runner()); err == nil {
+		if full, err = client.Poll(ctx, w, r.Look.runner()); err == nil {
 			d.report = &full
 			answer.Clock = full.Clock
 		}
@@ -176,7 +176,7 @@
 	case r.Stop != nil:
 		answer, err = client.Stop(ctx, w, runner.Stop{Task: r.Stop.Task, Run: r.Stop.Run, Token: r.Stop.Token})
 	case r.Pace != nil:
-		answer, err = client.Pace(ctx, w, runner.Pace{Task: r.Pace.Task, Run: r.Pace.Run, Token: r.Pace.Token, Percent: r.Pace.Percent})
+		answer, err = client.Throttle(ctx, w, runner.Throttle{Task: r.Pace.Task, Run: r.Pace.Run, Token: r.Pace.Token, Percent: r.Pace.Percent})
 	}
 	d.ClockMicros = answer.Clock.Microseconds()
 	if err != nil {
--- a/internal/roster/named_test.go
+++ b/internal/roster/service_filter_test.go
@@ -27,7 +27,7 @@
 	ours, stranger, leaver := Worker{ID: "a", Service: "desk"}, Worker{ID: "b", Service: "other"}, Worker{ID: "c", Service: "other"}
 	source := &scripted{{Workers: []Worker{ours, stranger, leaver}, Version: 1}, {Removed: []string{"c"}, Version: 2}, {Version: 3}}
 	services := map[string]bool{"desk": true}
-	named := NewNamed(source, func(service string) bool { return services[service] })
+	named := NewServiceFilter(source, func(service string) bool { return services[service] })
 	for _, test := range []struct {
 		name string
 		want []string
@@ -66,7 +66,7 @@
 // Failure: workers of a service that had just been named were not used.
 func TestWorkersThatAreNamedInAnOutageAreNotLost(t *testing.T) {
 	named := false
-	n := NewNamed(&scripted{{Workers: []Worker{{ID: "a", Service: "desk"}}, Version: 1}}, func(string) bool { return named })
+	n := NewServiceFilter(&scripted{{Workers: []Worker{{ID: "a", Service: "desk"}}, Version: 1}}, func(string) bool { return named })
 	if _, err := n.Since(t.Context(), 0, 0); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/roster/worker.go
+++ b/internal/roster/worker.go
@@ -11,11 +11,11 @@
 // Worker is one incarnation of a worker as it describes itself.
 type Worker struct {
 	ID string
-	// Born tells the worker's incarnations under one id apart.
-	Born    runner.Born
-	Address string
-	Zone    string
-	Service string
+	// Incarnation tells the worker's incarnations under one id apart.
+	Incarnation runner.Incarnation
+	Address     string
+	Zone        string
+	Service     string
 	// Draining says that the worker takes no new tasks and will leave.
 	Draining bool
 	// Remaining is how long a draining worker stays at least.
--- a/internal/runner/client.go
+++ b/internal/runner/client.go
@@ -11,15 +11,15 @@
 // another incarnation answers at the address, and ErrNoAnswer if the order may
 // have been carried out or may still be. No order reaches another incarnation.
 type Client interface {
-	// Look extends the lease and returns what runs and what has ended. If the worker
+	// Poll extends the lease and returns what runs and what has ended. If the worker
 	// has started again under its id, the next incarnation reports; its lease is not
 	// extended, and nothing is acknowledged to it.
-	Look(ctx context.Context, w Target, look Look) (Report, error)
+	Poll(ctx context.Context, w Target, look Poll) (Report, error)
 	// Start starts a run of a task.
 	Start(ctx context.Context, w Target, start Start) (Answer, error)
 	// Stop ends a run. Answered, it also revokes a start of that run, or of a
 	// lower one, that has not arrived yet.
 	Stop(ctx context.Context, w Target, stop Stop) (Answer, error)
-	// Pace lets a run work at a share of its speed.
-	Pace(ctx context.Context, w Target, pace Pace) (Answer, error)
+	// Throttle lets a run work at a share of its speed.
+	Throttle(ctx context.Context, w Target, pace Throttle) (Answer, error)
 }
--- a/internal/runner/end.go
+++ b/internal/runner/end.go
@@ -4,9 +4,9 @@
 // acknowledged.
 type End struct {
 	// Sequence rises by one with every end of this incarnation.
-	Sequence uint64
-	Task     string
-	Run      uint64
-	How      EndKind
-	Saved    string
+	Sequence   uint64
+	Task       string
+	Run        uint64
+	Kind       EndKind
+	Checkpoint string
 }
--- a/internal/runner/errors.go
+++ b/internal/runner/errors.go
@@ -3,9 +3,9 @@
 import "errors"
 
 var (
-	// ErrGone says that another incarnation answers at the address: the one
+	// ErrIncarnationGone says that another incarnation answers at the address: the one
 	// that was meant has ended, and everything that ran on it.
-	ErrGone = errors.New("another incarnation of the worker answered")
+	ErrIncarnationGone = errors.New("another incarnation of the worker answered")
 	// ErrNoAnswer says that the order may have been carried out, or may be
 	// carried out seconds later.
 	ErrNoAnswer = errors.New("the worker did not answer")
--- a/internal/runner/born.go
+++ b/internal/runner/incarnation.go
@@ -1,6 +1,6 @@
 package runner
 
-// Born is when an incarnation of a worker started, in Unix milliseconds by the worker's
+// Incarnation is when an incarnation of a worker started, in Unix milliseconds by the worker's
 // own time of day, or 0 if that is not known. A worker may start again under its id; the
 // two together name an incarnation.
-type Born int64
+type Incarnation int64
--- a/internal/runner/look.go
+++ b/internal/runner/poll.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Look asks a worker for its state.
-type Look struct {
+// Poll asks a worker for its state.
+type Poll struct {
 	Token uint64
 	// LeaseUntil is the new end of the worker's lease on its own clock; nil
 	// leaves the lease as it is. A lease never becomes shorter.
--- a/internal/runner/refusal_reason.go
+++ b/internal/runner/refusal_reason.go
@@ -9,10 +9,10 @@
 	Fenced RefusalReason = "fenced"
 	// RunTooOld means that this or a higher run was there already.
 	RunTooOld RefusalReason = "run_too_old"
-	// LeaseOver means that the order came after the lease it carries.
-	LeaseOver RefusalReason = "lease_over"
-	// NoRoom means that the worker checks its capacity and lacks it.
-	NoRoom RefusalReason = "no_room"
+	// OrderExpired means that the order came after the lease it carries.
+	OrderExpired RefusalReason = "lease_over"
+	// InsufficientCapacity means that the worker checks its capacity and lacks it.
+	InsufficientCapacity RefusalReason = "no_room"
 	// BadTicket means that the placement ticket is missing or has expired.
 	BadTicket RefusalReason = "bad_ticket"
 	// Unhealthy means that the worker declined because it is not well.
--- a/internal/runner/report.go
+++ b/internal/runner/report.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// MostListed is how many ends a worker lists at a time, the oldest first. The others follow
+// MaxReportedEnds is how many ends a worker lists at a time, the oldest first. The others follow
 // when those are acknowledged.
-const MostListed = 500
+const MaxReportedEnds = 500
 
 // Report is a worker's answer to a look.
 type Report struct {
-	// Born names the incarnation that answers.
-	Born Born
+	// Incarnation names the incarnation that answers.
+	Incarnation Incarnation
 	// Clock is the worker's own steady clock at the time of the answer.
 	Clock   time.Duration
 	Running []RunState
--- a/internal/runner/run_state.go
+++ b/internal/runner/run_state.go
@@ -4,8 +4,8 @@
 type RunState struct {
 	Task string
 	Run  uint64
-	// Saved is the last checkpoint, or empty.
-	Saved string
+	// Checkpoint is the last checkpoint, or empty.
+	Checkpoint string
 	// Percent is how far the task says it is. For a task that lasts, 100 means
 	// that it serves.
 	Percent int
--- a/internal/runner/start.go
+++ b/internal/runner/start.go
@@ -15,8 +15,8 @@
 	Token uint64
 	// LeaseUntil is the end of the worker's lease on its own clock.
 	LeaseUntil time.Duration
-	// Saved resumes from a checkpoint, or is empty.
-	Saved string
+	// Checkpoint resumes from a checkpoint, or is empty.
+	Checkpoint string
 	// Ticket is the placement adviser's leave, or empty.
 	Ticket string
 }
--- a/internal/runner/target.go
+++ b/internal/runner/target.go
@@ -3,10 +3,10 @@
 // Target is one incarnation of a worker and where it listens.
 type Target struct {
 	ID string
-	// Born tells the incarnations under one id apart. If it is 0, because it is not
+	// Incarnation tells the incarnations under one id apart. If it is 0, because it is not
 	// known, calls reach any of them.
-	Born    Born
-	Address string
+	Incarnation Incarnation
+	Address     string
 	// Zone is its availability zone, or empty if that is not known.
 	Zone string
 }
--- a/internal/runner/pace.go
+++ b/internal/runner/throttle.go
@@ -1,7 +1,7 @@
 package runner
 
-// Pace sets the speed of a run.
-type Pace struct {
+// Throttle sets the speed of a run.
+type Throttle struct {
 	Task  string
 	Run   uint64
 	Token uint64
