--- a/internal/job/codec.go
+++ b/internal/job/codec.go
@@ -6,12 +6,12 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// codecVersion is the first byte of every encoded value. A reader refuses other
-// versions instead of misreading them.
+// codecVersion is the first byte of every encoded value. Values of other versions are
+// rejected rather than misinterpreted.
 const codecVersion = 1
 
-// encoding writes times as RFC 3339 with nanoseconds: exact, and readable in a
-// dump of the row.
+// encoding writes times as RFC 3339 with nanoseconds, which is exact and readable in a dump
+// of the row.
 var encoding = mustEncoding()
 
 func mustEncoding() cbor.EncMode {
@@ -22,18 +22,19 @@
 	return mode
 }
 
-// EncodeRecord returns the bytes of a record.
+// EncodeRecord returns the stored form of a record.
 func EncodeRecord(r *Record) ([]byte, error) { return encode(r) }
 
-// DecodeRecord reads what EncodeRecord wrote. It refuses a record that no caller could
-// have submitted: a panic over it would end each owner that loads it, one after the other.
+// DecodeRecord decodes a value that EncodeRecord wrote. It rejects a record that fails
+// Validate: if such a record caused a panic, it would crash each owner that loads it, one
+// after the other.
 func DecodeRecord(data []byte) (*Record, error) {
 	r := &Record{}
 	if err := decode(data, r); err != nil {
 		return r, err
 	}
 	if len(r.Steps) == 0 {
-		// Of a job that has ended or was withdrawn its steps are not kept.
+		// The record of an ended or withdrawn job has no steps.
 		return r, nil
 	}
 	if err := r.Validate(); err != nil {
@@ -42,11 +43,11 @@
 	return r, nil
 }
 
-// EncodeProgress returns the bytes of a progress.
+// EncodeProgress returns the stored form of a job's progress.
 func EncodeProgress(p *Progress) ([]byte, error) { return encode(p) }
 
-// DecodeProgress reads what EncodeProgress wrote. It refuses a task with a negative number,
-// for the reason that DecodeRecord gives.
+// DecodeProgress decodes a value that EncodeProgress wrote. It rejects negative task
+// indexes, for the same reason as DecodeRecord.
 func DecodeProgress(data []byte) (*Progress, error) {
 	p := &Progress{}
 	if err := decode(data, p); err != nil {
--- a/internal/job/codec_test.go
+++ b/internal/job/codec_test.go
@@ -39,8 +39,8 @@
 	})
 }
 
-// FuzzDecode: rows may be damaged or of a later version; reading them gives an
-// error and never more.
+// FuzzDecode checks that decoding a damaged row, or one of a later version, returns an error
+// and does not panic.
 func FuzzDecode(f *testing.F) {
 	record, err := EncodeRecord(&Record{ID: "5c0e7a21d94b36f8", Steps: []Step{{Count: 2, DependsOn: []int{0}}}})
 	if err != nil {
@@ -51,7 +51,7 @@
 	f.Add([]byte{2, 0xa0})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if r, err := DecodeRecord(data); err == nil && data[0] != codecVersion {
-			t.Errorf("read %+v of version %d", r, data[0])
+			t.Errorf("decoded %+v of version %d", r, data[0])
 		}
 		if p, err := DecodeProgress(data); err == nil {
 			for i := range p.Stages {
@@ -69,7 +69,7 @@
 	}
 	for _, bad := range []string{"", "a.1.2", "a.1.2.x", "a.1.2.-3", ".1.2.3", "a.1.2.3.4"} {
 		if _, err := ParseTaskID(bad); err == nil {
-			t.Errorf("%q was read", bad)
+			t.Errorf("%q was accepted as a task name", bad)
 		}
 	}
 }
@@ -92,7 +92,7 @@
 	}
 	for name, r := range bad {
 		if r.Validate() == nil {
-			t.Errorf("%s was accepted", name)
+			t.Errorf("record with %s was accepted", name)
 		}
 	}
 	if err := step(func(*Step) {}).Validate(); err != nil {
--- a/internal/job/fuzz_test.go
+++ b/internal/job/fuzz_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// FuzzRecord: a row that can be read as a record is written again as the same record.
+// FuzzRecord checks that a record that can be decoded is the same after another round trip.
 func FuzzRecord(f *testing.F) {
 	sound, err := EncodeRecord(&Record{ID: "5c0e7a21d94b36f8", Queue: "q", AcceptedAt: time.UnixMilli(5).UTC(),
 		Steps: []Step{{Count: 2, Estimate: time.Second}, {Count: 1, DependsOn: []int{0}, Gang: true}}})
@@ -27,12 +27,13 @@
 		}
 		second, err := DecodeRecord(again)
 		if err != nil || !second.AcceptedAt.Equal(first.AcceptedAt) || !reflect.DeepEqual(second.Steps, first.Steps) {
-			t.Errorf("%x: %+v is read again as %+v, error %v", data, first, second, err)
+			t.Errorf("%x: %+v becomes %+v after a round trip, error %v", data, first, second, err)
 		}
 	})
 }
 
-// FuzzProgress: a row that can be read as progress is written again as the same.
+// FuzzProgress checks that a progress that can be decoded is the same after another round
+// trip.
 func FuzzProgress(f *testing.F) {
 	sound, err := EncodeProgress(&Progress{Final: Completed, EndedAtMillis: 7, Stages: []StageProgress{{Step: 1}}})
 	if err != nil {
@@ -50,7 +51,7 @@
 			t.Fatalf("%x: %v", data, err)
 		}
 		if second, err := DecodeProgress(again); err != nil || second.Final != first.Final || len(second.Stages) != len(first.Stages) {
-			t.Errorf("%x: %+v is read again as %+v, error %v", data, first, second, err)
+			t.Errorf("%x: %+v becomes %+v after a round trip, error %v", data, first, second, err)
 		}
 	})
 }
--- a/internal/job/objective.go
+++ b/internal/job/objective.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// typicalAdviceWorkers is the size of a usual question to the placement adviser, in workers.
+// typicalAdviceWorkers is the typical number of workers in a call to the placement adviser.
 const typicalAdviceWorkers = 30
 
-// Objective returns how long the job may take to be in time, from the caller's own
-// estimates: the longest chain of its steps, stretched, and the target of its queue.
+// Objective returns the job's target duration: the critical path of its steps, from the
+// caller's estimates, times the stretch, plus the fixed target of its queue.
 func (r *Record) Objective() time.Duration {
 	return time.Duration(r.Stretch*float64(r.criticalPath())) + r.Target
 }
 
-// criticalPath returns how long the longest criticalPath of steps takes if all tasks start at once.
+// criticalPath returns the duration of the longest chain of dependent steps, if all tasks of
+// a step start at once.
 func (r *Record) criticalPath() time.Duration {
 	ends := make([]time.Duration, len(r.Steps))
 	longest := time.Duration(0)
@@ -29,7 +30,7 @@
 	return longest
 }
 
-// LongRunning reports whether some step of the job runs until it is cancelled.
+// LongRunning reports whether any step of the job runs until the job is cancelled.
 func (r *Record) LongRunning() bool {
 	for i := range r.Steps {
 		if r.Steps[i].LongRunning {
--- a/internal/job/progress.go
+++ b/internal/job/progress.go
@@ -1,13 +1,14 @@
 package job
 
-// Progress is what must survive of a job's execution: which tasks are done,
-// which runs failed, and the last checkpoints. What runs where is not in it; a
-// new owner learns that from the workers.
+// Progress is the durable state of a job's execution: which tasks are done, which runs
+// failed, and the last checkpoints. It does not record which worker runs what; a new owner
+// gets that from the workers' reports.
 type Progress struct {
-	// Final is the job's final state, or empty while it goes on.
+	// Final is the job's final state, or empty while the job is active.
 	Final State `cbor:"1,keyasint,omitempty"`
-	// EndedAtMillis is the wall clock of the final state, for removal later.
+	// EndedAtMillis is the wall-clock time at which the job reached its final state. The
+	// job's rows are removed some time after it.
 	EndedAtMillis int64 `cbor:"2,keyasint,omitempty"`
-	// Stages lists the stages that have something to keep.
+	// Stages lists the stages that have state to keep.
 	Stages []StageProgress `cbor:"3,keyasint,omitempty"`
 }
--- a/internal/job/stage_progress.go
+++ b/internal/job/stage_progress.go
@@ -1,22 +1,22 @@
 package job
 
-// StageProgress is the kept part of one stage.
+// StageProgress is the durable state of one stage.
 type StageProgress struct {
 	Occurrence int `cbor:"1,keyasint,omitempty"`
 	Step       int `cbor:"2,keyasint,omitempty"`
-	// Done is a bit set over the tasks.
+	// Done is the bit set of finished tasks, by task index.
 	Done []byte `cbor:"3,keyasint,omitempty"`
-	// Tasks lists the unfinished tasks that have failed or saved something.
+	// Tasks lists the unfinished tasks that have failed or written a checkpoint.
 	Tasks []TaskProgress `cbor:"4,keyasint,omitempty"`
 }
 
-// IsDone reports whether the task of an index is done.
+// IsDone reports whether the task with the given index is done.
 func (p *StageProgress) IsDone(index int) bool {
 	at := index / 8
 	return at < len(p.Done) && p.Done[at]&(1<<(index%8)) != 0
 }
 
-// SetDone marks the task of an index as done.
+// SetDone marks the task with the given index as done.
 func (p *StageProgress) SetDone(index int) {
 	for len(p.Done) <= index/8 {
 		p.Done = append(p.Done, 0)
--- a/internal/job/state.go
+++ b/internal/job/state.go
@@ -1,6 +1,6 @@
 package job
 
-// State is what a caller is told of a job.
+// State is the state of a job as the API reports it.
 type State string
 
 // The states of a job. The last three are final.
@@ -12,7 +12,7 @@
 	Cancelled State = "cancelled"
 )
 
-// Final reports whether the state never changes again.
+// Final reports whether the state is terminal.
 func (s State) Final() bool {
 	return s == Completed || s == Failed || s == Cancelled
 }
--- a/internal/job/status.go
+++ b/internal/job/status.go
@@ -1,8 +1,8 @@
 package job
 
-// Status is what is known of a job that a caller asks about.
+// Status is the answer to a query about a job.
 type Status struct {
 	State State
-	// Workspace is whose job it is; see Record.
+	// Workspace is the workspace that owns the job; see Record.
 	Workspace string
 }
--- a/internal/job/step.go
+++ b/internal/job/step.go
@@ -6,44 +6,47 @@
 	"gentianstand/internal/resource"
 )
 
-// Step is a set of equal tasks.
+// Step is a set of identical tasks.
 type Step struct {
 	// Count is the number of tasks.
 	Count int `cbor:"1,keyasint"`
-	// Need is what one task occupies on its worker.
+	// Need is the amount of resources that one task requests on its worker.
 	Need resource.Amount `cbor:"2,keyasint"`
-	// Estimate is the caller's rough guess of a task's duration.
+	// Estimate is the caller's rough estimate of a task's duration.
 	Estimate time.Duration `cbor:"3,keyasint,omitempty"`
-	// DependsOn lists earlier steps whose tasks must all be done first.
+	// DependsOn lists the earlier steps whose tasks must all be done before this step
+	// starts.
 	DependsOn []int `cbor:"4,keyasint,omitempty"`
-	// Checkpoint says that a stopped task can resume from its last checkpoint.
+	// Checkpoint reports that a stopped task can resume from its last checkpoint.
 	Checkpoint bool `cbor:"5,keyasint,omitempty"`
-	// Gang says that the tasks work only while all of them run.
+	// Gang reports that the tasks make progress only while all of them run.
 	Gang bool `cbor:"6,keyasint,omitempty"`
-	// RackLocal says that the tasks are much slower on more than one rack.
+	// RackLocal reports that the tasks are much slower if they span more than one rack.
 	RackLocal bool `cbor:"7,keyasint,omitempty"`
-	// AllowDuplicates says that copies may run at the same time.
+	// AllowDuplicates permits speculative runs of a task at the same time as the first.
 	AllowDuplicates bool `cbor:"8,keyasint,omitempty"`
-	// LongRunning says that the tasks run until the job is cancelled.
+	// LongRunning reports that the tasks run until the job is cancelled.
 	LongRunning bool `cbor:"9,keyasint,omitempty"`
-	// BestEffort says that the tasks use only processor time that others leave;
-	// their processor need does not count against a worker's capacity.
+	// BestEffort reports that the tasks use only CPU time that other tasks leave idle. Their
+	// CPU request does not count against a worker's capacity.
 	BestEffort bool `cbor:"10,keyasint,omitempty"`
-	// RequiredLabel is a label the worker must carry, or empty.
+	// RequiredLabel is a label that the worker must have, or empty.
 	RequiredLabel string `cbor:"11,keyasint,omitempty"`
-	// DataRack is the rack near the data; other racks are much slower.
+	// DataRack is the rack closest to the data; on other racks the tasks are much slower.
 	DataRack string `cbor:"12,keyasint,omitempty"`
-	// Image names what the tasks run; tasks of one image behave alike.
+	// Image is the image that the tasks run. Tasks of one image are expected to behave
+	// alike.
 	Image string `cbor:"13,keyasint,omitempty"`
-	// MaxPerWorker limits the step's tasks on one worker; 0 is no limit.
+	// MaxPerWorker limits the number of the step's tasks on one worker; 0 means no limit.
 	MaxPerWorker int `cbor:"14,keyasint,omitempty"`
-	// TailLatencyTarget is the response time that a serving task has to stay below.
+	// TailLatencyTarget is the response time below which a latency-sensitive task must stay.
 	TailLatencyTarget time.Duration `cbor:"15,keyasint,omitempty"`
-	// MaxUnavailable is how many tasks may be away at once by the scheduler's doing.
+	// MaxUnavailable is the number of tasks that the scheduler may take down at the same
+	// time.
 	MaxUnavailable int `cbor:"16,keyasint,omitempty"`
 }
 
-// Occupied returns what a task of the step takes from a worker's capacity.
+// Occupied returns the part of a worker's capacity that a task of the step uses.
 func (s *Step) Occupied() resource.Amount {
 	need := s.Need
 	if s.BestEffort {
--- a/internal/job/task_id.go
+++ b/internal/job/task_id.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// TaskID names one task. Its text is job.occurrence.step.index.
+// TaskID identifies a task. Its text form is job.occurrence.step.index.
 type TaskID struct {
 	Job        string
 	Occurrence int
@@ -25,12 +25,12 @@
 	return string(b)
 }
 
-// Stage returns the stage the task belongs to.
+// Stage returns the stage that the task belongs to.
 func (t TaskID) Stage() StageID {
 	return StageID{Job: t.Job, Occurrence: t.Occurrence, Step: t.Step}
 }
 
-// ParseTaskID reads a task's name.
+// ParseTaskID parses the text form of a task's id.
 func ParseTaskID(s string) (TaskID, error) {
 	parts := strings.Split(s, ".")
 	if len(parts) != 4 || parts[0] == "" {
--- a/internal/job/task_progress.go
+++ b/internal/job/task_progress.go
@@ -1,23 +1,23 @@
 package job
 
-// TaskProgress is the kept part of one unfinished task.
+// TaskProgress is the durable state of an unfinished task.
 type TaskProgress struct {
 	Index int `cbor:"1,keyasint,omitempty"`
-	// FailedRuns are the runs that ended as failed. A worker lists an end until it
-	// is acknowledged, so a new owner may see a counted one again.
+	// FailedRuns are the runs that ended as failed. A worker reports an end until it is
+	// acknowledged, so a new owner may see one that is already counted.
 	FailedRuns []uint64 `cbor:"2,keyasint,omitempty"`
-	// LastRun is the highest run that was ordered.
+	// LastRun is the highest run number for which a start was ordered.
 	LastRun uint64 `cbor:"4,keyasint,omitempty"`
 	// Checkpoint is the last checkpoint, or empty.
 	Checkpoint string `cbor:"5,keyasint,omitempty"`
-	// CrashedRuns are the runs under which a worker crashed, LostRuns those whose worker
-	// fell silent while they were starting.
+	// CrashedRuns are the runs during which a worker crashed. LostRuns are the runs whose
+	// worker became unresponsive while they were starting.
 	CrashedRuns []uint64 `cbor:"6,keyasint,omitempty"`
 	LostRuns    []uint64 `cbor:"7,keyasint,omitempty"`
-	// CrashedAtStart is how many of the workers of CrashedRuns fell silent as soon as the
-	// run had begun.
+	// CrashedAtStart is the number of workers of CrashedRuns that became unresponsive as
+	// soon as the run had started.
 	CrashedAtStart int `cbor:"8,keyasint,omitempty"`
-	// LostAtMillis is when the last of the workers of LostRuns fell silent, by the owner's
-	// time of day since 1970, or 0 if it was not kept.
+	// LostAtMillis is when the last of the workers of LostRuns became unresponsive, in Unix
+	// milliseconds on the owner's wall clock, or 0 if unknown.
 	LostAtMillis int64 `cbor:"9,keyasint,omitempty"`
 }
--- a/internal/job/validate.go
+++ b/internal/job/validate.go
@@ -5,8 +5,8 @@
 	"regexp"
 )
 
-// The limits of one job. A row of the store holds 64 KiB, and a spec of 4,000
-// bytes leaves room for a few hundred steps of about 100 bytes.
+// The limits of one job. A row of the store holds 64 KiB; next to a spec of 4,000 bytes
+// it has space for a few hundred steps of about 100 bytes each.
 const (
 	MaxSpecBytes   = 4000
 	MaxSteps       = 256
@@ -19,13 +19,14 @@
 // ValidID reports whether id is 16 lower-case hexadecimal digits.
 func ValidID(id string) bool { return idPattern.MatchString(id) }
 
-// Validate returns what is wrong with a submitted record, with the place, or nil.
+// Validate returns an error that names the first invalid field of a submitted record, or
+// nil.
 func (r *Record) Validate() error {
 	if len(r.Spec) > MaxSpecBytes {
 		return fmt.Errorf("spec: %d bytes; at most %d", len(r.Spec), MaxSpecBytes)
 	}
 	if len(r.Steps) == 0 || len(r.Steps) > MaxSteps {
-		return fmt.Errorf("steps: %d of them; 1 to %d allowed", len(r.Steps), MaxSteps)
+		return fmt.Errorf("steps: %d steps; 1 to %d allowed", len(r.Steps), MaxSteps)
 	}
 	if s := r.Schedule; s != nil && (s.Count < 1 || s.Count > MaxOccurrences || s.Every < 0) {
 		return fmt.Errorf("repeats: %d every %v; 1 to %d, with a period that is not negative", s.Count, s.Every, MaxOccurrences)
@@ -43,8 +44,8 @@
 	return nil
 }
 
-// validate looks at one step. Because a step may only name earlier ones, the
-// dependencies cannot form a cycle.
+// validate checks one step. A step may depend on earlier steps only, so dependencies cannot
+// form a cycle.
 func (s *Step) validate(index int) error {
 	if s.Count < 1 {
 		return fmt.Errorf("count is %d; at least 1", s.Count)
--- a/internal/roster/change.go
+++ b/internal/roster/change.go
@@ -1,13 +1,13 @@
 package roster
 
-// Change is a batch of news about workers.
+// Change is a batch of updates to the list of workers.
 type Change struct {
-	// Workers were added or have changed.
+	// Workers are the workers that were added or changed.
 	Workers []Worker
-	// Removed lists ids that are no longer registered.
+	// Removed lists the ids of workers that are no longer registered.
 	Removed []string
-	// Version is where the next call resumes.
+	// Version is the version from which the next call continues.
 	Version uint64
-	// More says that there may be more news already.
+	// More reports that further updates may already be available.
 	More bool
 }
--- a/internal/roster/service_filter.go
+++ b/internal/roster/service_filter.go
@@ -6,21 +6,23 @@
 	"time"
 )
 
-// ServiceFilter passes over the workers of services that the configuration does not name: an entry
-// of another writer would be called for ever. They are kept, because a later configuration
-// may name them. It is safe for concurrent use.
+// ServiceFilter is a Source that withholds the workers of services that are not configured.
+// Otherwise the scheduler would poll entries of other writers indefinitely. Withheld workers
+// are remembered, because a later configuration may add their service. ServiceFilter is safe
+// for concurrent use.
 type ServiceFilter struct {
 	source Source
-	// isConfigured reports whether the configuration in force names a service; before there is
-	// one it has to say so of all, or a new owner would begin without workers.
+	// isConfigured reports whether the configuration in force names a service. Before a
+	// configuration is loaded it must return true for all services, or a new owner would
+	// start without workers.
 	isConfigured func(service string) bool
 
 	mu sync.Mutex
-	// withheld are the workers that were passed over, by id.
+	// withheld are the workers that were not returned yet, by id.
 	withheld map[string]Worker
 }
 
-// NewServiceFilter returns source without the workers of services that are not named.
+// NewServiceFilter returns a filter that passes only the workers of configured services.
 func NewServiceFilter(source Source, named func(service string) bool) *ServiceFilter {
 	return &ServiceFilter{source: source, isConfigured: named, withheld: map[string]Worker{}}
 }
@@ -35,8 +37,9 @@
 	return n.filter(n.source.Since(ctx, version, wait))
 }
 
-// filter holds strangers back, and adds those that have been named since. What comes with
-// an error is not used by callers, so nothing is handed out with one.
+// filter removes workers of services that are not configured from a change, and adds those
+// whose service has been configured since. With an error it returns an empty change and
+// keeps its state, because callers ignore the change then.
 func (n *ServiceFilter) filter(change Change, err error) (Change, error) {
 	if err != nil {
 		return Change{}, err
--- a/internal/roster/service_filter_test.go
+++ b/internal/roster/service_filter_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// scripted returns one change after the other.
+// scripted is a Source that returns the given changes in order.
 type scripted []Change
 
 func (s *scripted) All(context.Context) (Change, error) { return s.next(), nil }
@@ -22,7 +22,8 @@
 	return c
 }
 
-// Failure: an instance calls an address for ever that never answers.
+// Guards against an instance that calls an unreachable address indefinitely, because another
+// writer registered a worker of a service that is not configured.
 func TestWorkersOfUnknownServicesAreHeldBackUntilTheyAreNamed(t *testing.T) {
 	ours, stranger, leaver := Worker{ID: "a", Service: "desk"}, Worker{ID: "b", Service: "other"}, Worker{ID: "c", Service: "other"}
 	source := &scripted{{Workers: []Worker{ours, stranger, leaver}, Version: 1}, {Removed: []string{"c"}, Version: 2}, {Version: 3}}
@@ -54,16 +55,17 @@
 	}
 }
 
-// unread is a roster that cannot be read.
-type unread struct{}
+// failingSource is a Source that always fails.
+type failingSource struct{}
 
-func (unread) All(context.Context) (Change, error) { return Change{}, errors.New("not read") }
+func (failingSource) All(context.Context) (Change, error) { return Change{}, errors.New("not read") }
 
-func (unread) Since(context.Context, uint64, time.Duration) (Change, error) {
+func (failingSource) Since(context.Context, uint64, time.Duration) (Change, error) {
 	return Change{}, errors.New("not read")
 }
 
-// Failure: workers of a service that had just been named were not used.
+// Guards against losing workers of a newly configured service: the first read after the
+// configuration changes fails, and the workers must still be returned by the next one.
 func TestWorkersThatAreNamedInAnOutageAreNotLost(t *testing.T) {
 	named := false
 	n := NewServiceFilter(&scripted{{Workers: []Worker{{ID: "a", Service: "desk"}}, Version: 1}}, func(string) bool { return named })
@@ -71,7 +73,7 @@
 		t.Fatal(err)
 	}
 	read := n.source
-	named, n.source = true, unread{}
+	named, n.source = true, failingSource{}
 	if _, err := n.Since(t.Context(), 1, 0); err == nil {
 		t.Fatal("the roster was read")
 	}
@@ -82,6 +84,6 @@
 	*read.(*scripted) = scripted{{Version: 2}}
 	change, err := n.Since(t.Context(), 1, 0)
 	if err != nil || len(change.Workers) != 1 {
-		t.Errorf("%d workers after the outage, error %v; want the one that was named in it", len(change.Workers), err)
+		t.Errorf("%d workers after the outage, error %v; want the one whose service was configured during it", len(change.Workers), err)
 	}
 }
--- a/internal/roster/source.go
+++ b/internal/roster/source.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Source lists workers.
+// Source provides the registered workers and their changes.
 type Source interface {
 	// All returns every registered worker.
 	All(ctx context.Context) (Change, error)
-	// Since returns what changed after a version; see store.Store.Changes.
+	// Since returns the changes after a version; see store.Store.Changes.
 	Since(ctx context.Context, version uint64, wait time.Duration) (Change, error)
 }
--- a/internal/roster/worker.go
+++ b/internal/roster/worker.go
@@ -1,4 +1,4 @@
-// Package roster declares the list of workers that register themselves.
+// Package roster declares the list of workers that have registered themselves.
 package roster
 
 import (
@@ -8,26 +8,26 @@
 	"gentianstand/internal/runner"
 )
 
-// Worker is one incarnation of a worker as it describes itself.
+// Worker is one incarnation of a worker, as the worker registered itself.
 type Worker struct {
 	ID string
-	// Incarnation tells the worker's incarnations under one id apart.
+	// Incarnation distinguishes the incarnations of one id.
 	Incarnation runner.Incarnation
 	Address     string
 	Zone        string
 	Service     string
-	// Draining says that the worker takes no new tasks and will leave.
+	// Draining reports that the worker accepts no new tasks and will leave.
 	Draining bool
-	// Remaining is how long a draining worker stays at least.
+	// Remaining is the minimum time for which a draining worker stays.
 	Remaining time.Duration
 	Capacity  resource.Amount
 	// Labels are the worker's kind and its rack.
 	Labels []string
-	// Rack is the label that names the rack, or empty.
+	// Rack is the label that identifies the rack, or empty.
 	Rack string
 }
 
-// HasLabel reports whether the worker carries a label.
+// HasLabel reports whether the worker has a label.
 func (w *Worker) HasLabel(label string) bool {
 	for _, l := range w.Labels {
 		if l == label {
--- a/internal/runner/answer.go
+++ b/internal/runner/answer.go
@@ -4,7 +4,7 @@
 
 // Answer is a worker's answer to an order.
 type Answer struct {
-	// Clock is the worker's own steady clock at the time of the answer, or 0
-	// if the answer had none.
+	// Clock is the worker's monotonic clock at the time of the answer, or 0 if the
+	// answer carried none.
 	Clock time.Duration
 }
--- a/internal/runner/end.go
+++ b/internal/runner/end.go
@@ -1,9 +1,9 @@
 package runner
 
-// End is one run that ended on a worker. The worker lists it until it is
+// End describes a run that ended on a worker. The worker keeps reporting it until it is
 // acknowledged.
 type End struct {
-	// Sequence rises by one with every end of this incarnation.
+	// Sequence increases by one with every end in this incarnation.
 	Sequence   uint64
 	Task       string
 	Run        uint64
--- a/internal/runner/end_kind.go
+++ b/internal/runner/end_kind.go
@@ -1,20 +1,20 @@
 package runner
 
-// EndKind tells how a run ended.
+// EndKind classifies how a run ended.
 type EndKind string
 
 // The ways in which a run ends.
 const (
-	// Done is success; of a gang, one such end stands for all members.
+	// Done means success. For a gang, one such end stands for all members.
 	Done EndKind = "done"
-	// Failed is a failure by the task's own fault or the worker's.
+	// Failed means that the run failed, through a fault of the task or of the worker.
 	Failed EndKind = "failed"
-	// Stopped follows an order.
+	// Stopped means that the run was stopped by an order.
 	Stopped EndKind = "stopped"
-	// LeaseExpired follows the end of the worker's lease.
+	// LeaseExpired means that the worker's lease expired.
 	LeaseExpired EndKind = "lapsed"
-	// GangBroken follows the end of another member of the gang.
+	// GangBroken means that another member of the gang ended.
 	GangBroken EndKind = "broken"
-	// GangIncomplete means that a gang's other members did not come in time.
+	// GangIncomplete means that the gang's other members did not start in time.
 	GangIncomplete EndKind = "alone"
 )
--- a/internal/runner/incarnation.go
+++ b/internal/runner/incarnation.go
@@ -1,6 +1,6 @@
 package runner
 
-// Incarnation is when an incarnation of a worker started, in Unix milliseconds by the worker's
-// own time of day, or 0 if that is not known. A worker may start again under its id; the
-// two together name an incarnation.
+// Incarnation identifies one process lifetime of a worker: its start time in Unix
+// milliseconds on the worker's wall clock, or 0 if unknown. A worker may restart under the
+// same id, so only the id and the incarnation together name a process.
 type Incarnation int64
--- a/internal/runner/refusal.go
+++ b/internal/runner/refusal.go
@@ -2,11 +2,11 @@
 
 import "fmt"
 
-// Refusal says that the worker answered and did nothing.
+// Refusal is the error for an order that a worker answered without carrying it out.
 type Refusal struct {
 	Reason RefusalReason
-	// Repeated says that the order was sent before without an answer. That one may
-	// have been carried out, or may be yet.
+	// Repeated reports that an earlier attempt to send the order was not answered. That
+	// attempt may have been carried out, or may still be.
 	Repeated bool
 }
 
--- a/internal/runner/report.go
+++ b/internal/runner/report.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// MaxReportedEnds is how many ends a worker lists at a time, the oldest first. The others follow
-// when those are acknowledged.
+// MaxReportedEnds is how many ended runs a worker reports at a time, oldest first. The rest
+// follow once those are acknowledged.
 const MaxReportedEnds = 500
 
-// Report is a worker's answer to a look.
+// Report is a worker's answer to a poll.
 type Report struct {
-	// Incarnation names the incarnation that answers.
+	// Incarnation identifies the incarnation that answered.
 	Incarnation Incarnation
-	// Clock is the worker's own steady clock at the time of the answer.
+	// Clock is the worker's monotonic clock at the time of the answer.
 	Clock   time.Duration
 	Running []RunState
 	Ended   []End
--- a/internal/runner/run_state.go
+++ b/internal/runner/run_state.go
@@ -1,16 +1,16 @@
 package runner
 
-// RunState is one run that a worker reports as going on.
+// RunState is the state of a run that a worker reports as running.
 type RunState struct {
 	Task string
 	Run  uint64
 	// Checkpoint is the last checkpoint, or empty.
 	Checkpoint string
-	// Percent is how far the task says it is. For a task that lasts, 100 means
-	// that it serves.
+	// Percent is the progress that the task reports. For a long-running task, 100 means
+	// that it is serving.
 	Percent int
-	// Gauge is a rough figure for the last half second: the tail of response
-	// times in milliseconds for a task that serves, thousandths of a core in
-	// use for any other.
+	// Gauge is a rough measurement over the last half second: the tail latency in
+	// milliseconds for a latency-sensitive task, or the thousandths of a core in use for
+	// any other task.
 	Gauge float64
 }
--- a/internal/runner/start.go
+++ b/internal/runner/start.go
@@ -10,13 +10,13 @@
 type Start struct {
 	Task string
 	Run  uint64
-	// Spec is the text of the task's job.
+	// Spec is the spec text of the task's job.
 	Spec  packed.Text
 	Token uint64
 	// LeaseUntil is the end of the worker's lease on its own clock.
 	LeaseUntil time.Duration
-	// Checkpoint resumes from a checkpoint, or is empty.
+	// Checkpoint is the checkpoint to resume from, or empty.
 	Checkpoint string
-	// Ticket is the placement adviser's leave, or empty.
+	// Ticket is the placement adviser's ticket, or empty.
 	Ticket string
 }
--- a/internal/runner/target.go
+++ b/internal/runner/target.go
@@ -1,12 +1,12 @@
 package runner
 
-// Target is one incarnation of a worker and where it listens.
+// Target identifies one incarnation of a worker and its address.
 type Target struct {
 	ID string
-	// Incarnation tells the incarnations under one id apart. If it is 0, because it is not
-	// known, calls reach any of them.
+	// Incarnation distinguishes the incarnations of one id. If it is 0 (unknown), calls
+	// reach whichever incarnation answers.
 	Incarnation Incarnation
 	Address     string
-	// Zone is its availability zone, or empty if that is not known.
+	// Zone is the worker's availability zone, or empty if unknown.
 	Zone string
 }
