--- a/internal/cellleader/follow.go
+++ b/internal/cellleader/follow.go
@@ -102,8 +102,8 @@
 }
 
 func (l *Leader) ownerSilent(ctx context.Context, known claim, err error, now time.Time) {
-	l.clients.Distrust(known.Address)
-	if cellpeer.Refused(err) {
+	l.clients.CloseIdle(known.Address)
+	if cellpeer.ConnectionRefused(err) {
 		// In a slow store a read takes long; take reads the claim
 		// before anything is decided by it.
 		l.refreshBeside(ctx)
@@ -128,7 +128,7 @@
 func (l *Leader) noteSilence(err error, now time.Time) silence {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if cellpeer.Refused(err) {
+	if cellpeer.ConnectionRefused(err) {
 		l.refusals++
 		time.AfterFunc(refusedPause, l.stepSoon)
 	} else {
--- a/internal/cellleader/leader.go
+++ b/internal/cellleader/leader.go
@@ -152,7 +152,7 @@
 }
 
 // pingAll pings instances at the same time.
-func (l *Leader) pingAll(ctx context.Context, instances []cellpeer.Instance, term uint64) <-chan cellpeer.PingAnswer {
+func (l *Leader) pingAll(ctx context.Context, instances []cellpeer.Instance, term uint64) <-chan cellpeer.PingResult {
 	return l.clients.PingAll(ctx, instances, &cellpb.PingRequest{From: l.directory.Self().Name, Term: term})
 }
 
--- a/internal/cellleader/term.go
+++ b/internal/cellleader/term.go
@@ -92,7 +92,7 @@
 // confirm an ownership, and nobody can have overtaken it. The directory may lack
 // instances that started after it was last read; those ping the owner.
 func (l *Leader) alone() bool {
-	return !l.pinged.Load() && l.directory.Known() && len(l.directory.Others()) == 0
+	return !l.pinged.Load() && l.directory.Loaded() && len(l.directory.Others()) == 0
 }
 
 // Overtaken implements cellowner.Leadership.
--- a/internal/cellpeer/advice_pool.go
+++ b/internal/cellpeer/advice_pool.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// quickShare of the instances carries quick calls only.
-	quickShare = 0.34
-	// quickDepth is how many quick calls may be under way at one instance: one
+	// quickOnlyShare of the instances carries quick calls only.
+	quickOnlyShare = 0.34
+	// quickConcurrency is how many quick calls may be under way at one instance: one
 	// that the adviser works on, and one that is there when it is done.
-	quickDepth = 2
-	// avoidPeer is how long an instance that failed to ask is passed over.
-	avoidPeer = 2 * time.Second
+	quickConcurrency = 2
+	// failureBackoff is how long an instance that failed to ask is passed over.
+	failureBackoff = 2 * time.Second
 )
 
 // AdvicePool spreads calls to the placement adviser over all instances. Load
@@ -31,20 +31,20 @@
 	local     advice.Adviser
 	links     AdviceLinks
 
-	mu    sync.Mutex
-	lanes map[string]*lane
-	// chosen are the lanes of reserved calls, by stage.
-	chosen map[job.StageID]laneInstance
+	mu     sync.Mutex
+	states map[string]*peerState
+	// reserved are the lanes of reserved calls, by stage.
+	reserved map[job.StageID]adviceInstance
 }
 
-// lane is what is under way at one instance.
-type lane struct {
-	calls int
-	avoid time.Time
+// peerState is what is under way at one instance.
+type peerState struct {
+	calls      int
+	avoidUntil time.Time
 }
 
-// laneInstance is an instance and whether it carries quick calls only.
-type laneInstance struct {
+// adviceInstance is an instance and whether it carries quick calls only.
+type adviceInstance struct {
 	Instance
 	quickOnly bool
 }
@@ -52,7 +52,7 @@
 // NewAdvicePool returns a pool over the instances of a directory. local asks on
 // behalf of this instance, links through others; nil is none, which leaves calls.
 func NewAdvicePool(d *Directory, c *Clients, local advice.Adviser, links AdviceLinks) *AdvicePool {
-	return &AdvicePool{directory: d, clients: c, local: local, links: links, lanes: map[string]*lane{}, chosen: map[job.StageID]laneInstance{}}
+	return &AdvicePool{directory: d, clients: c, local: local, links: links, states: map[string]*peerState{}, reserved: map[job.StageID]adviceInstance{}}
 }
 
 // Slots returns how many calls may begin now.
@@ -63,11 +63,11 @@
 	var s cell.AdviceSlots
 	now := time.Now()
 	for _, i := range all {
-		l := p.lane(i.Name)
+		l := p.state(i.Name)
 		switch {
-		case now.Before(l.avoid):
+		case now.Before(l.avoidUntil):
 		case i.quickOnly:
-			s.Quick += max(0, quickDepth-l.calls)
+			s.Quick += max(0, quickConcurrency-l.calls)
 		case l.calls == 0:
 			s.Any++
 		}
@@ -83,31 +83,31 @@
 	now := time.Now()
 	best := -1
 	for i, instance := range all {
-		l := p.lane(instance.Name)
-		if now.Before(l.avoid) || (o.Slow && instance.quickOnly) {
+		l := p.state(instance.Name)
+		if now.Before(l.avoidUntil) || (o.Slow && instance.quickOnly) {
 			continue
 		}
-		if best < 0 || p.better(instance, all[best], o.Slow) {
+		if best < 0 || p.preferred(instance, all[best], o.Slow) {
 			best = i
 		}
 	}
-	target := laneInstance{Instance: p.directory.Self()}
+	target := adviceInstance{Instance: p.directory.Self()}
 	if best >= 0 {
 		target = all[best]
 	}
-	p.lane(target.Name).calls++
-	p.chosen[o.Stage] = target
+	p.state(target.Name).calls++
+	p.reserved[o.Stage] = target
 }
 
-// better reports whether a call should go to a rather than b: quick calls
+// preferred reports whether a call should go to a rather than b: quick calls
 // prefer lanes without slow ones, and every call the emptier lane.
-func (p *AdvicePool) better(a, b laneInstance, slow bool) bool {
-	x, y := p.lane(a.Name).calls, p.lane(b.Name).calls
+func (p *AdvicePool) preferred(a, b adviceInstance, slow bool) bool {
+	x, y := p.state(a.Name).calls, p.state(b.Name).calls
 	if !slow && a.quickOnly != b.quickOnly {
 		if a.quickOnly {
-			return x < quickDepth
+			return x < quickConcurrency
 		}
-		return y >= quickDepth && x == 0
+		return y >= quickConcurrency && x == 0
 	}
 	return x < y
 }
@@ -115,16 +115,16 @@
 // Ask makes a reserved call.
 func (p *AdvicePool) Ask(ctx context.Context, o cell.AdviceOrder) ([]advice.Ticket, error) {
 	p.mu.Lock()
-	target := p.chosen[o.Stage]
-	delete(p.chosen, o.Stage)
+	target := p.reserved[o.Stage]
+	delete(p.reserved, o.Stage)
 	p.mu.Unlock()
 	tickets, err := p.askAt(ctx, target.Instance, o)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l := p.lane(target.Name)
+	l := p.state(target.Name)
 	l.calls--
 	if err != nil {
-		l.avoid = time.Now().Add(avoidPeer)
+		l.avoidUntil = time.Now().Add(failureBackoff)
 		return nil, fmt.Errorf("advice through %s: %w", target.Name, err)
 	}
 	return tickets, nil
@@ -141,7 +141,7 @@
 	}
 	reply, err := p.clients.To(target.Address).Advise(ctx, &cellpb.AdviseRequest{Stage: o.Stage.String(), Workers: o.Workers})
 	if err != nil {
-		p.clients.Distrust(target.Address)
+		p.clients.CloseIdle(target.Address)
 		return nil, err
 	}
 	tickets := make([]advice.Ticket, 0, len(reply.Tickets))
@@ -152,33 +152,33 @@
 }
 
 // instances returns all instances in order of their names, with their lanes.
-func (p *AdvicePool) instances() []laneInstance {
+func (p *AdvicePool) instances() []adviceInstance {
 	others := p.directory.Others()
 	self := p.directory.Self()
-	all := make([]laneInstance, 0, len(others)+1)
+	all := make([]adviceInstance, 0, len(others)+1)
 	placed := false
 	for _, other := range others {
 		if !placed && self.Name < other.Name {
-			all = append(all, laneInstance{Instance: self})
+			all = append(all, adviceInstance{Instance: self})
 			placed = true
 		}
-		all = append(all, laneInstance{Instance: other})
+		all = append(all, adviceInstance{Instance: other})
 	}
 	if !placed {
-		all = append(all, laneInstance{Instance: self})
+		all = append(all, adviceInstance{Instance: self})
 	}
-	quick := int(quickShare * float64(len(all)))
+	quick := int(quickOnlyShare * float64(len(all)))
 	for i := range quick {
 		all[i].quickOnly = true
 	}
 	return all
 }
 
-func (p *AdvicePool) lane(name string) *lane {
-	l := p.lanes[name]
+func (p *AdvicePool) state(name string) *peerState {
+	l := p.states[name]
 	if l == nil {
-		l = &lane{}
-		p.lanes[name] = l
+		l = &peerState{}
+		p.states[name] = l
 	}
 	return l
 }
--- a/internal/cellpeer/owning.go
+++ b/internal/cellpeer/cell_owner.go
@@ -8,8 +8,8 @@
 	"gentianstand/internal/job"
 )
 
-// Owning is the part of an instance that owns cells, as its peers see it.
-type Owning interface {
+// CellOwner is the part of an instance that owns cells, as its peers see it.
+type CellOwner interface {
 	// Ping answers whether this instance owns the cell, and takes in the term
 	// that the caller knows, and the claim that it announces.
 	Ping(r *cellpb.PingRequest) *cellpb.PingReply
--- a/internal/cellpeer/client.go
+++ b/internal/cellpeer/client.go
@@ -20,8 +20,8 @@
 // Clients makes clients for other instances; each address has its own
 // connections.
 type Clients struct {
-	mu       sync.Mutex
-	byTarget map[string]*client
+	mu        sync.Mutex
+	byAddress map[string]*client
 }
 
 type client struct {
@@ -30,20 +30,20 @@
 }
 
 // NewClients returns an empty set of clients.
-func NewClients() *Clients { return &Clients{byTarget: map[string]*client{}} }
+func NewClients() *Clients { return &Clients{byAddress: map[string]*client{}} }
 
 // To returns the client for an address.
 func (c *Clients) To(address string) cellpb.Cells { return c.get(address) }
 
-// Distrust closes the idle connections to an address. Connections can go silent
+// CloseIdle closes the idle connections to an address. Connections can go silent
 // for good while new ones work; after one call without an answer, the others
 // that are kept may be silent, too, and each would cost a timeout.
-func (c *Clients) Distrust(address string) { c.get(address).transport.CloseIdleConnections() }
+func (c *Clients) CloseIdle(address string) { c.get(address).transport.CloseIdleConnections() }
 
 func (c *Clients) get(address string) *client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if found := c.byTarget[address]; found != nil {
+	if found := c.byAddress[address]; found != nil {
 		return found
 	}
 	transport := httpclient.NewTransport(traffic.Peers, dialTimeout, idleConnections)
@@ -51,6 +51,6 @@
 		Cells:     cellpb.NewCellsProtobufClient("http://"+address, &http.Client{Transport: transport}),
 		transport: transport,
 	}
-	c.byTarget[address] = made
+	c.byAddress[address] = made
 	return made
 }
--- a/internal/cellpeer/refused_test.go
+++ b/internal/cellpeer/connection_refused_test.go
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	defer silent.Close()
-	if err := ping(t.Context(), address); !Refused(err) {
+	if err := ping(t.Context(), address); !ConnectionRefused(err) {
 		t.Errorf("nothing listens: %v is not taken for a refusal", err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -32,7 +32,7 @@
 		}
 		cancel()
 	}()
-	if err := ping(ctx, silent.Addr().String()); err == nil || Refused(err) {
+	if err := ping(ctx, silent.Addr().String()); err == nil || ConnectionRefused(err) {
 		t.Errorf("no answer: %v is taken for a refusal", err)
 	}
 }
--- a/internal/cellpeer/directory.go
+++ b/internal/cellpeer/directory.go
@@ -16,28 +16,28 @@
 
 const (
 	tableInstances = "instances"
-	// directoryPeriod is how often the list of instances is read. Instances are
+	// directoryReadPeriod is how often the list of instances is read. Instances are
 	// replaced a few times an hour; a new one is needed by nobody at once, and every
 	// instance makes these calls.
-	directoryPeriod = 5 * time.Second
-	// youngPeriod is directoryPeriod for the first youngFor of an instance: those that
+	directoryReadPeriod = 5 * time.Second
+	// initialReadPeriod is directoryPeriod for the first youngFor of an instance: those that
 	// start together register one after the other.
-	youngPeriod   = 1500 * time.Millisecond
-	youngFor      = 12 * time.Second
-	directoryWait = time.Second
+	initialReadPeriod = 1500 * time.Millisecond
+	initialPhase      = 12 * time.Second
+	directoryTimeout  = time.Second
 	// registerRetry is the pause before a failed registration is tried again.
 	registerRetry = 300 * time.Millisecond
 	// renewPeriod is how often an instance writes its row anew, so that others see
 	// that it lives.
 	renewPeriod = 20 * time.Second
-	// goneAfter is how long a row may stay unchanged, on the reader's clock, before
+	// staleAfter is how long a row may stay unchanged, on the reader's clock, before
 	// its instance is taken as gone: three renewals and some time.
-	goneAfter = 70 * time.Second
+	staleAfter = 70 * time.Second
 	// removeAfter is how long a row may stay unchanged before it is removed.
 	removeAfter = 10 * time.Minute
-	// readGap is the time between two reads from which all rows start afresh: while
+	// maxReadGap is the time between two reads from which all rows start afresh: while
 	// the store was away, nobody could renew.
-	readGap = 10 * time.Second
+	maxReadGap = 10 * time.Second
 )
 
 // Directory knows the instances that have registered themselves in the store. Rows are
@@ -49,7 +49,7 @@
 	log   logrus.FieldLogger
 
 	mu      sync.RWMutex
-	others  map[string]listed
+	others  map[string]instanceRow
 	version uint64
 	read    bool
 	// readAt is when the list was last read.
@@ -62,7 +62,7 @@
 
 // NewDirectory returns a directory that knows only this instance.
 func NewDirectory(self Instance, s store.Store, log logrus.FieldLogger) *Directory {
-	return &Directory{self: self, store: s, log: log, others: map[string]listed{}}
+	return &Directory{self: self, store: s, log: log, others: map[string]instanceRow{}}
 }
 
 // Self returns this instance.
@@ -74,7 +74,7 @@
 	defer d.mu.RUnlock()
 	list := make([]Instance, 0, len(d.others))
 	for _, l := range d.others {
-		if l.unchangedFor(d.readAt) < goneAfter {
+		if l.unchangedFor(d.readAt) < staleAfter {
 			list = append(list, l.Instance)
 		}
 	}
@@ -89,8 +89,8 @@
 	return others[:min(len(others), n)]
 }
 
-// Known reports whether the list was read at least once.
-func (d *Directory) Known() bool {
+// Loaded reports whether the list was read at least once.
+func (d *Directory) Loaded() bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.read
@@ -103,7 +103,7 @@
 	for ctx.Err() == nil {
 		d.follow(ctx)
 		d.renew(ctx)
-		d.removeOld(ctx)
+		d.removeStale(ctx)
 		select {
 		case <-ctx.Done():
 		case <-time.After(readPeriod(time.Since(began))):
@@ -113,10 +113,10 @@
 
 // readPeriod is how often an instance of some age reads the list.
 func readPeriod(age time.Duration) time.Duration {
-	if age < youngFor {
-		return youngPeriod
+	if age < initialPhase {
+		return initialReadPeriod
 	}
-	return directoryPeriod
+	return directoryReadPeriod
 }
 
 // WatchStore notices the return of a lost store by asking for this instance's own row.
@@ -131,7 +131,7 @@
 		return
 	}
 	d.row = store.Tx{Puts: []store.Put{{Table: tableInstances, Key: d.self.Name, Value: value}}}
-	for ctx.Err() == nil && !d.write(ctx) {
+	for ctx.Err() == nil && !d.writeRow(ctx) {
 		select {
 		case <-ctx.Done():
 		case <-time.After(registerRetry):
@@ -142,12 +142,12 @@
 // renew writes this instance's row anew if it is time.
 func (d *Directory) renew(ctx context.Context) {
 	if time.Since(d.renewedAt) >= renewPeriod {
-		d.write(ctx)
+		d.writeRow(ctx)
 	}
 }
 
-func (d *Directory) write(ctx context.Context) bool {
-	callCtx, cancel := context.WithTimeout(ctx, directoryWait)
+func (d *Directory) writeRow(ctx context.Context) bool {
+	callCtx, cancel := context.WithTimeout(ctx, directoryTimeout)
 	defer cancel()
 	if _, err := d.store.Commit(callCtx, d.row); err != nil {
 		d.log.WithError(err).Info("instance_not_registered")
@@ -157,14 +157,14 @@
 	return true
 }
 
-// removeOld removes one row that was not renewed for long, unless it has changed
+// removeStale removes one row that was not renewed for long, unless it has changed
 // since.
-func (d *Directory) removeOld(ctx context.Context) {
-	old, ok := d.oldest()
+func (d *Directory) removeStale(ctx context.Context) {
+	old, ok := d.removable()
 	if !ok {
 		return
 	}
-	callCtx, cancel := context.WithTimeout(ctx, directoryWait)
+	callCtx, cancel := context.WithTimeout(ctx, directoryTimeout)
 	defer cancel()
 	_, err := d.store.Commit(callCtx, store.Tx{
 		Checks:   []store.Check{{Table: tableInstances, Key: old.Name, Version: old.version}},
@@ -173,8 +173,8 @@
 	d.log.WithField("peer", old.Name).WithError(err).Info("dead_instance_removed")
 }
 
-// oldest returns an instance whose row is to be removed.
-func (d *Directory) oldest() (listed, bool) {
+// removable returns an instance whose row is to be removed.
+func (d *Directory) removable() (instanceRow, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	for _, l := range d.others {
@@ -182,11 +182,11 @@
 			return l, true
 		}
 	}
-	return listed{}, false
+	return instanceRow{}, false
 }
 
-// Leave removes this instance from the list.
-func (d *Directory) Leave(ctx context.Context) {
+// Unregister removes this instance from the list.
+func (d *Directory) Unregister(ctx context.Context) {
 	tx := store.Tx{Removals: []store.RowKey{{Table: tableInstances, Key: d.self.Name}}}
 	if _, err := d.store.Commit(ctx, tx); err != nil {
 		// Others find it silent and pass it over.
@@ -195,7 +195,7 @@
 }
 
 func (d *Directory) follow(ctx context.Context) {
-	callCtx, cancel := context.WithTimeout(ctx, directoryWait)
+	callCtx, cancel := context.WithTimeout(ctx, directoryTimeout)
 	defer cancel()
 	var rows []store.Row
 	d.mu.RLock()
@@ -215,19 +215,19 @@
 		d.log.WithError(err).Debug("directory_not_read")
 		return
 	}
-	d.takeIn(rows, version, whole)
+	d.applyRows(rows, version, whole)
 }
 
-func (d *Directory) takeIn(rows []store.Row, version uint64, whole bool) {
+func (d *Directory) applyRows(rows []store.Row, version uint64, whole bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
 	before := d.others
 	if whole {
-		d.others = map[string]listed{}
+		d.others = map[string]instanceRow{}
 	}
-	if now.Sub(d.readAt) > readGap {
-		d.startAfresh(now)
+	if now.Sub(d.readAt) > maxReadGap {
+		d.resetAges(now)
 		before = nil
 	}
 	d.version, d.read, d.readAt = version, true, now
@@ -244,7 +244,7 @@
 			d.log.WithField("peer", row.Key).WithError(err).Warn("instance_unreadable")
 			continue
 		}
-		l := listed{Instance: i, version: row.Version, changedAt: now}
+		l := instanceRow{Instance: i, version: row.Version, changedAt: now}
 		if known, ok := before[i.Name]; ok && known.version == row.Version {
 			l.changedAt = known.changedAt
 		}
@@ -252,8 +252,8 @@
 	}
 }
 
-// startAfresh has all rows count as changed now; d.mu is held.
-func (d *Directory) startAfresh(now time.Time) {
+// resetAges has all rows count as changed now; d.mu is held.
+func (d *Directory) resetAges(now time.Time) {
 	for name, l := range d.others {
 		l.changedAt = now
 		d.others[name] = l
--- a/internal/cellpeer/directory_test.go
+++ b/internal/cellpeer/directory_test.go
@@ -102,7 +102,7 @@
 			t.Fatalf("after five minutes alive knows %v and dead knows %v", alive.Others(), dead.Others())
 		}
 		kill()
-		time.Sleep(goneAfter + renewPeriod)
+		time.Sleep(staleAfter + renewPeriod)
 		if others := alive.Others(); len(others) > 0 {
 			t.Errorf("alive still knows %v", others)
 		}
--- a/internal/cellpeer/listed.go
+++ b/internal/cellpeer/instance_row.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// listed is an instance as its row in the store tells.
-type listed struct {
+// instanceRow is an instance as its row in the store tells.
+type instanceRow struct {
 	Instance
 	version uint64
 	// changedAt is when this reader last saw the row change.
@@ -11,4 +11,4 @@
 }
 
 // unchangedFor returns for how long the row had been the same at the last read.
-func (l *listed) unchangedFor(readAt time.Time) time.Duration { return readAt.Sub(l.changedAt) }
+func (l *instanceRow) unchangedFor(readAt time.Time) time.Duration { return readAt.Sub(l.changedAt) }
--- a/internal/cellpeer/survey.go
+++ b/internal/cellpeer/ping_all.go
@@ -7,8 +7,8 @@
 	"gentianstand/internal/cellpeer/cellpb"
 )
 
-// PingAnswer is what an instance answered to a ping.
-type PingAnswer struct {
+// PingResult is what an instance answered to a ping.
+type PingResult struct {
 	Instance Instance
 	// Reply is nil if there was no answer.
 	Reply *cellpb.PingReply
@@ -19,8 +19,8 @@
 // PingAll sends a ping to instances at the same time and returns the answers as
 // they come. The channel is closed after the last one; a caller that has heard
 // enough may leave the rest unread.
-func (c *Clients) PingAll(ctx context.Context, instances []Instance, ping *cellpb.PingRequest) <-chan PingAnswer {
-	answers := make(chan PingAnswer, len(instances))
+func (c *Clients) PingAll(ctx context.Context, instances []Instance, ping *cellpb.PingRequest) <-chan PingResult {
+	answers := make(chan PingResult, len(instances))
 	var pings sync.WaitGroup
 	for _, instance := range instances {
 		pings.Go(func() {
@@ -28,7 +28,7 @@
 			if err != nil {
 				reply = nil
 			}
-			answers <- PingAnswer{instance, reply, Refused(err)}
+			answers <- PingResult{instance, reply, ConnectionRefused(err)}
 		})
 	}
 	go func() {
--- a/internal/cellpeer/server.go
+++ b/internal/cellpeer/server.go
@@ -16,7 +16,7 @@
 
 // Server answers other instances.
 type Server struct {
-	owning  Owning
+	owner   CellOwner
 	jobs    *celljobs.Jobs
 	adviser advice.Adviser
 	catalog Catalogs
@@ -24,18 +24,18 @@
 }
 
 // NewServer returns the HTTP handler for calls of other instances.
-func NewServer(o Owning, jobs *celljobs.Jobs, a advice.Adviser, c Catalogs, log logrus.FieldLogger) http.Handler {
-	return cellpb.NewCellsServer(&Server{owning: o, jobs: jobs, adviser: a, catalog: c, log: log})
+func NewServer(o CellOwner, jobs *celljobs.Jobs, a advice.Adviser, c Catalogs, log logrus.FieldLogger) http.Handler {
+	return cellpb.NewCellsServer(&Server{owner: o, jobs: jobs, adviser: a, catalog: c, log: log})
 }
 
 // Ping implements cellpb.Cells.
 func (s *Server) Ping(_ context.Context, r *cellpb.PingRequest) (*cellpb.PingReply, error) {
-	return s.owning.Ping(r), nil
+	return s.owner.Ping(r), nil
 }
 
 // TakeOver implements cellpb.Cells.
 func (s *Server) TakeOver(ctx context.Context, r *cellpb.TakeOverRequest) (*cellpb.TakeOverReply, error) {
-	return &cellpb.TakeOverReply{Taken: s.owning.TakeOver(ctx, r.From, r.Term)}, nil
+	return &cellpb.TakeOverReply{Taken: s.owner.TakeOver(ctx, r.From, r.Term)}, nil
 }
 
 // Submitted implements cellpb.Cells.
@@ -44,8 +44,8 @@
 	if err != nil {
 		return nil, twirp.InvalidArgumentError("record", err.Error())
 	}
-	reply := &cellpb.SubmittedReply{Owner: s.owning.Submitted(record)}
-	for _, b := range s.owning.Backlogs() {
+	reply := &cellpb.SubmittedReply{Owner: s.owner.Submitted(record)}
+	for _, b := range s.owner.Backlogs() {
 		reply.Backlogs = append(reply.Backlogs, &cellpb.Backlog{Service: b.Service, Priority: int64(b.Priority), WaitMillis: b.Wait.Milliseconds()})
 	}
 	return reply, nil
@@ -53,18 +53,18 @@
 
 // Cancelled implements cellpb.Cells.
 func (s *Server) Cancelled(_ context.Context, r *cellpb.CancelledRequest) (*cellpb.CancelledReply, error) {
-	return &cellpb.CancelledReply{Owner: s.owning.Cancelled(r.Job)}, nil
+	return &cellpb.CancelledReply{Owner: s.owner.Cancelled(r.Job)}, nil
 }
 
 // State implements cellpb.Cells.
 func (s *Server) State(_ context.Context, r *cellpb.StateRequest) (*cellpb.StateReply, error) {
-	status, owner := s.owning.Status(r.Job)
+	status, owner := s.owner.Status(r.Job)
 	return &cellpb.StateReply{Owner: owner, State: string(status.State), Workspace: status.Workspace}, nil
 }
 
 // Waiting implements cellpb.Cells.
 func (s *Server) Waiting(_ context.Context, r *cellpb.WaitingRequest) (*cellpb.WaitingReply, error) {
-	jobs, owner := s.owning.Waiting(r.Queue)
+	jobs, owner := s.owner.Waiting(r.Queue)
 	return &cellpb.WaitingReply{Owner: owner, Jobs: int64(jobs)}, nil
 }
 
--- a/internal/cellpeer/server_test.go
+++ b/internal/cellpeer/server_test.go
@@ -17,19 +17,19 @@
 	"gentianstand/internal/store"
 )
 
-// deaf is a store that answers nothing and counts what is written to it.
-type deaf struct {
+// unresponsiveStore is a store that answers nothing and counts what is written to it.
+type unresponsiveStore struct {
 	store.Store
 	writes int
 }
 
-func (d *deaf) Commit(ctx context.Context, _ store.Tx) (uint64, error) {
+func (d *unresponsiveStore) Commit(ctx context.Context, _ store.Tx) (uint64, error) {
 	d.writes++
 	<-ctx.Done()
 	return 0, store.ErrUnknown
 }
 
-func (d *deaf) Get(ctx context.Context, _, _, _ string) (store.Row, error) {
+func (d *unresponsiveStore) Get(ctx context.Context, _, _, _ string) (store.Row, error) {
 	<-ctx.Done()
 	return store.Row{}, store.ErrUnknown
 }
@@ -39,7 +39,7 @@
 func TestNothingIsWrittenForAnotherWithoutTheStore(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	silent := &deaf{}
+	silent := &unresponsiveStore{}
 	server := httptest.NewServer(NewServer(&pingable{}, celljobs.New(store.NewWatched(silent), "cell-0"), nil, nil, log))
 	defer server.Close()
 	record, err := job.EncodeRecord(&job.Record{ID: "00000000000000aa", Queue: "q", Service: "desk", MaxAttempts: 1, AcceptedAt: time.Now(),
--- a/internal/cellpeer/store_finder.go
+++ b/internal/cellpeer/store_finder.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// findSample is how many instances one search asks. If the store serves some of the
+	// searchSample is how many instances one search asks. If the store serves some of the
 	// instances, few searches miss them all, and the next follows within findFresh; asking
 	// all of a large site for each submission would load them in an outage.
-	findSample = 8
-	// findWait bounds a search. Calls between instances take 3 ms, on a busy
+	searchSample = 8
+	// searchTimeout bounds a search. Calls between instances take 3 ms, on a busy
 	// instance some ten; one that is dead never answers.
-	findWait = 150 * time.Millisecond
-	// findFresh is how long the result of a search is used as it is.
-	findFresh = 250 * time.Millisecond
-	// noneFor is how long the result that the store serves nobody is still given,
+	searchTimeout = 150 * time.Millisecond
+	// resultMaxAge is how long the result of a search is used as it is.
+	resultMaxAge = 250 * time.Millisecond
+	// negativeResultMaxAge is how long the result that the store serves nobody is still given,
 	// while the next search is under way.
-	noneFor = time.Second
+	negativeResultMaxAge = time.Second
 )
 
 // StoreFinder finds an instance that the store serves, for one that it does not serve. In
@@ -46,7 +46,7 @@
 
 // Find returns an instance that the store serves; ok is false if none is known.
 func (f *StoreFinder) Find(ctx context.Context) (instance Instance, ok bool) {
-	search, known := f.look(time.Now())
+	search, known := f.refresh(time.Now())
 	if !known {
 		select {
 		case <-search:
@@ -59,35 +59,35 @@
 	return f.found, f.found.Name != ""
 }
 
-// look begins a search if the last one is too old, and reports whether the last
+// refresh begins a search if the last one is too old, and reports whether the last
 // result will do until it ends.
-func (f *StoreFinder) look(now time.Time) (search <-chan struct{}, known bool) {
+func (f *StoreFinder) refresh(now time.Time) (search <-chan struct{}, known bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	age := now.Sub(f.endedAt)
-	if age < findFresh {
+	if age < resultMaxAge {
 		return nil, true
 	}
 	if f.searching == nil {
 		f.searching = make(chan struct{})
 		go f.search(f.searching)
 	}
-	return f.searching, f.found.Name == "" && age < noneFor
+	return f.searching, f.found.Name == "" && age < negativeResultMaxAge
 }
 
 func (f *StoreFinder) search(ended chan struct{}) {
-	found := f.ask()
+	found := f.pingSample()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.found, f.endedAt, f.searching = found, time.Now(), nil
 	close(ended)
 }
 
-// ask asks some instances and returns the first that the store serves.
-func (f *StoreFinder) ask() Instance {
-	ctx, cancel := context.WithTimeout(context.Background(), findWait)
+// pingSample asks some instances and returns the first that the store serves.
+func (f *StoreFinder) pingSample() Instance {
+	ctx, cancel := context.WithTimeout(context.Background(), searchTimeout)
 	defer cancel()
-	some := f.directory.Sample(findSample)
+	some := f.directory.Sample(searchSample)
 	for answer := range f.clients.PingAll(ctx, some, &cellpb.PingRequest{From: f.directory.Self().Name}) {
 		if answer.Reply.GetStoreOk() && !answer.Reply.GetStopping() {
 			return answer.Instance
--- a/internal/cellpeer/store_finder_test.go
+++ b/internal/cellpeer/store_finder_test.go
@@ -50,7 +50,7 @@
 		server := httptest.NewServer(NewServer(p, nil, nil, nil, log))
 		t.Cleanup(server.Close)
 		name := fmt.Sprintf("edge-%d", i)
-		d.others[name] = listed{Instance: Instance{Name: name, Address: server.Listener.Addr().String()}}
+		d.others[name] = instanceRow{Instance: Instance{Name: name, Address: server.Listener.Addr().String()}}
 	}
 	return NewStoreFinder(d, NewClients())
 }
@@ -68,7 +68,7 @@
 		})
 	}
 	finds.Wait()
-	if searches := time.Since(f.endedAt)/findFresh + 1; peer.pings.Load() > int64(searches) {
+	if searches := time.Since(f.endedAt)/resultMaxAge + 1; peer.pings.Load() > int64(searches) {
 		t.Errorf("%d pings for %d searches", peer.pings.Load(), searches)
 	}
 }
@@ -81,7 +81,7 @@
 	if _, ok := f.Find(context.Background()); ok {
 		t.Fatal("found somebody")
 	}
-	search, known := f.look(f.endedAt.Add(findFresh))
+	search, known := f.refresh(f.endedAt.Add(resultMaxAge))
 	if !known {
 		t.Error("the next refusal waits for a search")
 	}
@@ -100,7 +100,7 @@
 		t.Fatal("found nobody")
 	}
 	peer.serves.Store(false)
-	search, known := f.look(f.endedAt.Add(findFresh))
+	search, known := f.refresh(f.endedAt.Add(resultMaxAge))
 	if known {
 		t.Error("an old result is used")
 	}
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -255,7 +255,7 @@
 	defer cancel()
 	reply, err := i.clients.To(address).State(callCtx, &cellpb.StateRequest{Job: id})
 	if err != nil {
-		i.clients.Distrust(address)
+		i.clients.CloseIdle(address)
 		i.log.WithFields(logrus.Fields{"job": id, "owner": address}).WithError(err).Debug("owner_not_asked")
 		return job.Status{}, false
 	}
--- a/internal/node/catalog_peers_test.go
+++ b/internal/node/catalog_peers_test.go
@@ -16,7 +16,7 @@
 )
 
 // serving is an instance that the store serves.
-type serving struct{ cellpeer.Owning }
+type serving struct{ cellpeer.CellOwner }
 
 func (serving) Ping(*cellpb.PingRequest) *cellpb.PingReply { return &cellpb.PingReply{StoreOk: true} }
 
--- a/internal/node/module.go
+++ b/internal/node/module.go
@@ -213,7 +213,7 @@
 	p.Relays.Leave()
 	p.Leader.HandOver(ctx)
 	leaveCtx, cancel := context.WithTimeout(ctx, time.Second)
-	p.Directory.Leave(leaveCtx)
+	p.Directory.Unregister(leaveCtx)
 	cancel()
 	time.Sleep(time.Until(began.Add(drainTime)))
 	finishCtx, cancel := context.WithDeadline(ctx, began.Add(p.Settings.TerminationGrace-stopReserve))
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -11,8 +11,8 @@
 type call struct {
 	request
 	worker runner.Target
-	// asked are the ids of the workers of a question to the adviser.
-	asked []string
+	// workerIDs are the ids of the workers of a question to the adviser.
+	workerIDs []string
 	// queuedAt is when it was handed to the link; deadline is when its caller gives up.
 	queuedAt, deadline time.Time
 	// written says that its frame was encoded, and may have reached the relay.
--- a/internal/relay/dial.go
+++ b/internal/relay/dial.go
@@ -11,9 +11,9 @@
 	"gentianstand/internal/traffic"
 )
 
-// open dials an instance and has it take the connection as a link, by the upgrade of an
+// dialRelay dials an instance and has it take the connection as a link, by the upgrade of an
 // HTTP request, so that a relay needs no port of its own.
-func open(ctx context.Context, address string) (net.Conn, error) {
+func dialRelay(ctx context.Context, address string) (net.Conn, error) {
 	conn, err := traffic.For(traffic.Relays).Dial((&net.Dialer{}).DialContext)(ctx, "tcp4", address)
 	if err != nil {
 		return nil, err
--- a/internal/relay/encoder.go
+++ b/internal/relay/encoder.go
@@ -27,13 +27,13 @@
 // encode writes a call that has its number.
 func (e *encoder) encode(c *call, now time.Time) error {
 	r := c.request
-	if r.Ask != nil {
-		r.Ask = e.shortAsk(r.Ask, c.asked)
+	if r.Advice != nil {
+		r.Advice = e.shortAdvice(r.Advice, c.workerIDs)
 	} else {
 		e.nameWorker(&r, c)
 	}
 	r.SentMillis = now.UnixMilli()
-	r.LimitMillis = limitOf(c.deadline.Sub(now)).Milliseconds()
+	r.TimeoutMillis = relayTimeout(c.deadline.Sub(now)).Milliseconds()
 	if r.Start != nil {
 		r.Start = e.shortStart(*r.Start)
 	}
@@ -48,7 +48,7 @@
 	if !known {
 		number = uint32(len(e.workers) + 1)
 		e.workers[to] = number
-		r.Target, r.BornMillis = &target{ID: to.ID, Address: to.Address}, int64(to.Incarnation)
+		r.Target, r.IncarnationMillis = &target{ID: to.ID, Address: to.Address}, int64(to.Incarnation)
 	}
 	r.Worker = number
 }
@@ -62,8 +62,8 @@
 	return &s
 }
 
-// shortAsk names workers by their places.
-func (e *encoder) shortAsk(a *ask, ids []string) *ask {
+// shortAdvice names workers by their places.
+func (e *encoder) shortAdvice(a *adviceRequest, ids []string) *adviceRequest {
 	short := *a
 	for _, id := range ids {
 		place, known := e.ids[id]
@@ -77,7 +77,7 @@
 	return &short
 }
 
-// limitOf returns how much of the time left for a call the relay may use.
-func limitOf(left time.Duration) time.Duration {
-	return left - min(replyMargin, time.Duration(replyShare*float64(left)))
+// relayTimeout returns how much of the time left for a call the relay may use.
+func relayTimeout(left time.Duration) time.Duration {
+	return left - min(replyMargin, time.Duration(replyMarginShare*float64(left)))
 }
--- a/internal/relay/errors.go
+++ b/internal/relay/errors.go
@@ -21,7 +21,7 @@
 	case errors.As(err, &refusal):
 		return refused, refusal.Reason
 	case errors.Is(err, runner.ErrIncarnationGone):
-		return gone, ""
+		return incarnationGone, ""
 	}
 	return unanswered, ""
 }
@@ -38,7 +38,7 @@
 		return nil
 	case refused:
 		return &runner.Refusal{Reason: runner.RefusalReason(r.Reason)}
-	case gone:
+	case incarnationGone:
 		return runner.ErrIncarnationGone
 	case expired:
 		return errNotSent
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -31,29 +31,29 @@
 	// openedAt is when it was opened; blameless says that its end says nothing against
 	// the relay.
 	openedAt  time.Time
-	blameless bool
+	noBackoff bool
 	// confirmedTerm is the highest term whose request the relay has not refused, and
 	// confirmedAt when the latest such request was made.
 	confirmedTerm uint64
 	confirmedAt   time.Time
-	// heardAt is when the last frame came, usedAt when the last call was made.
-	heardAt, usedAt time.Time
+	// lastFrameAt is when the last frame came, lastUsedAt when the last call was made.
+	lastFrameAt, lastUsedAt time.Time
 }
 
-// dial opens a connection to a relay.
-type dial func(ctx context.Context, address string) (net.Conn, error)
+// dialFunc opens a connection to a relay.
+type dialFunc func(ctx context.Context, address string) (net.Conn, error)
 
 // openLink returns a link that opens beside the caller; ended is called when it is over.
-func openLink(peer cellpeer.Instance, d dial, ended func(*Link), log logrus.FieldLogger) *Link {
+func openLink(peer cellpeer.Instance, d dialFunc, ended func(*Link), log logrus.FieldLogger) *Link {
 	l := &Link{peer: peer, log: log.WithField("relay", peer.Name), wake: make(chan struct{}, 1), done: make(chan struct{}),
-		pending: map[uint32]*call{}, usedAt: time.Now()}
+		pending: map[uint32]*call{}, lastUsedAt: time.Now()}
 	go l.run(d, ended)
 	return l
 }
 
-func (l *Link) run(d dial, ended func(*Link)) {
+func (l *Link) run(d dialFunc, ended func(*Link)) {
 	defer ended(l)
-	soon := time.AfterFunc(openSoon, l.sendAway)
+	soon := time.AfterFunc(openWait, l.divertQueue)
 	defer soon.Stop()
 	ctx, cancel := context.WithTimeout(context.Background(), openTimeout)
 	conn, err := d(ctx, l.peer.Address)
@@ -62,7 +62,7 @@
 		l.end("not opened", err)
 		return
 	}
-	if !l.begin(conn) {
+	if !l.markOpen(conn) {
 		_ = conn.Close() // the link has ended meanwhile
 		return
 	}
@@ -70,19 +70,19 @@
 	l.end("reading ended", l.read(conn))
 }
 
-// begin takes in that the relay has taken the link.
-func (l *Link) begin(conn net.Conn) bool {
+// markOpen takes in that the relay has taken the link.
+func (l *Link) markOpen(conn net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.ended {
 		return false
 	}
-	l.conn, l.opened, l.heardAt, l.openedAt = conn, true, time.Now(), time.Now()
+	l.conn, l.opened, l.lastFrameAt, l.openedAt = conn, true, time.Now(), time.Now()
 	return true
 }
 
-// sendAway has the calls that wait for the link to open take another way.
-func (l *Link) sendAway() {
+// divertQueue has the calls that wait for the link to open take another way.
+func (l *Link) divertQueue() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.opened {
@@ -95,8 +95,8 @@
 	l.queue = nil
 }
 
-// opensSlowly reports whether the link has not opened soon.
-func (l *Link) opensSlowly() bool {
+// slowToOpen reports whether the link has not opened soon.
+func (l *Link) slowToOpen() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.slow && !l.opened
@@ -132,26 +132,26 @@
 	l.queue, l.pending = nil, nil
 }
 
-// endBlameless ends the link for a reason that says nothing against the relay.
-func (l *Link) endBlameless(why string) {
+// endWithoutBackoff ends the link for a reason that says nothing against the relay.
+func (l *Link) endWithoutBackoff(why string) {
 	l.mu.Lock()
-	l.blameless = true
+	l.noBackoff = true
 	l.mu.Unlock()
 	l.end(why, nil)
 }
 
-// toBlame reports whether the end of the link says something against the relay.
-func (l *Link) toBlame() bool {
+// causesBackoff reports whether the end of the link says something against the relay.
+func (l *Link) causesBackoff() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return !l.blameless
+	return !l.noBackoff
 }
 
-// lasted reports whether the link was open for long enough to forget losses before it.
-func (l *Link) lasted() bool {
+// wasStable reports whether the link was open for long enough to forget losses before it.
+func (l *Link) wasStable() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.opened && time.Since(l.openedAt) > avoidMost
+	return l.opened && time.Since(l.openedAt) > maxBackoff
 }
 
 // usable reports whether calls may be made.
@@ -161,9 +161,9 @@
 	return !l.ended && !l.leaving
 }
 
-// confirm takes in that the relay knew of no later term than a call's after the call was
+// confirmTerm takes in that the relay knew of no later term than a call's after the call was
 // made; l.mu is held.
-func (l *Link) confirm(c *call) {
+func (l *Link) confirmTerm(c *call) {
 	switch token := c.token(); {
 	case token > l.confirmedTerm:
 		l.confirmedTerm, l.confirmedAt = token, c.queuedAt
@@ -179,16 +179,16 @@
 	return l.confirmedTerm == term && !l.confirmedAt.Before(since)
 }
 
-// silent reports whether an open link has had no frame, not even a heartbeat, for long.
-func (l *Link) silent(now time.Time) bool {
+// unresponsive reports whether an open link has had no frame, not even a heartbeat, for long.
+func (l *Link) unresponsive(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.opened && now.Sub(l.heardAt) > silentAfter
+	return l.opened && now.Sub(l.lastFrameAt) > unresponsiveAfter
 }
 
 // idle reports whether the link is no longer used.
 func (l *Link) idle(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.pending)+len(l.queue) == 0 && now.Sub(l.usedAt) > idleAfter
+	return len(l.pending)+len(l.queue) == 0 && now.Sub(l.lastUsedAt) > idleAfter
 }
--- a/internal/relay/link_bytes_test.go
+++ b/internal/relay/link_bytes_test.go
@@ -23,11 +23,11 @@
 		bytes += n
 	}
 	counting := func(ctx context.Context, address string) (net.Conn, error) {
-		conn, err := open(ctx, address)
+		conn, err := dialRelay(ctx, address)
 		return &countedConn{conn, count}, err
 	}
 	l := openLink(cellpeer.Instance{Name: "edge-1", Address: s.proxy.Address()}, counting, func(*Link) {}, logger(t))
-	defer l.endBlameless("the test is over")
+	defer l.endWithoutBackoff("the test is over")
 	const workers, pairs = 50, 20
 	var burst sync.WaitGroup
 	for range workers {
@@ -36,7 +36,7 @@
 				if got := l.do(within(t), callTo(w1, startOf("5c0e7a21d94b36f8.0.1.17", 7))); got.err != nil {
 					t.Error(got.err)
 				}
-				if got := l.do(within(t), callTo(w1, request{Look: lookFrom(runner.Poll{Token: 7, Wait: time.Second})})); got.err != nil {
+				if got := l.do(within(t), callTo(w1, request{Poll: pollFrom(runner.Poll{Token: 7, Wait: time.Second})})); got.err != nil {
 					t.Error(got.err)
 				}
 			}
--- a/internal/relay/link_calls.go
+++ b/internal/relay/link_calls.go
@@ -17,7 +17,7 @@
 	case got := <-c.result:
 		return got
 	case <-ctx.Done():
-		return l.giveUp(c, ctx.Err())
+		return l.abandon(c, ctx.Err())
 	}
 }
 
@@ -27,14 +27,14 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		c.deadline = deadline
 	} else {
-		c.deadline = now.Add(openSoon)
+		c.deadline = now.Add(openWait)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.ended || l.leaving {
 		return false
 	}
-	l.usedAt = now
+	l.lastUsedAt = now
 	l.queue = append(l.queue, c)
 	select {
 	case l.wake <- struct{}{}:
@@ -43,8 +43,8 @@
 	return true
 }
 
-// giveUp ends the wait for a call. What was not written has not been done.
-func (l *Link) giveUp(c *call, why error) result {
+// abandon ends the wait for a call. What was not written has not been done.
+func (l *Link) abandon(c *call, why error) result {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.pending, c.Number)
--- a/internal/relay/link_frames.go
+++ b/internal/relay/link_frames.go
@@ -17,7 +17,7 @@
 	out := bufio.NewWriter(conn)
 	e := newEncoder(out)
 	for {
-		for _, c := range l.take() {
+		for _, c := range l.takeQueue() {
 			if err := e.encode(c, time.Now()); err != nil {
 				l.end("not encoded", err)
 				return
@@ -33,15 +33,15 @@
 		}
 		select {
 		case <-l.wake:
-			time.Sleep(coalesce)
+			time.Sleep(coalesceDelay)
 		case <-l.done:
 			return
 		}
 	}
 }
 
-// take books the calls of the queue as pending, but for those that were given up.
-func (l *Link) take() []*call {
+// takeQueue books the calls of the queue as pending, but for those that were given up.
+func (l *Link) takeQueue() []*call {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.ended {
@@ -64,13 +64,13 @@
 // read takes replies in until the connection ends.
 func (l *Link) read(conn net.Conn) error {
 	in := cbor.NewDecoder(bufio.NewReader(conn))
-	known := reports{}
+	known := reportCodec{}
 	for {
 		var r reply
 		if err := in.Decode(&r); err != nil {
 			return err
 		}
-		if err := l.heard(&r, known); err != nil {
+		if err := l.handleReply(&r, known); err != nil {
 			return err
 		}
 	}
@@ -78,7 +78,7 @@
 
 var errBadReport = errors.New("a report names a run that the one before did not have")
 
-func (l *Link) heard(r *reply, known reports) error {
+func (l *Link) handleReply(r *reply, known reportCodec) error {
 	var got result
 	got.err = r.err()
 	got.answer.Clock = time.Duration(r.ClockMicros) * time.Microsecond
@@ -95,7 +95,7 @@
 	if l.ended {
 		return nil // the calls have their results
 	}
-	l.heardAt = time.Now()
+	l.lastFrameAt = time.Now()
 	if r.Leaving {
 		l.leaving = true
 		l.log.Info("relay_leaving")
@@ -106,18 +106,18 @@
 	}
 	delete(l.pending, r.Number)
 	if !r.fenced() {
-		l.confirm(c)
+		l.confirmTerm(c)
 	}
 	for _, t := range r.Tickets {
-		if int(t.Place) < len(c.asked) {
-			got.tickets = append(got.tickets, advice.Ticket{Worker: c.asked[t.Place], Text: t.Text})
+		if int(t.Place) < len(c.workerIDs) {
+			got.tickets = append(got.tickets, advice.Ticket{Worker: c.workerIDs[t.Place], Text: t.Text})
 		}
 	}
 	c.result <- got
 	if r.Outcome == expired && time.Since(c.queuedAt) < overdueSlack {
 		// The reply is here before the request can have been late: a clock was set. A
 		// new link compares the clocks anew.
-		go l.endBlameless("a clock was set")
+		go l.endWithoutBackoff("a clock was set")
 	}
 	return nil
 }
--- a/internal/relay/link_test.go
+++ b/internal/relay/link_test.go
@@ -58,8 +58,8 @@
 
 func (s *site) link(t *testing.T) *Link {
 	t.Helper()
-	l := openLink(cellpeer.Instance{Name: "edge-1", Address: s.proxy.Address()}, open, func(*Link) {}, logger(t))
-	t.Cleanup(func() { l.endBlameless("the test is over") })
+	l := openLink(cellpeer.Instance{Name: "edge-1", Address: s.proxy.Address()}, dialRelay, func(*Link) {}, logger(t))
+	t.Cleanup(func() { l.endWithoutBackoff("the test is over") })
 	return l
 }
 
@@ -108,7 +108,7 @@
 		}
 	}
 	for i, got := range s.workers.started() {
-		want := startOf([]string{"a", "b"}[i], 7).Start.runner()
+		want := startOf([]string{"a", "b"}[i], 7).Start.toRunner()
 		if got != want {
 			t.Errorf("start %d is %+v, want %+v", i, got, want)
 		}
@@ -116,7 +116,7 @@
 	for percent := 1; percent < 4; percent++ {
 		look := runner.Poll{Token: 7, Acknowledged: 57, Wait: time.Second}
 		target := runner.Target{ID: w1.ID, Incarnation: runner.Incarnation(1767225600000 + percent), Address: w1.Address}
-		got := l.do(within(t), callTo(target, request{Look: lookFrom(look)}))
+		got := l.do(within(t), callTo(target, request{Poll: pollFrom(look)}))
 		if s.workers.looked != look || got.report.Incarnation != target.Incarnation {
 			t.Errorf("look %d arrived as %+v, at incarnation %d", percent, s.workers.looked, got.report.Incarnation)
 		}
@@ -180,7 +180,7 @@
 }
 
 func TestLinkThatCannotBeOpenedSendsNothing(t *testing.T) {
-	l := openLink(cellpeer.Instance{Name: "edge-1", Address: "127.0.0.1:1"}, open, func(*Link) {}, logger(t))
+	l := openLink(cellpeer.Instance{Name: "edge-1", Address: "127.0.0.1:1"}, dialRelay, func(*Link) {}, logger(t))
 	if got := l.do(within(t), callTo(w1, startOf("a", 1))); !errors.Is(got.err, errNotSent) {
 		t.Errorf("got %v", got.err)
 	}
@@ -190,11 +190,11 @@
 func TestRequestsThatAreTooOldAreNotCarriedOut(t *testing.T) {
 	one := newSession(nil, NewServer(&fakeWorkers{}, nil, logger(t)))
 	now := time.UnixMilli(1_000_000)
-	r := request{Number: 1, SentMillis: now.UnixMilli(), LimitMillis: 60, Start: &start{Token: 1}}
+	r := request{Number: 1, SentMillis: now.UnixMilli(), TimeoutMillis: 60, Start: &start{Token: 1}}
 	if got := one.refusal(&r, now); got != nil {
 		t.Errorf("a new request is refused: %+v", got)
 	}
-	r = request{Number: 2, SentMillis: now.UnixMilli(), LimitMillis: 60, Start: &start{Token: 1}}
+	r = request{Number: 2, SentMillis: now.UnixMilli(), TimeoutMillis: 60, Start: &start{Token: 1}}
 	if got := one.refusal(&r, now.Add(4*time.Second)); got == nil || got.Outcome != expired {
 		t.Errorf("a request of 4 s ago: %+v", got)
 	}
@@ -204,14 +204,14 @@
 	s := newSite(t)
 	l := s.link(t)
 	for _, ids := range [][]string{{"w-1", "w-2", "w-3"}, {"w-3", "w-4", "w-1"}} {
-		got := l.do(within(t), &call{request: request{Ask: &ask{Token: 1, Stage: "j.0.1"}}, asked: ids})
+		got := l.do(within(t), &call{request: request{Advice: &adviceRequest{Token: 1, Stage: "j.0.1"}}, workerIDs: ids})
 		want := []advice.Ticket{{Worker: ids[2], Text: "j.0.1" + ids[2]}, {Worker: ids[0], Text: "j.0.1" + ids[0]}}
 		if got.err != nil || !slices.Equal(got.tickets, want) {
 			t.Errorf("got %v, %v, want %v", got.tickets, got.err, want)
 		}
 	}
 	s.adviser.fail = advice.ErrBusy
-	got := l.do(within(t), &call{request: request{Ask: &ask{Token: 1, Stage: "j.0.1"}}, asked: []string{"w-1"}})
+	got := l.do(within(t), &call{request: request{Advice: &adviceRequest{Token: 1, Stage: "j.0.1"}}, workerIDs: []string{"w-1"}})
 	if got.err == nil || errors.Is(got.err, errNotSent) {
 		t.Errorf("a busy adviser: %v", got.err)
 	}
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -18,7 +18,7 @@
 type Pool struct {
 	directory Directory
 	workers   runner.Client
-	dial      dial
+	dial      dialFunc
 	log       logrus.FieldLogger
 
 	mu sync.Mutex
@@ -26,10 +26,10 @@
 	instances   []cellpeer.Instance
 	refreshedAt time.Time
 	// routes are the ranked instances of each worker.
-	routes  map[string][]cellpeer.Instance
-	links   map[string]*Link
-	avoided map[string]avoidance
-	detours map[string]detour
+	routes   map[string][]cellpeer.Instance
+	links    map[string]*Link
+	backoffs map[string]backoff
+	detours  map[string]detour
 }
 
 // detour is which relay a worker is not reached through for a while.
@@ -41,8 +41,8 @@
 // NewPool returns a pool over the instances of a directory. workers reaches workers from
 // this instance.
 func NewPool(d Directory, workers runner.Client, log logrus.FieldLogger) *Pool {
-	return &Pool{directory: d, workers: workers, dial: open, log: log, routes: map[string][]cellpeer.Instance{},
-		links: map[string]*Link{}, avoided: map[string]avoidance{}, detours: map[string]detour{}}
+	return &Pool{directory: d, workers: workers, dial: dialRelay, log: log, routes: map[string][]cellpeer.Instance{},
+		links: map[string]*Link{}, backoffs: map[string]backoff{}, detours: map[string]detour{}}
 }
 
 // Run ends silent and idle links until ctx ends, then all.
@@ -66,7 +66,7 @@
 // nothing: its own link is full or cut, and opening others would add to that.
 func (p *Pool) scan(now time.Time) {
 	all := p.allLinks()
-	silent := slices.DeleteFunc(slices.Clone(all), func(l *Link) bool { return !l.silent(now) })
+	silent := slices.DeleteFunc(slices.Clone(all), func(l *Link) bool { return !l.unresponsive(now) })
 	if 2*len(silent) <= len(all) {
 		for _, l := range silent {
 			l.end("silent", nil)
@@ -74,7 +74,7 @@
 	}
 	for _, l := range all {
 		if l.idle(now) {
-			l.endBlameless("unused")
+			l.endWithoutBackoff("unused")
 		}
 	}
 }
@@ -91,7 +91,7 @@
 
 // Poll implements runner.Client.
 func (p *Pool) Poll(ctx context.Context, w runner.Target, l runner.Poll) (runner.Report, error) {
-	got, done := p.relay(ctx, w, &call{request: request{Look: lookFrom(l)}})
+	got, done := p.viaRelay(ctx, w, &call{request: request{Poll: pollFrom(l)}})
 	if !done {
 		return p.workers.Poll(ctx, w, l)
 	}
@@ -100,7 +100,7 @@
 
 // Start implements runner.Client.
 func (p *Pool) Start(ctx context.Context, w runner.Target, s runner.Start) (runner.Answer, error) {
-	got, done := p.relay(ctx, w, &call{request: request{Start: startFrom(s)}})
+	got, done := p.viaRelay(ctx, w, &call{request: request{Start: startFrom(s)}})
 	if !done {
 		return p.workers.Start(ctx, w, s)
 	}
@@ -109,7 +109,7 @@
 
 // Stop implements runner.Client.
 func (p *Pool) Stop(ctx context.Context, w runner.Target, s runner.Stop) (runner.Answer, error) {
-	got, done := p.relay(ctx, w, &call{request: request{Stop: &stop{Task: s.Task, Run: s.Run, Token: s.Token}}})
+	got, done := p.viaRelay(ctx, w, &call{request: request{Stop: &stop{Task: s.Task, Run: s.Run, Token: s.Token}}})
 	if !done {
 		return p.workers.Stop(ctx, w, s)
 	}
@@ -118,17 +118,17 @@
 
 // Throttle implements runner.Client.
 func (p *Pool) Throttle(ctx context.Context, w runner.Target, c runner.Throttle) (runner.Answer, error) {
-	got, done := p.relay(ctx, w, &call{request: request{Pace: &pace{Task: c.Task, Run: c.Run, Token: c.Token, Percent: c.Percent}}})
+	got, done := p.viaRelay(ctx, w, &call{request: request{Throttle: &throttle{Task: c.Task, Run: c.Run, Token: c.Token, Percent: c.Percent}}})
 	if !done {
 		return p.workers.Throttle(ctx, w, c)
 	}
 	return got.answer, got.err
 }
 
-// relay makes a call through a relay; done is false if this instance has to make it.
-func (p *Pool) relay(ctx context.Context, w runner.Target, c *call) (got result, done bool) {
+// viaRelay makes a call through a viaRelay; done is false if this instance has to make it.
+func (p *Pool) viaRelay(ctx context.Context, w runner.Target, c *call) (got result, done bool) {
 	c.worker = w
-	for range paths {
+	for range maxRelayAttempts {
 		l := p.route(w, time.Now())
 		if l == nil {
 			return result{}, false
@@ -139,12 +139,12 @@
 		switch {
 		case errors.Is(got.err, errNotSent):
 			continue
-		case errors.Is(got.err, errLinkLost) && c.Look != nil && ctx.Err() == nil:
+		case errors.Is(got.err, errLinkLost) && c.Poll != nil && ctx.Err() == nil:
 			// A look changes nothing that a second one does not: the end of the lease
 			// that it carries is the same.
 			continue
 		case errors.Is(got.err, runner.ErrNoAnswer):
-			p.avoidFor(w, l)
+			p.addDetour(w, l)
 		}
 		return got, true
 	}
@@ -155,7 +155,7 @@
 // false if the instance takes no calls over a link, and was not asked.
 func (p *Pool) Ask(ctx context.Context, i cellpeer.Instance, term uint64, stage string, workers []string) (tickets []advice.Ticket, sent bool, err error) {
 	p.mu.Lock()
-	avoided := time.Now().Before(p.avoided[i.Name].until)
+	avoided := time.Now().Before(p.backoffs[i.Name].until)
 	var l *Link
 	if !avoided {
 		l = p.link(i)
@@ -164,7 +164,7 @@
 	if l == nil {
 		return nil, false, nil
 	}
-	got := l.do(ctx, &call{request: request{Ask: &ask{Token: term, Stage: stage}}, asked: workers})
+	got := l.do(ctx, &call{request: request{Advice: &adviceRequest{Token: term, Stage: stage}}, workerIDs: workers})
 	if errors.Is(got.err, errNotSent) {
 		return nil, false, nil
 	}
--- a/internal/relay/pool_routes.go
+++ b/internal/relay/pool_routes.go
@@ -8,11 +8,11 @@
 	"gentianstand/internal/runner"
 )
 
-// avoidFor has a worker reached through its next relay for a while.
-func (p *Pool) avoidFor(w runner.Target, l *Link) {
+// addDetour has a worker reached through its next relay for a while.
+func (p *Pool) addDetour(w runner.Target, l *Link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.detours[w.ID] = detour{l.peer.Name, time.Now().Add(detourFor)}
+	p.detours[w.ID] = detour{l.peer.Name, time.Now().Add(detourPeriod)}
 }
 
 // route returns the link through which a worker is reached now, or nil if this instance
@@ -33,13 +33,13 @@
 		if i.Name == p.directory.Self().Name {
 			break
 		}
-		if i.Name == around.relay || now.Before(p.avoided[i.Name].until) {
+		if i.Name == around.relay || now.Before(p.backoffs[i.Name].until) {
 			continue
 		}
 		l := p.link(i)
 		switch {
 		case l == nil:
-		case !l.opensSlowly():
+		case !l.slowToOpen():
 			return l
 		case opening == nil:
 			opening = l
@@ -79,8 +79,8 @@
 	if p.links[name] == l {
 		delete(p.links, name)
 	}
-	if l.toBlame() && !(l.neverOpened() && p.mostOpening()) {
-		p.avoided[name] = p.avoided[name].after(l.lasted(), time.Now())
+	if l.causesBackoff() && !(l.neverOpened() && p.mostOpening()) {
+		p.backoffs[name] = p.backoffs[name].next(l.wasStable(), time.Now())
 	}
 }
 
@@ -114,7 +114,7 @@
 	for _, i := range list {
 		if before, ok := known[i.Name]; ok && !sameProcess(i, before) {
 			// The new process has nothing to do with the losses of the one before.
-			delete(p.avoided, i.Name)
+			delete(p.backoffs, i.Name)
 		}
 	}
 	p.instances = list
--- a/internal/relay/pool_test.go
+++ b/internal/relay/pool_test.go
@@ -49,7 +49,7 @@
 	f.pool = NewPool(d, f.direct, logger(t))
 	t.Cleanup(func() {
 		for _, l := range f.pool.allLinks() {
-			l.endBlameless("the test is over")
+			l.endWithoutBackoff("the test is over")
 		}
 	})
 	return f
@@ -124,7 +124,7 @@
 	if err := f.start(t); err != nil {
 		t.Errorf("through the next one: %v", err)
 	}
-	if l := f.pool.route(w1, time.Now().Add(detourFor)); f.relays[l.peer.Name] != first {
+	if l := f.pool.route(w1, time.Now().Add(detourPeriod)); f.relays[l.peer.Name] != first {
 		t.Error("the first relay is not used again later")
 	}
 }
@@ -161,10 +161,10 @@
 	}{{1, true}, {2, false}, {3, false}} {
 		f := newFleet(t, 3)
 		links := f.opened(t)
-		now := time.Now().Add(silentAfter / 2)
+		now := time.Now().Add(unresponsiveAfter / 2)
 		for _, l := range links[:test.silent] {
 			l.mu.Lock()
-			l.heardAt = now.Add(-silentAfter - 1)
+			l.lastFrameAt = now.Add(-unresponsiveAfter - 1)
 			l.mu.Unlock()
 		}
 		f.pool.scan(now)
@@ -180,7 +180,7 @@
 	now := time.Now().Add(idleAfter + time.Second)
 	for _, l := range links {
 		l.mu.Lock()
-		l.heardAt = now
+		l.lastFrameAt = now
 		l.mu.Unlock()
 	}
 	f.pool.scan(now)
@@ -202,8 +202,8 @@
 func TestCallsWaitForLinksWhereNoneOpensSoon(t *testing.T) {
 	f := newFleet(t, 3)
 	f.pool.dial = func(ctx context.Context, address string) (net.Conn, error) {
-		time.Sleep(2 * openSoon)
-		return open(ctx, address)
+		time.Sleep(2 * openWait)
+		return dialRelay(ctx, address)
 	}
 	if err := f.start(t); err != nil {
 		t.Fatal(err)
@@ -217,7 +217,7 @@
 func TestCallsTakeAnOpenLinkRatherThanASlowOne(t *testing.T) {
 	f := newFleet(t, 2)
 	first := f.pool.route(w1, time.Now())
-	first.endBlameless("the test opens it anew")
+	first.endWithoutBackoff("the test opens it anew")
 	for end := time.Now().Add(20 * time.Second); len(f.pool.allLinks()) > 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
@@ -226,7 +226,7 @@
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
-		return open(ctx, address)
+		return dialRelay(ctx, address)
 	}
 	began := time.Now()
 	if err := f.start(t); err != nil {
--- a/internal/relay/rank.go
+++ b/internal/relay/rank.go
@@ -9,18 +9,18 @@
 	"gentianstand/internal/cellpeer"
 )
 
-// ranked is an instance and its lot for a worker.
-type ranked struct {
+// scoredInstance is an instance and its lot for a worker.
+type scoredInstance struct {
 	cellpeer.Instance
-	lot uint64
+	score uint64
 }
 
 const (
 	// relayShare of a zone's instances, and at least leastRelays, are relays at a time.
 	// Each job's spec crosses the owner's link once for each relay that starts a task of
 	// it, and a relay needs little of its machine.
-	relayShare  = 0.5
-	leastRelays = 3
+	relayShare = 0.5
+	minRelays  = 3
 )
 
 // Rank returns the instances through which a worker may be reached, best first: those of
@@ -33,13 +33,13 @@
 	if len(near) == 0 {
 		near = slices.Clone(all)
 	}
-	group := strconv.Itoa(groupOf(workerID, max(leastRelays, int(relayShare*float64(len(near))))))
-	list := make([]ranked, len(near))
+	group := strconv.Itoa(groupOf(workerID, max(minRelays, int(relayShare*float64(len(near))))))
+	list := make([]scoredInstance, len(near))
 	for i, instance := range near {
-		list[i] = ranked{instance, lot(group, instance.Name)}
+		list[i] = scoredInstance{instance, hashScore(group, instance.Name)}
 	}
-	slices.SortFunc(list, func(a, b ranked) int {
-		return cmp.Or(cmp.Compare(b.lot, a.lot), cmp.Compare(a.Name, b.Name))
+	slices.SortFunc(list, func(a, b scoredInstance) int {
+		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.Name, b.Name))
 	})
 	for i, r := range list {
 		near[i] = r.Instance
@@ -54,14 +54,14 @@
 	for all < groups {
 		all *= 2
 	}
-	group := int(lot(workerID, "") % uint64(all))
+	group := int(hashScore(workerID, "") % uint64(all))
 	if group >= groups {
 		group -= all / 2
 	}
 	return group
 }
 
-func lot(name, instance string) uint64 {
+func hashScore(name, instance string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(instance + "\x00" + name)) // a hash never fails
 	return mix(h.Sum64())
--- a/internal/relay/reply.go
+++ b/internal/relay/reply.go
@@ -15,9 +15,9 @@
 	Tickets     []ticket `cbor:"8,keyasint,omitempty"`
 	// Leaving says that the relay is about to stop and takes no more requests.
 	Leaving bool `cbor:"7,keyasint,omitempty"`
-	// BornMillis is runner.Report.Born, or 0 if the worker's report before on this link
+	// IncarnationMillis is runner.Report.Born, or 0 if the worker's report before on this link
 	// had the same.
-	BornMillis int64 `cbor:"9,keyasint,omitempty"`
+	IncarnationMillis int64 `cbor:"9,keyasint,omitempty"`
 }
 
 // outcome is how a call to a worker ended.
@@ -28,8 +28,8 @@
 	answered outcome = iota
 	// refused: the worker answered and did nothing, or was not called.
 	refused
-	// gone: another incarnation answers at the worker's address.
-	gone
+	// incarnationGone: another incarnation answers at the worker's address.
+	incarnationGone
 	// unanswered: the call may have been carried out, or may be yet.
 	unanswered
 	// expired: the request came too late, and nothing was done.
@@ -50,23 +50,23 @@
 // same checkpoint, is named by its place there, in a tenth of the bytes.
 type runState struct {
 	_ struct{} `cbor:",toarray"`
-	// Before is 1 + the place in the report before, or 0 if the run is spelled out.
-	Before  int
-	Percent int
-	Gauge   float32
-	Task    string
-	Run     uint64
-	Saved   string
+	// PreviousPlace is 1 + the place in the report before, or 0 if the run is spelled out.
+	PreviousPlace int
+	Percent       int
+	Gauge         float32
+	Task          string
+	Run           uint64
+	Checkpoint    string
 }
 
 // end is runner.End on the wire.
 type end struct {
-	_        struct{} `cbor:",toarray"`
-	Sequence uint64
-	Task     string
-	Run      uint64
-	How      string
-	Saved    string
+	_          struct{} `cbor:",toarray"`
+	Sequence   uint64
+	Task       string
+	Run        uint64
+	Kind       string
+	Checkpoint string
 }
 
 // ticket is advice.Ticket on the wire.
--- a/internal/relay/reports_test.go
+++ b/internal/relay/report_codec_test.go
@@ -28,7 +28,7 @@
 // Whatever the reports are, both ends of a link see the same.
 func TestShortReportsAreRestored(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		relay, owner := reports{}, reports{}
+		relay, owner := reportCodec{}, reportCodec{}
 		for range rapid.IntRange(1, 12).Draw(t, "reports") {
 			worker := rapid.Uint32Range(1, 2).Draw(t, "worker")
 			full := anyReport(t)
@@ -52,7 +52,7 @@
 
 func TestRunThatWasNotInTheReportBeforeIsNoticed(t *testing.T) {
 	for _, before := range []int{-1, 1, 3} {
-		if _, ok := (reports{}).restore(&reply{Report: &report{Worker: 1, Running: []runState{{Before: before}}}}); ok {
+		if _, ok := (reportCodec{}).restore(&reply{Report: &report{Worker: 1, Running: []runState{{PreviousPlace: before}}}}); ok {
 			t.Errorf("place %d of an empty report was taken", before)
 		}
 	}
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -13,30 +13,30 @@
 	Target *target `cbor:"3,keyasint,omitempty"`
 	// SentMillis is the owner's time of day.
 	SentMillis int64 `cbor:"4,keyasint"`
-	// LimitMillis is how long the relay waits for the worker's answer.
-	LimitMillis int64  `cbor:"5,keyasint"`
-	Look        *look  `cbor:"6,keyasint,omitempty"`
-	Start       *start `cbor:"7,keyasint,omitempty"`
-	Stop        *stop  `cbor:"8,keyasint,omitempty"`
-	Pace        *pace  `cbor:"9,keyasint,omitempty"`
-	Ask         *ask   `cbor:"10,keyasint,omitempty"`
-	// BornMillis is the incarnation of Target.
-	BornMillis int64 `cbor:"11,keyasint,omitempty"`
+	// TimeoutMillis is how long the relay waits for the worker's answer.
+	TimeoutMillis int64          `cbor:"5,keyasint"`
+	Poll          *poll          `cbor:"6,keyasint,omitempty"`
+	Start         *start         `cbor:"7,keyasint,omitempty"`
+	Stop          *stop          `cbor:"8,keyasint,omitempty"`
+	Throttle      *throttle      `cbor:"9,keyasint,omitempty"`
+	Advice        *adviceRequest `cbor:"10,keyasint,omitempty"`
+	// IncarnationMillis is the incarnation of Target.
+	IncarnationMillis int64 `cbor:"11,keyasint,omitempty"`
 }
 
 // token returns the fencing token of the call.
 func (r *request) token() uint64 {
 	switch {
-	case r.Look != nil:
-		return r.Look.Token
+	case r.Poll != nil:
+		return r.Poll.Token
 	case r.Start != nil:
 		return r.Start.Token
 	case r.Stop != nil:
 		return r.Stop.Token
-	case r.Pace != nil:
-		return r.Pace.Token
-	case r.Ask != nil:
-		return r.Ask.Token
+	case r.Throttle != nil:
+		return r.Throttle.Token
+	case r.Advice != nil:
+		return r.Advice.Token
 	}
 	return 0
 }
@@ -48,8 +48,8 @@
 	Address string
 }
 
-// look is runner.Look on the wire.
-type look struct {
+// poll is runner.Look on the wire.
+type poll struct {
 	_     struct{} `cbor:",toarray"`
 	Token uint64
 	// LeaseMillis is the end of the lease on the worker's clock, or nil.
@@ -65,7 +65,7 @@
 	Run         uint64
 	Token       uint64
 	LeaseMillis int64
-	Saved       string
+	Checkpoint  string
 	Ticket      string
 	// Slot is where the link remembers the spec, which the tasks of a job share. Known
 	// says that it is there already and Spec is left out.
@@ -82,8 +82,8 @@
 	Token uint64
 }
 
-// pace is runner.Pace on the wire.
-type pace struct {
+// throttle is runner.Pace on the wire.
+type throttle struct {
 	_       struct{} `cbor:",toarray"`
 	Task    string
 	Run     uint64
@@ -91,8 +91,8 @@
 	Percent int
 }
 
-// ask is a question to the placement adviser.
-type ask struct {
+// adviceRequest is a question to the placement adviser.
+type adviceRequest struct {
 	_     struct{} `cbor:",toarray"`
 	Token uint64
 	Stage string
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -20,11 +20,11 @@
 	log     logrus.FieldLogger
 
 	mu sync.Mutex
-	// highest is the highest term known, and heardAt when its owner was heard last.
-	highest  uint64
-	heardAt  time.Time
-	sessions map[*session]struct{}
-	leaving  bool
+	// highestTerm is the highestTerm term known, and heardAt when its owner was heard last.
+	highestTerm uint64
+	ownerSeenAt time.Time
+	sessions    map[*session]struct{}
+	leaving     bool
 	// handlers are the calls of ServeHTTP; those that begin after leaving is set have
 	// nothing to end.
 	handlers sync.WaitGroup
@@ -41,12 +41,12 @@
 		http.Error(w, "this address takes links of other instances", http.StatusUpgradeRequired)
 		return
 	}
-	if !s.enter() {
+	if !s.beginHandler() {
 		http.Error(w, "this instance is stopping", http.StatusServiceUnavailable)
 		return
 	}
 	defer s.handlers.Done()
-	conn, err := takeOver(w)
+	conn, err := hijack(w)
 	if err != nil {
 		s.log.WithField("from", r.RemoteAddr).WithError(err).Info("relay_link_refused")
 		if conn != nil {
@@ -65,8 +65,8 @@
 	s.log.WithFields(logrus.Fields{"from": r.RemoteAddr, "requests": one.requests, "overdue": one.overdue}).WithError(err).Info("relay_link_over")
 }
 
-// takeOver answers the upgrade and returns the connection.
-func takeOver(w http.ResponseWriter) (net.Conn, error) {
+// hijack answers the upgrade and returns the connection.
+func hijack(w http.ResponseWriter) (net.Conn, error) {
 	conn, buffered, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return nil, err
@@ -108,8 +108,8 @@
 	}
 }
 
-// enter counts a handler, unless this instance is stopping.
-func (s *Server) enter() bool {
+// beginHandler counts a handler, unless this instance is stopping.
+func (s *Server) beginHandler() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.leaving {
@@ -138,10 +138,10 @@
 func (s *Server) admits(token uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if token < s.highest {
+	if token < s.highestTerm {
 		return false
 	}
-	s.highest, s.heardAt = token, time.Now()
+	s.highestTerm, s.ownerSeenAt = token, time.Now()
 	return true
 }
 
@@ -150,8 +150,8 @@
 func (s *Server) Learned(term uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if term > s.highest {
-		s.highest, s.heardAt = term, time.Time{}
+	if term > s.highestTerm {
+		s.highestTerm, s.ownerSeenAt = term, time.Time{}
 	}
 }
 
@@ -159,8 +159,8 @@
 func (s *Server) HeardOwner(term uint64) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if term != s.highest {
+	if term != s.highestTerm {
 		return time.Time{}
 	}
-	return s.heardAt
+	return s.ownerSeenAt
 }
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -28,17 +28,17 @@
 	// workers, ids, specs and late belong to the reader.
 	workers           map[uint32]runner.Target
 	ids               []string
-	specs             [slots]packed.Text
-	late              lateness
+	specs             [specSlotCount]packed.Text
+	delays            delayTracker
 	requests, overdue int
 
 	mu sync.Mutex
 	// replies are those to write.
-	replies []done
+	replies []outgoing
 }
 
-// done is a reply and the full report that belongs to it.
-type done struct {
+// outgoing is a reply and the full report that belongs to it.
+type outgoing struct {
 	reply
 	worker uint32
 	report *runner.Report
@@ -70,25 +70,25 @@
 			return err
 		}
 		if refusal := s.refusal(&r, time.Now()); refusal != nil {
-			s.answer(done{reply: *refusal})
+			s.enqueue(outgoing{reply: *refusal})
 			continue
 		}
-		if r.Ask != nil {
-			ids := s.idsOf(r.Ask)
-			parts.Go(func() { s.answer(s.ask(ctx, &r, ids)) })
+		if r.Advice != nil {
+			ids := s.idsOf(r.Advice)
+			parts.Go(func() { s.enqueue(s.askAdviser(ctx, &r, ids)) })
 			continue
 		}
-		parts.Go(func() { s.answer(s.carryOut(ctx, w, &r)) })
+		parts.Go(func() { s.enqueue(s.execute(ctx, w, &r)) })
 	}
 }
 
 // resolve puts in what the owner left out.
 func (s *session) resolve(r *request) (runner.Target, error) {
 	if r.Target != nil {
-		s.workers[r.Worker] = runner.Target{ID: r.Target.ID, Incarnation: runner.Incarnation(r.BornMillis), Address: r.Target.Address}
+		s.workers[r.Worker] = runner.Target{ID: r.Target.ID, Incarnation: runner.Incarnation(r.IncarnationMillis), Address: r.Target.Address}
 	}
 	if r.Start != nil {
-		if r.Start.Slot >= slots {
+		if r.Start.Slot >= specSlotCount {
 			return runner.Target{}, errUnknownSlot
 		}
 		if r.Start.Known {
@@ -96,9 +96,9 @@
 		}
 		s.specs[r.Start.Slot] = r.Start.Spec
 	}
-	if r.Ask != nil {
-		s.ids = append(s.ids, r.Ask.NewIDs...)
-		for _, place := range r.Ask.Workers {
+	if r.Advice != nil {
+		s.ids = append(s.ids, r.Advice.NewIDs...)
+		for _, place := range r.Advice.Workers {
 			if int(place) >= len(s.ids) {
 				return runner.Target{}, errUnknownWorker
 			}
@@ -114,8 +114,8 @@
 
 // refusal returns the reply to a request that is not carried out, or nil.
 func (s *session) refusal(r *request, now time.Time) *reply {
-	limit := time.Duration(r.LimitMillis)*time.Millisecond + overdueSlack
-	if s.late.of(time.UnixMilli(r.SentMillis), now.Round(0)) > limit {
+	limit := time.Duration(r.TimeoutMillis)*time.Millisecond + overdueSlack
+	if s.delays.excess(time.UnixMilli(r.SentMillis), now.Round(0)) > limit {
 		s.overdue++
 		return &reply{Number: r.Number, Outcome: expired}
 	}
@@ -126,7 +126,7 @@
 }
 
 // idsOf returns the ids of a question's workers.
-func (s *session) idsOf(a *ask) []string {
+func (s *session) idsOf(a *adviceRequest) []string {
 	ids := make([]string, len(a.Workers))
 	for i, place := range a.Workers {
 		ids[i] = s.ids[place]
@@ -134,12 +134,12 @@
 	return ids
 }
 
-// ask asks the placement adviser.
-func (s *session) ask(ctx context.Context, r *request, ids []string) done {
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(r.LimitMillis)*time.Millisecond)
+// askAdviser asks the placement adviser.
+func (s *session) askAdviser(ctx context.Context, r *request, ids []string) outgoing {
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(r.TimeoutMillis)*time.Millisecond)
 	defer cancel()
-	d := done{reply: reply{Number: r.Number}}
-	tickets, err := s.server.adviser.Ask(ctx, r.Ask.Stage, ids)
+	d := outgoing{reply: reply{Number: r.Number}}
+	tickets, err := s.server.adviser.Ask(ctx, r.Advice.Stage, ids)
 	if err != nil {
 		d.Outcome, d.Detail = unanswered, err.Error()
 		return d
@@ -156,27 +156,27 @@
 	return d
 }
 
-// carryOut makes a call to a worker.
-func (s *session) carryOut(ctx context.Context, w runner.Target, r *request) done {
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(r.LimitMillis)*time.Millisecond)
+// execute makes a call to a worker.
+func (s *session) execute(ctx context.Context, w runner.Target, r *request) outgoing {
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(r.TimeoutMillis)*time.Millisecond)
 	defer cancel()
-	d := done{reply: reply{Number: r.Number}, worker: r.Worker}
+	d := outgoing{reply: reply{Number: r.Number}, worker: r.Worker}
 	var answer runner.Answer
 	var err error
 	client := s.server.workers
 	switch {
-	case r.Look != nil:
+	case r.Poll != nil:
 		var full runner.Report
-		if full, err = client.Poll(ctx, w, r.Look.runner()); err == nil {
+		if full, err = client.Poll(ctx, w, r.Poll.toRunner()); err == nil {
 			d.report = &full
 			answer.Clock = full.Clock
 		}
 	case r.Start != nil:
-		answer, err = client.Start(ctx, w, r.Start.runner())
+		answer, err = client.Start(ctx, w, r.Start.toRunner())
 	case r.Stop != nil:
 		answer, err = client.Stop(ctx, w, runner.Stop{Task: r.Stop.Task, Run: r.Stop.Run, Token: r.Stop.Token})
-	case r.Pace != nil:
-		answer, err = client.Throttle(ctx, w, runner.Throttle{Task: r.Pace.Task, Run: r.Pace.Run, Token: r.Pace.Token, Percent: r.Pace.Percent})
+	case r.Throttle != nil:
+		answer, err = client.Throttle(ctx, w, runner.Throttle{Task: r.Throttle.Task, Run: r.Throttle.Run, Token: r.Throttle.Token, Percent: r.Throttle.Percent})
 	}
 	d.ClockMicros = answer.Clock.Microseconds()
 	if err != nil {
@@ -188,7 +188,7 @@
 	return d
 }
 
-func (s *session) answer(d done) {
+func (s *session) enqueue(d outgoing) {
 	s.mu.Lock()
 	s.replies = append(s.replies, d)
 	s.mu.Unlock()
@@ -199,35 +199,35 @@
 }
 
 // leave tells the owner that this instance is about to stop.
-func (s *session) leave() { s.answer(done{reply: reply{Leaving: true}}) }
+func (s *session) leave() { s.enqueue(outgoing{reply: reply{Leaving: true}}) }
 
 // write sends replies as they come, and a heartbeat when there are none for long.
 func (s *session) write(ctx context.Context) {
 	defer s.conn.Close()
 	out := bufio.NewWriter(s.conn)
 	encoder := cbor.NewEncoder(out)
-	known := reports{}
-	timer := time.NewTimer(heartbeat)
+	known := reportCodec{}
+	timer := time.NewTimer(heartbeatPeriod)
 	defer timer.Stop()
 	for {
-		var batch []done
+		var batch []outgoing
 		select {
 		case <-ctx.Done():
 			return
 		case <-s.wake:
-			time.Sleep(coalesce)
-			batch = s.take()
+			time.Sleep(coalesceDelay)
+			batch = s.takeReplies()
 		case <-timer.C:
-			batch = []done{{}}
+			batch = []outgoing{{}}
 		}
 		if s.send(out, encoder, known, batch) != nil {
 			return // the reader learns of it from the closed connection
 		}
-		timer.Reset(heartbeat)
+		timer.Reset(heartbeatPeriod)
 	}
 }
 
-func (s *session) take() []done {
+func (s *session) takeReplies() []outgoing {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	batch := s.replies
@@ -236,7 +236,7 @@
 }
 
 // send writes replies in one packet if they fit.
-func (s *session) send(out *bufio.Writer, encoder *cbor.Encoder, known reports, batch []done) error {
+func (s *session) send(out *bufio.Writer, encoder *cbor.Encoder, known reportCodec, batch []outgoing) error {
 	for _, d := range batch {
 		if d.report != nil {
 			known.shorten(&d.reply, d.worker, *d.report)
--- a/internal/relay/spec_slots_test.go
+++ b/internal/relay/spec_slots_test.go
@@ -13,9 +13,9 @@
 func TestLeftOutSpecsAreThoseThatWereSent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		owner := newSpecSlots()
-		var relay [slots]packed.Text
+		var relay [specSlotCount]packed.Text
 		for range rapid.IntRange(1, 600).Draw(t, "starts") {
-			spec := packed.Text(fmt.Sprint("spec-", rapid.IntRange(0, 2*slots).Draw(t, "spec")))
+			spec := packed.Text(fmt.Sprint("spec-", rapid.IntRange(0, 2*specSlotCount).Draw(t, "spec")))
 			slot, known := owner.place(spec)
 			if !known {
 				relay[slot] = spec
@@ -24,7 +24,7 @@
 				t.Fatalf("slot %d has %s, want %s", slot, relay[slot], spec)
 			}
 		}
-		if len(owner.bySpec) > slots {
+		if len(owner.bySpec) > specSlotCount {
 			t.Fatalf("%d specs are remembered", len(owner.bySpec))
 		}
 	})
