--- a/internal/cellpeer/advice_links.go
+++ b/internal/cellpeer/advice_links.go
@@ -6,8 +6,8 @@
 	"gentianstand/internal/advice"
 )
 
-// AdviceLinks asks the placement adviser through another instance, over a connection
-// that stands already.
+// AdviceLinks calls the placement adviser through another instance, over a connection that
+// is already open.
 type AdviceLinks interface {
 	// Ask returns the tickets for a stage. sent is false if the instance was not asked.
 	Ask(ctx context.Context, i Instance, term uint64, stage string, workers []string) (tickets []advice.Ticket, sent bool, err error)
--- a/internal/cellpeer/advice_pool.go
+++ b/internal/cellpeer/advice_pool.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// quickOnlyShare of the instances carries quick calls only.
+	// quickOnlyShare is the share of the instances that carry quick calls only.
 	quickOnlyShare = 0.34
-	// quickConcurrency is how many quick calls may be under way at one instance: one
-	// that the adviser works on, and one that is there when it is done.
+	// quickConcurrency is how many quick calls may be in progress at one instance: one that
+	// the adviser processes, and one that is queued for when it is done.
 	quickConcurrency = 2
-	// failureBackoff is how long an instance that failed to ask is passed over.
+	// failureBackoff is how long an instance is avoided after a failed call.
 	failureBackoff = 2 * time.Second
 )
 
-// AdvicePool spreads calls to the placement adviser over all instances. Load
-// pattern: a slow call takes most of a second and the adviser serves each instance one
-// call at a time, so one instance could make few of them.
+// AdvicePool spreads calls to the placement adviser over all instances. A slow call takes
+// most of a second and the adviser serves the calls of one instance one at a time, so a
+// single instance could make only few of them. AdvicePool is safe for concurrent use.
 type AdvicePool struct {
 	directory *Directory
 	clients   *Clients
@@ -33,11 +33,12 @@
 
 	mu     sync.Mutex
 	states map[string]*peerState
-	// reserved are the lanes of reserved calls, by stage.
+	// reserved holds the instances of reserved calls, by stage.
 	reserved map[job.StageID]adviceInstance
 }
 
-// peerState is what is under way at one instance.
+// peerState counts the calls in progress at one instance. The instance is avoided until
+// avoidUntil.
 type peerState struct {
 	calls      int
 	avoidUntil time.Time
@@ -49,13 +50,14 @@
 	quickOnly bool
 }
 
-// NewAdvicePool returns a pool over the instances of a directory. local asks on
-// behalf of this instance, links through others; nil is none, which leaves calls.
+// NewAdvicePool returns a pool over the instances of a directory. local makes calls from
+// this instance, links through others. If links is nil, others are reached by peer calls
+// only.
 func NewAdvicePool(d *Directory, c *Clients, local advice.Adviser, links AdviceLinks) *AdvicePool {
 	return &AdvicePool{directory: d, clients: c, local: local, links: links, states: map[string]*peerState{}, reserved: map[job.StageID]adviceInstance{}}
 }
 
-// Slots returns how many calls may begin now.
+// Slots returns the number of free concurrency slots, that is, of calls that may start now.
 func (p *AdvicePool) Slots() cell.AdviceSlots {
 	all := p.instances()
 	p.mu.Lock()
@@ -75,7 +77,7 @@
 	return s
 }
 
-// Reserve books a lane for an order.
+// Reserve chooses an instance for an order and occupies a concurrency slot there.
 func (p *AdvicePool) Reserve(o cell.AdviceOrder) {
 	all := p.instances()
 	p.mu.Lock()
@@ -99,8 +101,8 @@
 	p.reserved[o.Stage] = target
 }
 
-// preferred reports whether a call should go to a rather than b: quick calls
-// prefer lanes without slow ones, and every call the emptier lane.
+// preferred reports whether a call should go to a rather than b. Quick calls prefer
+// instances that carry no slow calls, and every call prefers the instance with fewer calls.
 func (p *AdvicePool) preferred(a, b adviceInstance, slow bool) bool {
 	x, y := p.state(a.Name).calls, p.state(b.Name).calls
 	if !slow && a.quickOnly != b.quickOnly {
@@ -130,6 +132,7 @@
 	return tickets, nil
 }
 
+// askAt makes a call through the given instance.
 func (p *AdvicePool) askAt(ctx context.Context, target Instance, o cell.AdviceOrder) ([]advice.Ticket, error) {
 	if target.Name == p.directory.Self().Name {
 		return p.local.Ask(ctx, o.Stage.String(), o.Workers)
@@ -151,7 +154,8 @@
 	return tickets, nil
 }
 
-// instances returns all instances in order of their names, with their lanes.
+// instances returns all instances in order of their names. The first of them carry quick
+// calls only.
 func (p *AdvicePool) instances() []adviceInstance {
 	others := p.directory.Others()
 	self := p.directory.Self()
@@ -174,6 +178,7 @@
 	return all
 }
 
+// state returns the state of an instance; p.mu must be held.
 func (p *AdvicePool) state(name string) *peerState {
 	l := p.states[name]
 	if l == nil {
--- a/internal/cellpeer/catalogs.go
+++ b/internal/cellpeer/catalogs.go
@@ -7,9 +7,10 @@
 	"gentianstand/internal/catalog"
 )
 
-// Catalogs is the part of an instance that other instances ask for the configuration.
+// Catalogs provides the configuration that other instances request from this one.
 type Catalogs interface {
-	// Newest returns the newest configuration as the store told this instance, and how
-	// long ago it asked. It returns an error if the store does not serve this instance.
+	// Newest returns the newest configuration that this instance has read from the store,
+	// and how long ago it read it. It returns an error if the instance has no access to the
+	// store.
 	Newest(ctx context.Context) (c *catalog.Catalog, age time.Duration, err error)
 }
--- a/internal/cellpeer/cell_owner.go
+++ b/internal/cellpeer/cell_owner.go
@@ -8,17 +8,17 @@
 	"gentianstand/internal/job"
 )
 
-// CellOwner is the part of an instance that owns cells, as its peers see it.
+// CellOwner is the part of an instance that owns cells, as other instances call it.
 type CellOwner interface {
-	// Ping answers whether this instance owns the cell, and takes in the term
-	// that the caller knows, and the claim that it announces.
+	// Ping reports whether this instance owns the cell. It records the term that the caller
+	// knows and the claim that the caller announces.
 	Ping(r *cellpb.PingRequest) *cellpb.PingReply
-	// TakeOver makes this instance the owner at once.
+	// TakeOver makes this instance the owner immediately.
 	TakeOver(ctx context.Context, from string, term uint64) bool
-	// Submitted, Cancelled, Status and Waiting report false if this instance does
-	// not own the cell, or has not loaded it yet.
+	// Submitted, Cancelled, Status and Waiting return false if this instance does not own
+	// the cell or has not loaded it yet.
 	Submitted(r *job.Record) bool
-	// Backlogs returns those of services whose workers are full, or none if this
+	// Backlogs returns the backlogs of services whose workers are full, or none if this
 	// instance does not own the cell.
 	Backlogs() []admission.Backlog
 	Cancelled(id string) bool
--- a/internal/cellpeer/client.go
+++ b/internal/cellpeer/client.go
@@ -11,19 +11,20 @@
 )
 
 const (
-	// dialTimeout bounds a new connection to another instance, 1 ms away.
+	// dialTimeout bounds the opening of a connection to another instance, 1 ms away.
 	dialTimeout = 400 * time.Millisecond
-	// idleConnections is how many connections to one instance are kept.
+	// idleConnections is how many idle connections to one instance are kept.
 	idleConnections = 4
 )
 
-// Clients makes clients for other instances; each address has its own
-// connections.
+// Clients caches a client per instance address, each with its own connections. It is safe
+// for concurrent use.
 type Clients struct {
 	mu        sync.Mutex
 	byAddress map[string]*client
 }
 
+// client is the client for one address.
 type client struct {
 	cellpb.Cells
 	transport *http.Transport
@@ -35,11 +36,12 @@
 // To returns the client for an address.
 func (c *Clients) To(address string) cellpb.Cells { return c.get(address) }
 
-// CloseIdle closes the idle connections to an address. Connections can go silent
-// for good while new ones work; after one call without an answer, the others
-// that are kept may be silent, too, and each would cost a timeout.
+// CloseIdle closes the idle connections to an address. A connection can become permanently
+// unresponsive while new ones work. After a call without an answer, the other idle
+// connections may be unresponsive, too, and each would cost a timeout.
 func (c *Clients) CloseIdle(address string) { c.get(address).transport.CloseIdleConnections() }
 
+// get returns the client for an address, and creates it if necessary.
 func (c *Clients) get(address string) *client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cellpeer/connection_refused_test.go
+++ b/internal/cellpeer/connection_refused_test.go
@@ -8,32 +8,32 @@
 	"gentianstand/internal/cellpeer/cellpb"
 )
 
-// Failure: an owner that crashed is missed as late as one that is slow.
-func TestRefusedIsToldFromSilent(t *testing.T) {
+// Guards against an owner that crashed being detected as late as one that is only slow.
+func TestRefusedConnectionDiffersFromNoAnswer(t *testing.T) {
 	gone, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := gone.Addr().String()
 	gone.Close()
-	silent, err := net.Listen("tcp", "127.0.0.1:0")
+	unresponsive, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer silent.Close()
+	defer unresponsive.Close()
 	if err := ping(t.Context(), address); !ConnectionRefused(err) {
-		t.Errorf("nothing listens: %v is not taken for a refusal", err)
+		t.Errorf("nothing listens: %v does not count as a refused connection", err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
-		accepted, err := silent.Accept()
+		accepted, err := unresponsive.Accept()
 		if err == nil {
 			defer accepted.Close()
 		}
 		cancel()
 	}()
-	if err := ping(ctx, silent.Addr().String()); err == nil || ConnectionRefused(err) {
-		t.Errorf("no answer: %v is taken for a refusal", err)
+	if err := ping(ctx, unresponsive.Addr().String()); err == nil || ConnectionRefused(err) {
+		t.Errorf("no answer: %v counts as a refused connection", err)
 	}
 }
 
--- a/internal/cellpeer/directory.go
+++ b/internal/cellpeer/directory.go
@@ -17,32 +17,33 @@
 const (
 	tableInstances = "instances"
 	// directoryReadPeriod is how often the list of instances is read. Instances are
-	// replaced a few times an hour; a new one is needed by nobody at once, and every
+	// replaced a few times an hour, no caller needs a new one immediately, and every
 	// instance makes these calls.
 	directoryReadPeriod = 5 * time.Second
-	// initialReadPeriod is directoryPeriod for the first youngFor of an instance: those that
-	// start together register one after the other.
+	// initialReadPeriod replaces directoryReadPeriod during an instance's initialPhase:
+	// instances that start together register one after the other.
 	initialReadPeriod = 1500 * time.Millisecond
 	initialPhase      = 12 * time.Second
-	directoryTimeout  = time.Second
-	// registerRetry is the pause before a failed registration is tried again.
+	// directoryTimeout bounds a call to the store.
+	directoryTimeout = time.Second
+	// registerRetry is the pause before a failed registration is retried.
 	registerRetry = 300 * time.Millisecond
-	// renewPeriod is how often an instance writes its row anew, so that others see
-	// that it lives.
+	// renewPeriod is how often an instance rewrites its row to show other instances that it
+	// is alive.
 	renewPeriod = 20 * time.Second
-	// staleAfter is how long a row may stay unchanged, on the reader's clock, before
-	// its instance is taken as gone: three renewals and some time.
+	// staleAfter is how long a row may stay unchanged, on the reader's clock, before its
+	// instance counts as gone: 3 renewals and a margin.
 	staleAfter = 70 * time.Second
 	// removeAfter is how long a row may stay unchanged before it is removed.
 	removeAfter = 10 * time.Minute
-	// maxReadGap is the time between two reads from which all rows start afresh: while
-	// the store was away, nobody could renew.
+	// maxReadGap is the time between two reads above which the ages of all rows are reset:
+	// if the store was unavailable, no instance could renew its row.
 	maxReadGap = 10 * time.Second
 )
 
-// Directory knows the instances that have registered themselves in the store. Rows are
-// renewed, and those that are not are passed over: an instance that is replaced for good
-// leaves its row behind.
+// Directory lists the instances that have registered in the store. An instance that is
+// replaced for good leaves its row behind, so instances renew their rows, and rows that are
+// not renewed are ignored. Directory is safe for concurrent use.
 type Directory struct {
 	self  Instance
 	store store.Store
@@ -54,13 +55,13 @@
 	read    bool
 	// readAt is when the list was last read.
 	readAt time.Time
-	// row is what this instance writes, renewedAt when it last did; only Run uses
-	// them.
+	// row is the transaction that writes this instance's row, and renewedAt is when it last
+	// succeeded. Only Run uses them.
 	row       store.Tx
 	renewedAt time.Time
 }
 
-// NewDirectory returns a directory that knows only this instance.
+// NewDirectory returns a directory that contains only this instance.
 func NewDirectory(self Instance, s store.Store, log logrus.FieldLogger) *Directory {
 	return &Directory{self: self, store: s, log: log, others: map[string]instanceRow{}}
 }
@@ -82,7 +83,7 @@
 	return list
 }
 
-// Sample returns n other instances at random, or all if there are fewer.
+// Sample returns n random other instances, or all of them if there are fewer.
 func (d *Directory) Sample(n int) []Instance {
 	others := d.Others()
 	rand.Shuffle(len(others), func(a, b int) { others[a], others[b] = others[b], others[a] })
@@ -96,7 +97,7 @@
 	return d.read
 }
 
-// Run registers this instance and follows the list until ctx ends.
+// Run registers this instance and keeps the list up to date until ctx ends.
 func (d *Directory) Run(ctx context.Context) {
 	began := time.Now()
 	d.register(ctx)
@@ -111,7 +112,7 @@
 	}
 }
 
-// readPeriod is how often an instance of some age reads the list.
+// readPeriod returns how often an instance of the given age reads the list.
 func readPeriod(age time.Duration) time.Duration {
 	if age < initialPhase {
 		return initialReadPeriod
@@ -119,11 +120,12 @@
 	return directoryReadPeriod
 }
 
-// WatchStore notices the return of a lost store by asking for this instance's own row.
+// WatchStore detects the recovery of a lost store by reading this instance's own row.
 func (d *Directory) WatchStore(ctx context.Context, s *store.Watched) {
 	s.WatchReturn(ctx, tableInstances, "", d.self.Name)
 }
 
+// register writes this instance's row, with retries until it succeeds or ctx ends.
 func (d *Directory) register(ctx context.Context) {
 	value, err := cbor.Marshal(d.self)
 	if err != nil {
@@ -139,13 +141,14 @@
 	}
 }
 
-// renew writes this instance's row anew if it is time.
+// renew rewrites this instance's row if renewPeriod has passed.
 func (d *Directory) renew(ctx context.Context) {
 	if time.Since(d.renewedAt) >= renewPeriod {
 		d.writeRow(ctx)
 	}
 }
 
+// writeRow writes this instance's row and reports whether it succeeded.
 func (d *Directory) writeRow(ctx context.Context) bool {
 	callCtx, cancel := context.WithTimeout(ctx, directoryTimeout)
 	defer cancel()
@@ -157,8 +160,8 @@
 	return true
 }
 
-// removeStale removes one row that was not renewed for long, unless it has changed
-// since.
+// removeStale removes one row that was not renewed for removeAfter, unless the row has
+// changed since the last read.
 func (d *Directory) removeStale(ctx context.Context) {
 	old, ok := d.removable()
 	if !ok {
@@ -173,7 +176,7 @@
 	d.log.WithField("peer", old.Name).WithError(err).Info("dead_instance_removed")
 }
 
-// removable returns an instance whose row is to be removed.
+// removable returns an instance whose row was not renewed for removeAfter.
 func (d *Directory) removable() (instanceRow, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -189,11 +192,12 @@
 func (d *Directory) Unregister(ctx context.Context) {
 	tx := store.Tx{Removals: []store.RowKey{{Table: tableInstances, Key: d.self.Name}}}
 	if _, err := d.store.Commit(ctx, tx); err != nil {
-		// Others find it silent and pass it over.
+		// Other instances drop the row when it becomes stale.
 		d.log.WithError(err).Info("instance_not_unregistered")
 	}
 }
 
+// follow reads the changes of the list, or the whole list if the changes are not available.
 func (d *Directory) follow(ctx context.Context) {
 	callCtx, cancel := context.WithTimeout(ctx, directoryTimeout)
 	defer cancel()
@@ -218,6 +222,8 @@
 	d.applyRows(rows, version, whole)
 }
 
+// applyRows updates the list with rows that were read; whole reports that they are the
+// complete table.
 func (d *Directory) applyRows(rows []store.Row, version uint64, whole bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -252,7 +258,7 @@
 	}
 }
 
-// resetAges has all rows count as changed now; d.mu is held.
+// resetAges makes all rows count as changed now; d.mu must be held.
 func (d *Directory) resetAges(now time.Time) {
 	for name, l := range d.others {
 		l.changedAt = now
--- a/internal/cellpeer/directory_test.go
+++ b/internal/cellpeer/directory_test.go
@@ -13,7 +13,7 @@
 	"gentianstand/internal/store"
 )
 
-// tableStore keeps one table in memory; while down it refuses everything.
+// tableStore keeps one table in memory; it refuses every call while it is down.
 type tableStore struct {
 	store.Store
 	mu      sync.Mutex
@@ -79,7 +79,7 @@
 	return ok && !row.Removed
 }
 
-// running starts a directory and returns it with what ends its process.
+// running starts a directory. The returned function ends its process.
 func running(s store.Store, name string) (*Directory, context.CancelFunc) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -89,8 +89,9 @@
 	return d, cancel
 }
 
-// Failure: weeks after the start calls for advice fail one after the other, and
-// submissions are refused although most instances have the store.
+// Guards against rows of dead instances that accumulate over weeks: calls for advice fail
+// one after the other, and submissions are refused although most instances have access to
+// the store.
 func TestDeadInstancesAreForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &tableStore{rows: map[string]store.Row{}}
@@ -99,7 +100,7 @@
 		dead, kill := running(s, "dead")
 		time.Sleep(5 * time.Minute)
 		if len(alive.Others()) != 1 || len(dead.Others()) != 1 {
-			t.Fatalf("after five minutes alive knows %v and dead knows %v", alive.Others(), dead.Others())
+			t.Fatalf("after 5 minutes alive knows %v and dead knows %v", alive.Others(), dead.Others())
 		}
 		kill()
 		time.Sleep(staleAfter + renewPeriod)
@@ -108,12 +109,13 @@
 		}
 		time.Sleep(removeAfter)
 		if s.has("dead") {
-			t.Error("the row of the dead instance is still there")
+			t.Error("the row of the dead instance was not removed")
 		}
 	})
 }
 
-// Failure: after a long outage of the store no instance calls another one.
+// Guards against instances that drop one another from the list in a long outage of the
+// store, when no row is renewed.
 func TestInstancesStayKnownThroughAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &tableStore{rows: map[string]store.Row{}}
--- a/internal/cellpeer/doc.go
+++ b/internal/cellpeer/doc.go
@@ -1,3 +1,3 @@
-// Package cellpeer lets instances find one another through the store and call
-// one another about cells: a directory, a client and a twirp server.
+// Package cellpeer implements the calls between instances about cells: a directory through
+// which instances find one another in the store, clients, and a twirp server.
 package cellpeer
--- a/internal/cellpeer/instance_row.go
+++ b/internal/cellpeer/instance_row.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// instanceRow is an instance as its row in the store tells.
+// instanceRow is an instance and the version of its row in the store.
 type instanceRow struct {
 	Instance
 	version uint64
@@ -10,5 +10,5 @@
 	changedAt time.Time
 }
 
-// unchangedFor returns for how long the row had been the same at the last read.
+// unchangedFor returns for how long the row had not changed at the last read.
 func (l *instanceRow) unchangedFor(readAt time.Time) time.Duration { return readAt.Sub(l.changedAt) }
--- a/internal/cellpeer/ping_all.go
+++ b/internal/cellpeer/ping_all.go
@@ -7,18 +7,17 @@
 	"gentianstand/internal/cellpeer/cellpb"
 )
 
-// PingResult is what an instance answered to a ping.
+// PingResult is the result of a ping to one instance.
 type PingResult struct {
 	Instance Instance
 	// Reply is nil if there was no answer.
 	Reply *cellpb.PingReply
-	// Refused says that nothing listens there; see Refused.
+	// Refused reports that nothing listens at the address; see ConnectionRefused.
 	Refused bool
 }
 
-// PingAll sends a ping to instances at the same time and returns the answers as
-// they come. The channel is closed after the last one; a caller that has heard
-// enough may leave the rest unread.
+// PingAll pings instances concurrently and returns the results as they arrive. The channel
+// is buffered and is closed after the last result, so a caller may stop reading early.
 func (c *Clients) PingAll(ctx context.Context, instances []Instance, ping *cellpb.PingRequest) <-chan PingResult {
 	answers := make(chan PingResult, len(instances))
 	var pings sync.WaitGroup
--- a/internal/cellpeer/server.go
+++ b/internal/cellpeer/server.go
@@ -14,7 +14,7 @@
 	"gentianstand/internal/job"
 )
 
-// Server answers other instances.
+// Server serves the calls of other instances.
 type Server struct {
 	owner   CellOwner
 	jobs    *celljobs.Jobs
@@ -97,10 +97,10 @@
 	return &cellpb.StoreJobReply{Created: created}, nil
 }
 
-// probe makes sure that the store answers before something is written for another
-// instance. In the first moments of an outage an instance does not know yet that the
-// store is lost. A write would leave the outcome open, where the caller could have
-// been told that nothing was done, and could have come back.
+// probe verifies that the store answers before a write on behalf of another instance. At
+// the start of an outage this instance may not have detected yet that the store is lost. A
+// write would then have an unknown outcome, whereas after a failed probe the caller knows
+// that nothing was done and can retry.
 func (s *Server) probe(ctx context.Context, id string) error {
 	if err := s.jobs.Probe(ctx, id); err != nil {
 		s.log.WithField("job", id).WithError(err).Info("not_stored_for_another")
--- a/internal/cellpeer/server_test.go
+++ b/internal/cellpeer/server_test.go
@@ -17,7 +17,7 @@
 	"gentianstand/internal/store"
 )
 
-// unresponsiveStore is a store that answers nothing and counts what is written to it.
+// unresponsiveStore is a store that never answers and counts the writes to it.
 type unresponsiveStore struct {
 	store.Store
 	writes int
@@ -34,13 +34,13 @@
 	return store.Row{}, store.ErrUnknown
 }
 
-// Failure: in the first second of an outage callers get an open outcome although the
-// instance they asked knows that it lacks the store.
+// Guards against an unknown outcome at the start of an outage: the caller must get a
+// definite failure if the instance it asked has no access to the store.
 func TestNothingIsWrittenForAnotherWithoutTheStore(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	silent := &unresponsiveStore{}
-	server := httptest.NewServer(NewServer(&pingable{}, celljobs.New(store.NewWatched(silent), "cell-0"), nil, nil, log))
+	unresponsive := &unresponsiveStore{}
+	server := httptest.NewServer(NewServer(&pingable{}, celljobs.New(store.NewWatched(unresponsive), "cell-0"), nil, nil, log))
 	defer server.Close()
 	record, err := job.EncodeRecord(&job.Record{ID: "00000000000000aa", Queue: "q", Service: "desk", MaxAttempts: 1, AcceptedAt: time.Now(),
 		Steps: []job.Step{{Count: 1, Need: resource.Amount{MilliCPU: 1}, Estimate: time.Second}}})
@@ -52,7 +52,7 @@
 	if got := StoreErrorFrom(err); !errors.Is(got, store.ErrUnavailable) {
 		t.Errorf("got %v, want that nothing was done", got)
 	}
-	if silent.writes > 0 {
-		t.Errorf("%d writes", silent.writes)
+	if unresponsive.writes > 0 {
+		t.Errorf("%d writes", unresponsive.writes)
 	}
 }
--- a/internal/cellpeer/store_error.go
+++ b/internal/cellpeer/store_error.go
@@ -10,8 +10,9 @@
 	"gentianstand/internal/store"
 )
 
-// storeError tells a peer whether a write certainly did nothing (unavailable)
-// or may have taken effect (deadline exceeded).
+// storeError converts an error of a write for a peer. The code distinguishes a write that
+// certainly had no effect (unavailable) from one that may have taken effect (deadline
+// exceeded).
 func storeError(err error) error {
 	if errors.Is(err, celljobs.ErrTaken) {
 		return twirp.NewError(twirp.AlreadyExists, err.Error())
@@ -22,8 +23,8 @@
 	return twirp.NewError(twirp.DeadlineExceeded, err.Error())
 }
 
-// StoreErrorFrom reads what storeError wrote. Any other failure of the call
-// leaves open whether the peer's write took effect.
+// StoreErrorFrom is the inverse of storeError. After any other failure of the call it is
+// unknown whether the peer's write took effect.
 func StoreErrorFrom(err error) error {
 	var remote twirp.Error
 	if errors.As(err, &remote) && remote.Code() == twirp.AlreadyExists {
--- a/internal/cellpeer/store_finder.go
+++ b/internal/cellpeer/store_finder.go
@@ -9,42 +9,45 @@
 )
 
 const (
-	// searchSample is how many instances one search asks. If the store serves some of the
-	// instances, few searches miss them all, and the next follows within findFresh; asking
-	// all of a large site for each submission would load them in an outage.
+	// searchSample is how many instances one search asks. If some of the instances have
+	// access to the store, few searches miss them all, and the next one follows within
+	// resultMaxAge. Asking every instance of a large site for each submission would
+	// overload them in an outage.
 	searchSample = 8
-	// searchTimeout bounds a search. Calls between instances take 3 ms, on a busy
-	// instance some ten; one that is dead never answers.
+	// searchTimeout bounds a search. Calls between instances take 3 ms, some 10 ms on a
+	// busy instance; a dead instance never answers.
 	searchTimeout = 150 * time.Millisecond
-	// resultMaxAge is how long the result of a search is used as it is.
+	// resultMaxAge is how long the result of a search is used without another search.
 	resultMaxAge = 250 * time.Millisecond
-	// negativeResultMaxAge is how long the result that the store serves nobody is still given,
-	// while the next search is under way.
+	// negativeResultMaxAge is how long a negative result is still returned while the next
+	// search is in progress.
 	negativeResultMaxAge = time.Second
 )
 
-// StoreFinder finds an instance that the store serves, for one that it does not serve. In
-// an outage every submission needs this answer, so searches are shared, and a refusal does
-// not wait for one if the search before found nobody. It is safe for concurrent use.
+// StoreFinder finds an instance that has access to the store, for an instance that has
+// none. In an outage every submission needs this answer. Searches are therefore shared, and
+// after a negative result a refusal does not wait for the next search. StoreFinder is safe
+// for concurrent use.
 type StoreFinder struct {
 	directory *Directory
 	clients   *Clients
 
 	mu sync.Mutex
-	// found is the result of the last search; its name is empty for nobody.
+	// found is the result of the last search; its name is empty if the search found no
+	// instance.
 	found Instance
 	// endedAt is when the last search ended, or zero.
 	endedAt time.Time
-	// searching is closed when the search under way ends; nil if there is none.
+	// searching is closed when the current search ends; nil if there is none.
 	searching chan struct{}
 }
 
-// NewStoreFinder returns a finder among the instances of a directory.
+// NewStoreFinder returns a finder that searches the instances of a directory.
 func NewStoreFinder(d *Directory, c *Clients) *StoreFinder {
 	return &StoreFinder{directory: d, clients: c}
 }
 
-// Find returns an instance that the store serves; ok is false if none is known.
+// Find returns an instance that has access to the store; ok is false if none is known.
 func (f *StoreFinder) Find(ctx context.Context) (instance Instance, ok bool) {
 	search, known := f.refresh(time.Now())
 	if !known {
@@ -59,8 +62,8 @@
 	return f.found, f.found.Name != ""
 }
 
-// refresh begins a search if the last one is too old, and reports whether the last
-// result will do until it ends.
+// refresh starts a search if the last one is too old. known reports whether the last result
+// can be used until the search ends.
 func (f *StoreFinder) refresh(now time.Time) (search <-chan struct{}, known bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -75,6 +78,7 @@
 	return f.searching, f.found.Name == "" && age < negativeResultMaxAge
 }
 
+// search runs one search, stores its result and closes ended.
 func (f *StoreFinder) search(ended chan struct{}) {
 	found := f.pingSample()
 	f.mu.Lock()
@@ -83,7 +87,8 @@
 	close(ended)
 }
 
-// pingSample asks some instances and returns the first that the store serves.
+// pingSample pings a sample of instances and returns the first that has access to the
+// store.
 func (f *StoreFinder) pingSample() Instance {
 	ctx, cancel := context.WithTimeout(context.Background(), searchTimeout)
 	defer cancel()
--- a/internal/cellpeer/store_finder_test.go
+++ b/internal/cellpeer/store_finder_test.go
@@ -17,11 +17,11 @@
 	"gentianstand/internal/job"
 )
 
-// pingable is an instance that answers pings and nothing else.
+// pingable is a fake instance that only answers pings.
 type pingable struct {
 	serves atomic.Bool
 	pings  atomic.Int64
-	// hold, if not nil, keeps answers back until it is closed.
+	// hold, if not nil, delays answers until it is closed.
 	hold chan struct{}
 }
 
@@ -40,7 +40,7 @@
 func (p *pingable) Status(string) (job.Status, bool)              { return job.Status{}, false }
 func (p *pingable) Waiting(string) (int, bool)                    { return 0, false }
 
-// finderAmong returns a finder of an instance that knows the given ones.
+// finderAmong returns a finder of an instance whose directory contains the given instances.
 func finderAmong(t *testing.T, instances ...*pingable) *StoreFinder {
 	t.Helper()
 	log := logrus.New()
@@ -55,7 +55,7 @@
 	return NewStoreFinder(d, NewClients())
 }
 
-// Failure: in an outage instances are busy with pings.
+// Guards against instances that are overloaded with pings in an outage.
 func TestSubmissionsShareASearch(t *testing.T) {
 	peer := &pingable{}
 	f := finderAmong(t, peer)
@@ -73,31 +73,33 @@
 	}
 }
 
-// Failure: callers are refused 0.4 s late in an outage, each time.
+// Guards against refusals that are delayed by 0.4 s each in an outage, because they wait
+// for a dead instance.
 func TestRefusalDoesNotWaitForADeadInstance(t *testing.T) {
 	peer, dead := &pingable{}, &pingable{hold: make(chan struct{})}
 	f := finderAmong(t, peer, dead)
 	defer close(dead.hold)
 	if _, ok := f.Find(context.Background()); ok {
-		t.Fatal("found somebody")
+		t.Fatal("found an instance, want none")
 	}
 	search, known := f.refresh(f.endedAt.Add(resultMaxAge))
 	if !known {
 		t.Error("the next refusal waits for a search")
 	}
 	if search == nil {
-		t.Error("nobody looks again")
+		t.Error("no new search was started")
 	}
 	<-search
 }
 
-// Failure: submissions are passed to an instance that has lost the store as well.
+// Guards against submissions that are forwarded to an instance that has lost access to the
+// store, too.
 func TestInstanceWithTheStoreIsAskedAgain(t *testing.T) {
 	peer := &pingable{}
 	peer.serves.Store(true)
 	f := finderAmong(t, peer)
 	if _, ok := f.Find(context.Background()); !ok {
-		t.Fatal("found nobody")
+		t.Fatal("found no instance")
 	}
 	peer.serves.Store(false)
 	search, known := f.refresh(f.endedAt.Add(resultMaxAge))
--- a/internal/relay/backoff.go
+++ b/internal/relay/backoff.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// backoff is how long an instance is passed over.
+// backoff records how long an instance is not used as a relay after its link was lost.
 type backoff struct {
 	until time.Time
-	// losses is how often in a row its link was lost.
+	// losses is the number of consecutive losses of its link.
 	losses int
 }
 
-// next returns the avoidance next one more loss of a link. lasted says that the link
-// was open for so long that losses before it count no more.
-func (a backoff) next(lasted bool, now time.Time) backoff {
+// next returns the backoff after another loss of the link. lasted reports that the link was
+// open long enough for earlier losses to be ignored.
+func (b backoff) next(lasted bool, now time.Time) backoff {
 	if lasted {
-		a.losses = 0
+		b.losses = 0
 	}
 	pause := maxBackoff
-	if a.losses < maxLosses {
-		pause = min(minBackoff<<a.losses, maxBackoff)
+	if b.losses < maxLosses {
+		pause = min(minBackoff<<b.losses, maxBackoff)
 	}
-	return backoff{until: now.Add(pause), losses: a.losses + 1}
+	return backoff{until: now.Add(pause), losses: b.losses + 1}
 }
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -7,20 +7,21 @@
 	"gentianstand/internal/runner"
 )
 
-// call is a request under way on a link.
+// call is a pending request on a link.
 type call struct {
 	request
 	worker runner.Target
-	// workerIDs are the ids of the workers of a question to the adviser.
+	// workerIDs are the ids of the workers in a request to the adviser.
 	workerIDs []string
-	// queuedAt is when it was handed to the link; deadline is when its caller gives up.
+	// queuedAt is when the call was queued on the link; deadline is when its caller stops
+	// waiting, or zero if the caller has stopped before the frame was written.
 	queuedAt, deadline time.Time
-	// written says that its frame was encoded, and may have reached the relay.
+	// written reports that the frame was encoded and may have reached the relay.
 	written bool
 	result  chan result
 }
 
-// result is what a call ended with.
+// result is the outcome of a call.
 type result struct {
 	answer  runner.Answer
 	report  runner.Report
--- a/internal/relay/delay_tracker.go
+++ b/internal/relay/delay_tracker.go
@@ -2,25 +2,27 @@
 
 import "time"
 
-// delayTracker tells how much longer than usual requests were on their way, from the times of
-// day of both ends. Their clocks differ, so the shortest way of the last two windows
-// counts as none. A relay that was suspended must not carry out what its owner has long
-// given up, and its steady clock may have stood still meanwhile.
+// delayTracker estimates how much longer than usual a request was in transit, from the wall
+// clocks of both ends. The clocks differ, so the shortest delay of the last two windows is
+// the baseline. A relay that was suspended must not carry out orders that its owner has
+// long abandoned. Its monotonic clock may have stopped during the suspend and cannot show
+// the gap.
 type delayTracker struct {
 	minDelay, previousMin time.Duration
 	windowStart           time.Time
 }
 
-// excess returns how late a request is that was sent at a time excess the sender's clock.
-func (l *delayTracker) excess(sent, now time.Time) time.Duration {
-	way := now.Sub(sent)
+// excess returns how late a request is that was sent at the given time of the sender's
+// clock.
+func (d *delayTracker) excess(sent, now time.Time) time.Duration {
+	delay := now.Sub(sent)
 	switch {
-	case l.windowStart.IsZero():
-		l.minDelay, l.previousMin, l.windowStart = way, way, now
-	case now.Sub(l.windowStart) > delayWindow || now.Before(l.windowStart):
-		// A clock that was set is believed after two windows.
-		l.previousMin, l.minDelay, l.windowStart = l.minDelay, way, now
+	case d.windowStart.IsZero():
+		d.minDelay, d.previousMin, d.windowStart = delay, delay, now
+	case now.Sub(d.windowStart) > delayWindow || now.Before(d.windowStart):
+		// After a clock step the baseline is correct again within two windows.
+		d.previousMin, d.minDelay, d.windowStart = d.minDelay, delay, now
 	}
-	l.minDelay = min(l.minDelay, way)
-	return way - min(l.minDelay, l.previousMin)
+	d.minDelay = min(d.minDelay, delay)
+	return delay - min(d.minDelay, d.previousMin)
 }
--- a/internal/relay/delay_tracker_test.go
+++ b/internal/relay/delay_tracker_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Failure: a task starts seconds after its job was cancelled.
+// Guards against a task that starts seconds after its job was cancelled, because a
+// suspended relay carries out buffered requests after it resumes.
 func TestRequestsThatWaitedForASuspendedRelayAreLate(t *testing.T) {
 	began := time.UnixMilli(1_000_000)
 	const skew = 700 * time.Millisecond // the clocks of the two ends differ
@@ -28,8 +29,8 @@
 	}
 }
 
-// Failure: a relay refuses everything for good.
-func TestClockThatWasSetIsBelievedAfterAWhile(t *testing.T) {
+// Guards against a relay that refuses all requests permanently after a clock step.
+func TestClockStepIsAcceptedAfterAWhile(t *testing.T) {
 	for _, step := range []time.Duration{2 * time.Second, -2 * time.Second} {
 		began := time.UnixMilli(1_000_000)
 		var l delayTracker
--- a/internal/relay/dial.go
+++ b/internal/relay/dial.go
@@ -11,20 +11,21 @@
 	"gentianstand/internal/traffic"
 )
 
-// dialRelay dials an instance and has it take the connection as a link, by the upgrade of an
-// HTTP request, so that a relay needs no port of its own.
+// dialRelay connects to an instance and turns the connection into a link with an HTTP
+// upgrade request, so that a relay needs no port of its own.
 func dialRelay(ctx context.Context, address string) (net.Conn, error) {
 	conn, err := traffic.For(traffic.Relays).Dial((&net.Dialer{}).DialContext)(ctx, "tcp4", address)
 	if err != nil {
 		return nil, err
 	}
 	if err := upgrade(ctx, conn, address); err != nil {
-		_ = conn.Close() // it is given up either way
+		_ = conn.Close() // the upgrade error is returned
 		return nil, err
 	}
 	return conn, nil
 }
 
+// upgrade sends the HTTP upgrade request and checks the response.
 func upgrade(ctx context.Context, conn net.Conn, address string) error {
 	if deadline, ok := ctx.Deadline(); ok {
 		if err := conn.SetDeadline(deadline); err != nil {
@@ -40,14 +41,14 @@
 	if err := req.Write(conn); err != nil {
 		return err
 	}
-	// The relay writes its first frame after the first request only, so nothing of the
-	// frames is read into this buffer.
+	// The relay sends no frame before it has received the first request, so this buffer
+	// reads nothing beyond the response.
 	resp, err := http.ReadResponse(bufio.NewReaderSize(conn, 512), req)
 	if err != nil {
 		return err
 	}
 	if resp.StatusCode != http.StatusSwitchingProtocols {
-		return fmt.Errorf("the relay answers with status %d", resp.StatusCode)
+		return fmt.Errorf("upgrade to a relay link: status %d", resp.StatusCode)
 	}
 	return conn.SetDeadline(time.Time{})
 }
--- a/internal/relay/directory.go
+++ b/internal/relay/directory.go
@@ -2,7 +2,7 @@
 
 import "gentianstand/internal/cellpeer"
 
-// Directory knows the instances that may be relays.
+// Directory lists the instances that can act as relays.
 type Directory interface {
 	// Self returns this instance.
 	Self() cellpeer.Instance
--- a/internal/relay/encoder.go
+++ b/internal/relay/encoder.go
@@ -9,13 +9,13 @@
 	"gentianstand/internal/runner"
 )
 
-// encoder writes the requests of one link. It leaves out what the relay knows from
-// requests before: who a worker is, and the specs of the last jobs. It is not safe for
+// encoder writes the requests of one link. It omits what the relay remembers from earlier
+// requests: the identity of workers, and the specs of recent jobs. It is not safe for
 // concurrent use.
 type encoder struct {
 	out     *cbor.Encoder
 	workers map[runner.Target]uint32
-	// ids are the places of the workers' ids in questions.
+	// ids maps each worker id that was sent in an adviser request to its index.
 	ids   map[string]uint32
 	specs *specSlots
 }
@@ -24,7 +24,7 @@
 	return &encoder{out: cbor.NewEncoder(w), workers: map[runner.Target]uint32{}, ids: map[string]uint32{}, specs: newSpecSlots()}
 }
 
-// encode writes a call that has its number.
+// encode writes a call, which must have its number.
 func (e *encoder) encode(c *call, now time.Time) error {
 	r := c.request
 	if r.Advice != nil {
@@ -40,7 +40,8 @@
 	return e.out.Encode(&r)
 }
 
-// nameWorker puts the number of a call's worker in, and who that is for the first time.
+// nameWorker sets the number of the call's worker, and adds the worker's identity in the
+// first request to it.
 func (e *encoder) nameWorker(r *request, c *call) {
 	to := c.worker
 	to.Zone = "" // the relay does not need it
@@ -53,7 +54,7 @@
 	r.Worker = number
 }
 
-// shortStart leaves the spec out if the relay remembers it.
+// shortStart returns the start without its spec if the relay remembers the spec.
 func (e *encoder) shortStart(s start) *start {
 	s.Slot, s.Known = e.specs.place(s.Spec)
 	if s.Known {
@@ -62,7 +63,7 @@
 	return &s
 }
 
-// shortAdvice names workers by their places.
+// shortAdvice returns the adviser request with the workers replaced by their indexes.
 func (e *encoder) shortAdvice(a *adviceRequest, ids []string) *adviceRequest {
 	short := *a
 	for _, id := range ids {
@@ -77,7 +78,7 @@
 	return &short
 }
 
-// relayTimeout returns how much of the time left for a call the relay may use.
+// relayTimeout returns how much of the call's remaining time the relay may use.
 func relayTimeout(left time.Duration) time.Duration {
 	return left - min(replyMargin, time.Duration(replyMarginShare*float64(left)))
 }
--- a/internal/relay/errors.go
+++ b/internal/relay/errors.go
@@ -8,13 +8,14 @@
 )
 
 var (
-	// errNotSent says that nothing was sent: the call may be made another way.
+	// errNotSent reports that nothing was sent, so the call can be made on another path.
 	errNotSent = errors.New("the request was not sent to the relay")
-	// errLinkLost says that the link ended before the reply.
+	// errLinkLost reports that the link ended before the reply arrived.
 	errLinkLost = fmt.Errorf("%w: the link to the relay ended", runner.ErrNoAnswer)
 )
 
-// outcomeOf returns how a call to a worker that failed ended, and why a worker refused.
+// outcomeOf maps the error of a call to a worker to an outcome, and to the reason if the
+// worker refused.
 func outcomeOf(err error) (outcome, runner.RefusalReason) {
 	var refusal *runner.Refusal
 	switch {
@@ -26,12 +27,12 @@
 	return unanswered, ""
 }
 
-// fenced reports whether the relay, or the worker, knows of a later term.
+// fenced reports whether the relay or the worker knows a later term.
 func (r *reply) fenced() bool {
 	return r.Outcome == refused && r.Reason == string(runner.Fenced)
 }
 
-// err returns the error that runner.Client names for the outcome of a reply.
+// err returns the error that the contract of runner.Client defines for the reply's outcome.
 func (r *reply) err() error {
 	switch r.Outcome {
 	case answered:
--- a/internal/relay/fake_workers_test.go
+++ b/internal/relay/fake_workers_test.go
@@ -9,16 +9,16 @@
 	"gentianstand/internal/runner"
 )
 
-// fakeWorkers remembers the calls that reach workers.
+// fakeWorkers records the calls that reach workers.
 type fakeWorkers struct {
 	mu     sync.Mutex
 	starts []runner.Start
 	stops  []runner.Stop
-	looks  int
-	// looked is the last look.
-	looked runner.Poll
-	// hang has starts wait until their time is over, and over counts those that were
-	// done then; fail is what they return.
+	polls  int
+	// lastPoll is the last poll.
+	lastPoll runner.Poll
+	// hang makes starts wait until their context ends, and over counts those that have
+	// returned then. fail is the error that starts return.
 	hang bool
 	over int
 	fail error
@@ -27,10 +27,10 @@
 func (f *fakeWorkers) Poll(_ context.Context, w runner.Target, l runner.Poll) (runner.Report, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.looks++
-	f.looked = l
+	f.polls++
+	f.lastPoll = l
 	return runner.Report{Incarnation: w.Incarnation, Clock: 1234 * time.Millisecond, Ended: []runner.End{},
-		Running: []runner.RunState{{Task: w.ID + "-task", Run: l.Token, Checkpoint: "s", Percent: f.looks, Gauge: 17}}}, nil
+		Running: []runner.RunState{{Task: w.ID + "-task", Run: l.Token, Checkpoint: "s", Percent: f.polls, Gauge: 17}}}, nil
 }
 
 func (f *fakeWorkers) Start(ctx context.Context, _ runner.Target, s runner.Start) (runner.Answer, error) {
--- a/internal/relay/fuzz_test.go
+++ b/internal/relay/fuzz_test.go
@@ -12,7 +12,7 @@
 	"gentianstand/internal/runner"
 )
 
-// frames returns the encoding of some frames one after the other.
+// frames returns the concatenated encodings of some frames.
 func frames(f *testing.F, list ...any) []byte {
 	f.Helper()
 	var wire bytes.Buffer
@@ -24,7 +24,7 @@
 	return wire.Bytes()
 }
 
-// Whatever an owner sends, a relay takes it in or ends the link.
+// A relay must handle any input from an owner or end the link.
 func FuzzRequests(f *testing.F) {
 	f.Add(frames(f, &request{Number: 1, Worker: 1, Target: &target{ID: "w", Address: "a"}, Poll: &poll{Token: 1}}))
 	f.Add(frames(f, &request{Number: 1, Worker: 1, Target: &target{ID: "w"}, Start: &start{Slot: 3, Spec: "s"}},
@@ -51,7 +51,7 @@
 	})
 }
 
-// Whatever a relay sends, an owner takes it in or ends the link.
+// An owner must handle any input from a relay or end the link.
 func FuzzReplies(f *testing.F) {
 	f.Add(frames(f, &reply{Number: 1, ClockMicros: 5, Report: &report{Worker: 1, Running: []runState{{Task: "t", Run: 1}}}},
 		&reply{Number: 2, Report: &report{Worker: 1, Running: []runState{{PreviousPlace: 1, Percent: 3}}}}))
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -11,7 +11,7 @@
 	"gentianstand/internal/cellpeer"
 )
 
-// Link is an owner's connection to one relay. Its methods are safe for concurrent use.
+// Link is an owner's connection to one relay. It is safe for concurrent use.
 type Link struct {
 	peer cellpeer.Instance
 	log  logrus.FieldLogger
@@ -20,30 +20,32 @@
 
 	mu   sync.Mutex
 	conn net.Conn
-	// queue are the calls to write, pending those that wait for a reply.
+	// queue holds the calls that are not written yet, pending those that wait for a reply.
 	queue   []*call
 	pending map[uint32]*call
 	number  uint32
-	// opened says that the relay has taken the link, leaving that it is about to stop.
+	// opened reports that the relay has accepted the link, leaving that the relay is about
+	// to stop.
 	opened, leaving, ended bool
-	// slow says that it had not opened after openSoon.
+	// slow reports that the link was not open after openWait.
 	slow bool
-	// openedAt is when it was opened; blameless says that its end says nothing against
-	// the relay.
+	// openedAt is when the link was opened. noBackoff reports that the relay is not avoided
+	// after the link has ended.
 	openedAt  time.Time
 	noBackoff bool
-	// confirmedTerm is the highest term whose request the relay has not refused, and
-	// confirmedAt when the latest such request was made.
+	// confirmedTerm is the highest term of which the relay has accepted a request, and
+	// confirmedAt is when the latest such request was made.
 	confirmedTerm uint64
 	confirmedAt   time.Time
-	// lastFrameAt is when the last frame came, lastUsedAt when the last call was made.
+	// lastFrameAt is when the last frame arrived, lastUsedAt when the last call was made.
 	lastFrameAt, lastUsedAt time.Time
 }
 
 // dialFunc opens a connection to a relay.
 type dialFunc func(ctx context.Context, address string) (net.Conn, error)
 
-// openLink returns a link that opens beside the caller; ended is called when it is over.
+// openLink returns a link and opens it in the background. It calls ended when the link has
+// ended.
 func openLink(peer cellpeer.Instance, d dialFunc, ended func(*Link), log logrus.FieldLogger) *Link {
 	l := &Link{peer: peer, log: log.WithField("relay", peer.Name), wake: make(chan struct{}, 1), done: make(chan struct{}),
 		pending: map[uint32]*call{}, lastUsedAt: time.Now()}
@@ -51,10 +53,11 @@
 	return l
 }
 
+// run opens the link and reads replies until the link ends.
 func (l *Link) run(d dialFunc, ended func(*Link)) {
 	defer ended(l)
-	soon := time.AfterFunc(openWait, l.divertQueue)
-	defer soon.Stop()
+	slow := time.AfterFunc(openWait, l.divertQueue)
+	defer slow.Stop()
 	ctx, cancel := context.WithTimeout(context.Background(), openTimeout)
 	conn, err := d(ctx, l.peer.Address)
 	cancel()
@@ -63,14 +66,15 @@
 		return
 	}
 	if !l.markOpen(conn) {
-		_ = conn.Close() // the link has ended meanwhile
+		_ = conn.Close() // the link ended during the dial
 		return
 	}
 	go l.write(conn)
 	l.end("reading ended", l.read(conn))
 }
 
-// markOpen takes in that the relay has taken the link.
+// markOpen records that the relay has accepted the link. It returns false if the link has
+// already ended.
 func (l *Link) markOpen(conn net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,7 +85,8 @@
 	return true
 }
 
-// divertQueue has the calls that wait for the link to open take another way.
+// divertQueue fails the calls that wait for the link to open, so that they take another
+// path.
 func (l *Link) divertQueue() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,22 +100,22 @@
 	l.queue = nil
 }
 
-// slowToOpen reports whether the link has not opened soon.
+// slowToOpen reports whether the link is still not open after openWait.
 func (l *Link) slowToOpen() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.slow && !l.opened
 }
 
-// neverOpened reports whether the link is not, and was not, open.
+// neverOpened reports whether the link has not been opened.
 func (l *Link) neverOpened() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return !l.opened
 }
 
-// end ends the link, and with it all calls: those that were not written can be made
-// another way.
+// end closes the link and fails all its calls. Calls that were not written can be made on
+// another path.
 func (l *Link) end(why string, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -120,7 +125,7 @@
 	l.ended = true
 	close(l.done)
 	if l.conn != nil {
-		_ = l.conn.Close() // it is given up either way
+		_ = l.conn.Close() // nothing more is sent on it
 	}
 	l.log.WithFields(logrus.Fields{"why": why, "pending": len(l.pending), "waiting": len(l.queue)}).WithError(err).Info("relay_link_ended")
 	for _, c := range l.queue {
@@ -132,7 +137,7 @@
 	l.queue, l.pending = nil, nil
 }
 
-// endWithoutBackoff ends the link for a reason that says nothing against the relay.
+// endWithoutBackoff ends the link for a reason for which its relay is not avoided.
 func (l *Link) endWithoutBackoff(why string) {
 	l.mu.Lock()
 	l.noBackoff = true
@@ -140,29 +145,29 @@
 	l.end(why, nil)
 }
 
-// causesBackoff reports whether the end of the link says something against the relay.
+// causesBackoff reports whether the relay is avoided for a while after the link has ended.
 func (l *Link) causesBackoff() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return !l.noBackoff
 }
 
-// wasStable reports whether the link was open for long enough to forget losses before it.
+// wasStable reports whether the link was open long enough for earlier losses to be ignored.
 func (l *Link) wasStable() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.opened && time.Since(l.openedAt) > maxBackoff
 }
 
-// usable reports whether calls may be made.
+// usable reports whether the link accepts calls.
 func (l *Link) usable() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return !l.ended && !l.leaving
 }
 
-// confirmTerm takes in that the relay knew of no later term than a call's after the call was
-// made; l.mu is held.
+// confirmTerm records that the relay accepted a call, and so knew of no later term at some
+// time after the call was made. l.mu must be held.
 func (l *Link) confirmTerm(c *call) {
 	switch token := c.token(); {
 	case token > l.confirmedTerm:
@@ -172,21 +177,23 @@
 	}
 }
 
-// confirmedSince reports whether the relay knew of no later term at some time since.
+// confirmedSince reports whether the relay has accepted a request of the term that was made
+// at or after since.
 func (l *Link) confirmedSince(term uint64, since time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.confirmedTerm == term && !l.confirmedAt.Before(since)
 }
 
-// unresponsive reports whether an open link has had no frame, not even a heartbeat, for long.
+// unresponsive reports whether an open link has received no frame, not even a heartbeat,
+// for unresponsiveAfter.
 func (l *Link) unresponsive(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.opened && now.Sub(l.lastFrameAt) > unresponsiveAfter
 }
 
-// idle reports whether the link is no longer used.
+// idle reports whether the link has not been used for idleAfter.
 func (l *Link) idle(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/relay/link_bytes_test.go
+++ b/internal/relay/link_bytes_test.go
@@ -11,8 +11,8 @@
 	"gentianstand/internal/runner"
 )
 
-// Load: a burst of 1,000 starts and as many looks, which filled the link of a machine
-// with 2 Mbit/s: 1.6 KB for each pair over HTTP. Limit: a third of that.
+// Load: a burst of 1,000 starts and as many polls, which over HTTP took 1.6 KB per pair and
+// saturated a machine's 2 Mbit/s link. Limit: a third of that.
 func TestBytesOfABurst(t *testing.T) {
 	s := newSite(t)
 	var mu sync.Mutex
@@ -44,13 +44,13 @@
 	}
 	burst.Wait()
 	if got := bytes / (workers * pairs); got > 1600/3 {
-		t.Errorf("a start and a look take %d bytes", got)
+		t.Errorf("a start and a poll take %d bytes", got)
 	} else {
-		t.Logf("a start and a look take %d bytes", got)
+		t.Logf("a start and a poll take %d bytes", got)
 	}
 }
 
-// countedConn counts the bytes of both ways.
+// countedConn counts the bytes in both directions.
 type countedConn struct {
 	net.Conn
 	count func(int)
--- a/internal/relay/link_calls.go
+++ b/internal/relay/link_calls.go
@@ -8,7 +8,7 @@
 	"gentianstand/internal/runner"
 )
 
-// do makes a call and waits for its result until ctx ends.
+// do makes a call and waits for its result, at most until ctx ends.
 func (l *Link) do(ctx context.Context, c *call) result {
 	if !l.enqueue(ctx, c) {
 		return result{err: errNotSent}
@@ -21,6 +21,7 @@
 	}
 }
 
+// enqueue queues a call for writing. It returns false if the link accepts no calls.
 func (l *Link) enqueue(ctx context.Context, c *call) bool {
 	now := time.Now()
 	c.queuedAt, c.written, c.result = now, false, make(chan result, 1)
@@ -43,7 +44,8 @@
 	return true
 }
 
-// abandon ends the wait for a call. What was not written has not been done.
+// abandon stops waiting for a call. A call that was not written yet is certain to have no
+// effect.
 func (l *Link) abandon(c *call, why error) result {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/relay/link_frames.go
+++ b/internal/relay/link_frames.go
@@ -11,8 +11,8 @@
 	"gentianstand/internal/advice"
 )
 
-// write encodes calls in the order in which they were made, several in one packet where
-// they come together.
+// write encodes the queued calls in order. Calls that are queued close together share a
+// packet.
 func (l *Link) write(conn net.Conn) {
 	out := bufio.NewWriter(conn)
 	e := newEncoder(out)
@@ -40,7 +40,8 @@
 	}
 }
 
-// takeQueue books the calls of the queue as pending, but for those that were given up.
+// takeQueue moves the queued calls to pending and returns them. It skips calls whose
+// callers have stopped waiting.
 func (l *Link) takeQueue() []*call {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -61,7 +62,7 @@
 	return calls
 }
 
-// read takes replies in until the connection ends.
+// read handles replies until the connection ends.
 func (l *Link) read(conn net.Conn) error {
 	in := cbor.NewDecoder(bufio.NewReader(conn))
 	known := reportCodec{}
@@ -76,8 +77,10 @@
 	}
 }
 
-var errBadReport = errors.New("a report names a run that the one before did not have")
+var errBadReport = errors.New("report refers to a run that the previous report does not contain")
 
+// handleReply passes a reply to the call that waits for it, and records what it says about
+// the relay.
 func (l *Link) handleReply(r *reply, known reportCodec) error {
 	var got result
 	got.err = r.err()
@@ -93,7 +96,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.ended {
-		return nil // the calls have their results
+		return nil // end has already failed the pending calls
 	}
 	l.lastFrameAt = time.Now()
 	if r.Leaving {
@@ -115,8 +118,8 @@
 	}
 	c.result <- got
 	if r.Outcome == expired && time.Since(c.queuedAt) < overdueSlack {
-		// The reply is here before the request can have been late: a clock was set. A
-		// new link compares the clocks anew.
+		// The reply arrived before the request could have expired, so a clock was
+		// stepped. A new link starts with a new baseline.
 		go l.endWithoutBackoff("a clock was set")
 	}
 	return nil
--- a/internal/relay/link_test.go
+++ b/internal/relay/link_test.go
@@ -17,7 +17,7 @@
 	"gentianstand/platform/standin"
 )
 
-// fakeAdviser allows every other worker.
+// fakeAdviser returns tickets for every other worker.
 type fakeAdviser struct{ fail error }
 
 func (f *fakeAdviser) Ask(_ context.Context, stage string, workers []string) ([]advice.Ticket, error) {
@@ -28,7 +28,7 @@
 	return tickets, f.fail
 }
 
-// site is a relay behind a proxy, and an owner's link to it.
+// site is a relay behind a proxy, with fake workers and a fake adviser.
 type site struct {
 	workers *fakeWorkers
 	adviser *fakeAdviser
@@ -63,8 +63,8 @@
 	return l
 }
 
-// hangingStart makes a start that its worker does not answer, and returns when it has
-// reached the worker. Its result comes over the channel.
+// hangingStart sends a start that its worker does not answer, and returns once it has
+// reached the worker. The channel receives its result.
 func (s *site) hangingStart(t *testing.T, l *Link) <-chan result {
 	t.Helper()
 	s.workers.hang = true
@@ -85,7 +85,7 @@
 
 var w1 = runner.Target{ID: "w-1", Address: "10.0.0.1:80", Zone: "a"}
 
-// within returns a context that a call without trouble never outlasts.
+// within returns a context with a timeout far above the duration of any call that succeeds.
 func within(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	t.Cleanup(cancel)
@@ -114,20 +114,20 @@
 		}
 	}
 	for percent := 1; percent < 4; percent++ {
-		look := runner.Poll{Token: 7, Acknowledged: 57, Wait: time.Second}
+		poll := runner.Poll{Token: 7, Acknowledged: 57, Wait: time.Second}
 		target := runner.Target{ID: w1.ID, Incarnation: runner.Incarnation(1767225600000 + percent), Address: w1.Address}
-		got := l.do(within(t), callTo(target, request{Poll: pollFrom(look)}))
-		if s.workers.looked != look || got.report.Incarnation != target.Incarnation {
-			t.Errorf("look %d arrived as %+v, at incarnation %d", percent, s.workers.looked, got.report.Incarnation)
+		got := l.do(within(t), callTo(target, request{Poll: pollFrom(poll)}))
+		if s.workers.lastPoll != poll || got.report.Incarnation != target.Incarnation {
+			t.Errorf("poll %d arrived as %+v, at incarnation %d", percent, s.workers.lastPoll, got.report.Incarnation)
 		}
 		want := runner.RunState{Task: "w-1-task", Run: 7, Checkpoint: "s", Percent: percent, Gauge: 17}
 		if got.err != nil || got.report.Clock != 1234*time.Millisecond || len(got.report.Running) != 1 || got.report.Running[0] != want {
-			t.Errorf("look %d: %+v", percent, got)
+			t.Errorf("poll %d: %+v", percent, got)
 		}
 	}
 }
 
-func TestOutcomesOfTheWorkerAreTold(t *testing.T) {
+func TestWorkerOutcomesReachTheOwner(t *testing.T) {
 	s := newSite(t)
 	l := s.link(t)
 	for name, fail := range map[string]error{"refused": &runner.Refusal{Reason: runner.BadTicket}, "gone": runner.ErrIncarnationGone, "no answer": runner.ErrNoAnswer} {
@@ -148,8 +148,8 @@
 	}
 }
 
-// Failure: an owner that was overtaken goes on starting tasks.
-func TestRelayRefusesOwnersThatWereOvertaken(t *testing.T) {
+// Guards against a previous owner that keeps starting tasks after a takeover.
+func TestRelayRefusesPreviousOwners(t *testing.T) {
 	s := newSite(t)
 	old, next := s.link(t), s.link(t)
 	if got := next.do(within(t), callTo(w1, startOf("a", 8))); got.err != nil {
@@ -165,7 +165,8 @@
 	}
 }
 
-// Failure: a task is started elsewhere although it runs.
+// Guards against a second start of a running task: an order that was sent on a lost link
+// may have been carried out, so it must not count as not sent.
 func TestOrdersOfALostLinkMayHaveBeenCarriedOut(t *testing.T) {
 	s := newSite(t)
 	l := s.link(t)
@@ -186,7 +187,7 @@
 	}
 }
 
-// Failure: a task starts seconds after its owner gave it up.
+// Guards against a start that is carried out seconds after its owner has abandoned it.
 func TestRequestsThatAreTooOldAreNotCarriedOut(t *testing.T) {
 	one := newSession(nil, NewServer(&fakeWorkers{}, nil, logger(t)))
 	now := time.UnixMilli(1_000_000)
@@ -217,8 +218,9 @@
 	}
 }
 
-// What a relay tells of an owner, and an owner of its relays, stands in for pings.
-func TestLinksTellOfTheOwnerAndItsRelays(t *testing.T) {
+// Requests on a link replace pings: they show a relay which owner is active, and an owner
+// which relays know of no later term.
+func TestLinksConfirmTermsAndOwners(t *testing.T) {
 	s := newSite(t)
 	l := s.link(t)
 	began := time.Now()
@@ -226,18 +228,18 @@
 		t.Fatal(got.err)
 	}
 	if at := s.server.HeardOwner(7); at.Before(began) || !s.server.HeardOwner(6).IsZero() {
-		t.Errorf("the owner of term 7 was heard at %v, that of term 6 at %v", at, s.server.HeardOwner(6))
+		t.Errorf("the owner of term 7 was last seen at %v, that of term 6 at %v", at, s.server.HeardOwner(6))
 	}
 	if !l.confirmedSince(7, began) || l.confirmedSince(6, began) || l.confirmedSince(7, time.Now()) {
-		t.Error("the relay confirms another term or time")
+		t.Error("the relay confirms the wrong term or time")
 	}
 	s.server.Learned(8)
 	later := time.Now()
 	var refusal *runner.Refusal
 	if got := l.do(within(t), callTo(w1, startOf("b", 7))); !errors.As(got.err, &refusal) || refusal.Reason != runner.Fenced {
-		t.Errorf("a start under term 7 where term 8 is known: %v", got.err)
+		t.Errorf("start of term 7 after term 8 is known: %v", got.err)
 	}
 	if l.confirmedSince(7, later) || !s.server.HeardOwner(8).IsZero() {
-		t.Error("a refused request confirms an ownership")
+		t.Error("a refused request confirms a term")
 	}
 }
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -14,7 +14,8 @@
 	"gentianstand/internal/runner"
 )
 
-// Pool reaches workers through other instances. It implements runner.Client.
+// Pool reaches workers through other instances. It implements runner.Client and is safe for
+// concurrent use.
 type Pool struct {
 	directory Directory
 	workers   runner.Client
@@ -22,30 +23,32 @@
 	log       logrus.FieldLogger
 
 	mu sync.Mutex
-	// instances are those that may be relays, as of refreshedAt.
+	// instances are the instances that can act as relays, as of refreshedAt.
 	instances   []cellpeer.Instance
 	refreshedAt time.Time
-	// routes are the ranked instances of each worker.
-	routes   map[string][]cellpeer.Instance
-	links    map[string]*Link
+	// routes holds the ranked relays of each worker.
+	routes map[string][]cellpeer.Instance
+	links  map[string]*Link
+	// backoffs and detours hold, by instance and by worker, which relays are not used for a
+	// while.
 	backoffs map[string]backoff
 	detours  map[string]detour
 }
 
-// detour is which relay a worker is not reached through for a while.
+// detour is a relay through which one worker is temporarily not reached.
 type detour struct {
 	relay string
 	until time.Time
 }
 
-// NewPool returns a pool over the instances of a directory. workers reaches workers from
-// this instance.
+// NewPool returns a pool that relays through the instances of a directory. workers reaches
+// workers directly from this instance.
 func NewPool(d Directory, workers runner.Client, log logrus.FieldLogger) *Pool {
 	return &Pool{directory: d, workers: workers, dial: dialRelay, log: log, routes: map[string][]cellpeer.Instance{},
 		links: map[string]*Link{}, backoffs: map[string]backoff{}, detours: map[string]detour{}}
 }
 
-// Run ends silent and idle links until ctx ends, then all.
+// Run ends unresponsive and idle links until ctx ends, and then all links.
 func (p *Pool) Run(ctx context.Context) {
 	ticker := time.NewTicker(scanPeriod)
 	defer ticker.Stop()
@@ -62,13 +65,14 @@
 	}
 }
 
-// scan ends silent and idle links. Where most are silent, it is this instance that hears
-// nothing: its own link is full or cut, and opening others would add to that.
+// scan ends unresponsive and idle links. If more than half of the links are unresponsive,
+// the cause is this instance's own network, saturated or cut; links are kept then, because
+// opening new ones would add load.
 func (p *Pool) scan(now time.Time) {
 	all := p.allLinks()
-	silent := slices.DeleteFunc(slices.Clone(all), func(l *Link) bool { return !l.unresponsive(now) })
-	if 2*len(silent) <= len(all) {
-		for _, l := range silent {
+	unresponsive := slices.DeleteFunc(slices.Clone(all), func(l *Link) bool { return !l.unresponsive(now) })
+	if 2*len(unresponsive) <= len(all) {
+		for _, l := range unresponsive {
 			l.end("silent", nil)
 		}
 	}
@@ -125,7 +129,8 @@
 	return got.answer, got.err
 }
 
-// viaRelay makes a call through a viaRelay; done is false if this instance has to make it.
+// viaRelay makes a call through a relay. done is false if this instance has to make the
+// call itself.
 func (p *Pool) viaRelay(ctx context.Context, w runner.Target, c *call) (got result, done bool) {
 	c.worker = w
 	for range maxRelayAttempts {
@@ -133,15 +138,15 @@
 		if l == nil {
 			return result{}, false
 		}
-		// Each link has its own copy: that of a lost one may still be written.
+		// Each link gets its own copy: a lost link may still be writing its copy.
 		attempt := *c
 		got = l.do(ctx, &attempt)
 		switch {
 		case errors.Is(got.err, errNotSent):
 			continue
 		case errors.Is(got.err, errLinkLost) && c.Poll != nil && ctx.Err() == nil:
-			// A look changes nothing that a second one does not: the end of the lease
-			// that it carries is the same.
+			// A poll is idempotent: a repeated one carries the same lease end, so it
+			// can be sent through another relay.
 			continue
 		case errors.Is(got.err, runner.ErrNoAnswer):
 			p.addDetour(w, l)
@@ -151,8 +156,8 @@
 	return result{}, false
 }
 
-// Ask has an instance ask the placement adviser on behalf of the owner of a term. sent is
-// false if the instance takes no calls over a link, and was not asked.
+// Ask requests tickets from the placement adviser through another instance, for the owner
+// of a term. sent is false if that instance accepts no calls over a link and was not asked.
 func (p *Pool) Ask(ctx context.Context, i cellpeer.Instance, term uint64, stage string, workers []string) (tickets []advice.Ticket, sent bool, err error) {
 	p.mu.Lock()
 	avoided := time.Now().Before(p.backoffs[i.Name].until)
@@ -171,7 +176,8 @@
 	return got.tickets, true, got.err
 }
 
-// Confirming returns the relays that knew of no later term at some time since.
+// Confirming returns the relays that have accepted a request of the term made at or after
+// since; they knew of no later term then.
 func (p *Pool) Confirming(term uint64, since time.Time) []string {
 	var names []string
 	for _, l := range p.allLinks() {
--- a/internal/relay/pool_routes.go
+++ b/internal/relay/pool_routes.go
@@ -8,32 +8,32 @@
 	"gentianstand/internal/runner"
 )
 
-// addDetour has a worker reached through its next relay for a while.
+// addDetour makes calls to a worker skip the relay of a link for detourPeriod.
 func (p *Pool) addDetour(w runner.Target, l *Link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.detours[w.ID] = detour{l.peer.Name, time.Now().Add(detourPeriod)}
 }
 
-// route returns the link through which a worker is reached now, or nil if this instance
-// reaches it itself: an open one or one that will soon be, or else one that opens slowly.
-// An owner whose network is full must not call all workers itself instead: that would keep
-// it full.
+// route returns the link through which a worker is reached, or nil if this instance reaches
+// it directly. It prefers a link that is open or has just started to open over one that is
+// slow to open. An owner with a saturated network must not call all workers directly
+// instead, because that would keep the network saturated.
 func (p *Pool) route(w runner.Target, now time.Time) *Link {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.refresh(now)
-	around, ok := p.detours[w.ID]
-	if ok && !now.Before(around.until) {
+	avoid, ok := p.detours[w.ID]
+	if ok && !now.Before(avoid.until) {
 		delete(p.detours, w.ID)
-		around.relay = ""
+		avoid.relay = ""
 	}
 	var opening *Link
 	for _, i := range p.ranked(w) {
 		if i.Name == p.directory.Self().Name {
 			break
 		}
-		if i.Name == around.relay || now.Before(p.backoffs[i.Name].until) {
+		if i.Name == avoid.relay || now.Before(p.backoffs[i.Name].until) {
 			continue
 		}
 		l := p.link(i)
@@ -48,6 +48,7 @@
 	return opening
 }
 
+// ranked returns the worker's relays, best first; p.mu must be held.
 func (p *Pool) ranked(w runner.Target) []cellpeer.Instance {
 	ranked, known := p.routes[w.ID]
 	if !known {
@@ -57,8 +58,8 @@
 	return ranked
 }
 
-// link returns the link to an instance, which may be opening yet, or nil if it takes no
-// calls; p.mu is held.
+// link returns the link to an instance, which may still be opening, or nil if it accepts no
+// calls; p.mu must be held.
 func (p *Pool) link(i cellpeer.Instance) *Link {
 	l := p.links[i.Name]
 	if l == nil {
@@ -71,7 +72,8 @@
 	return l
 }
 
-// linkEnded passes an instance over whose link was lost.
+// linkEnded removes a link that has ended, and starts a backoff for its relay if the relay
+// may be at fault.
 func (p *Pool) linkEnded(l *Link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,8 +86,8 @@
 	}
 }
 
-// mostOpening reports whether most links are not open yet: then it is this instance that
-// cannot open any; p.mu is held.
+// mostOpening reports whether at least half of the links are not open yet. In that case the
+// fault is likely to be this instance's own; p.mu must be held.
 func (p *Pool) mostOpening() bool {
 	opening := 0
 	for _, l := range p.links {
@@ -96,8 +98,8 @@
 	return opening > 0 && 2*opening >= len(p.links)
 }
 
-// refresh takes the list of instances anew once in a while, and forgets what belongs to
-// those that are gone; p.mu is held.
+// refresh reloads the list of instances every refreshPeriod, and drops routes and backoffs
+// that are out of date; p.mu must be held.
 func (p *Pool) refresh(now time.Time) {
 	if now.Sub(p.refreshedAt) < refreshPeriod {
 		return
@@ -113,7 +115,7 @@
 	}
 	for _, i := range list {
 		if before, ok := known[i.Name]; ok && !sameProcess(i, before) {
-			// The new process has nothing to do with the losses of the one before.
+			// A new process starts without the losses of its predecessor.
 			delete(p.backoffs, i.Name)
 		}
 	}
@@ -121,8 +123,8 @@
 	clear(p.routes)
 }
 
-// relays returns the instances that may be relays: this one only where its zone has no
-// other. Its own link and processor are what the others spare.
+// relays returns the instances that can act as relays. This instance is among them only if
+// its zone has no other, because relaying exists to save its network and CPU.
 func (p *Pool) relays() []cellpeer.Instance {
 	list, self := p.directory.Others(), p.directory.Self()
 	if slices.ContainsFunc(list, func(i cellpeer.Instance) bool { return i.Zone == self.Zone }) {
@@ -131,6 +133,7 @@
 	return append(list, self)
 }
 
+// sameProcess reports whether two entries describe the same process at the same address.
 func sameProcess(a, b cellpeer.Instance) bool {
 	return a.Name == b.Name && a.Incarnation == b.Incarnation && a.Address == b.Address
 }
--- a/internal/relay/pool_test.go
+++ b/internal/relay/pool_test.go
@@ -13,7 +13,7 @@
 	"gentianstand/internal/runner"
 )
 
-// fakeDirectory lists instances that a test may change.
+// fakeDirectory is a directory whose instances a test can change.
 type fakeDirectory struct {
 	mu     sync.Mutex
 	others []cellpeer.Instance
@@ -29,7 +29,7 @@
 	return append([]cellpeer.Instance(nil), d.others...)
 }
 
-// fleet is a pool over some relays of one zone.
+// fleet is a pool with some relays in one zone.
 type fleet struct {
 	pool   *Pool
 	direct *fakeWorkers
@@ -55,7 +55,7 @@
 	return f
 }
 
-// used returns the relay that w1 is reached through.
+// used returns the relay through which w1 is reached.
 func (f *fleet) used(t *testing.T) *site {
 	t.Helper()
 	l := f.pool.route(w1, time.Now())
@@ -70,21 +70,22 @@
 	return err
 }
 
-func (f *fleet) look(t *testing.T) error {
+func (f *fleet) poll(t *testing.T) error {
 	_, err := f.pool.Poll(within(t), w1, runner.Poll{Token: 1, Wait: time.Second})
 	return err
 }
 
-// Failure: workers count as silent when an instance dies.
-func TestLooksGoOnWhenARelayDies(t *testing.T) {
+// Guards against workers that become unresponsive when their relay dies: polls must
+// continue through another relay.
+func TestPollsContinueWhenARelayDies(t *testing.T) {
 	f := newFleet(t, 3)
 	if err := f.start(t); err != nil {
 		t.Fatal(err)
 	}
 	first := f.used(t)
 	first.proxy.Close()
-	if err := f.look(t); err != nil {
-		t.Errorf("look: %v", err)
+	if err := f.poll(t); err != nil {
+		t.Errorf("poll: %v", err)
 	}
 	if f.used(t) == first {
 		t.Error("the dead relay is still used")
@@ -93,7 +94,7 @@
 		t.Errorf("start: %v", err)
 	}
 	if n := len(f.direct.started()); n > 0 {
-		t.Errorf("%d starts of this instance beside two relays", n)
+		t.Errorf("%d starts made directly although two relays are left", n)
 	}
 }
 
@@ -106,11 +107,12 @@
 		t.Fatal(err)
 	}
 	if n := len(f.direct.started()); n != 1 {
-		t.Errorf("%d starts of this instance, want 1", n)
+		t.Errorf("%d starts made directly, want 1", n)
 	}
 }
 
-// Failure: a worker counts as silent for seconds although it serves.
+// Guards against a healthy worker that counts as unresponsive for seconds, because the
+// network between it and its relay is broken.
 func TestWorkerThatDoesNotAnswerIsTriedThroughItsNextRelay(t *testing.T) {
 	f := newFleet(t, 3)
 	first := f.used(t)
@@ -122,15 +124,15 @@
 		t.Error("the same relay is used again")
 	}
 	if err := f.start(t); err != nil {
-		t.Errorf("through the next one: %v", err)
+		t.Errorf("start through the next relay: %v", err)
 	}
 	if l := f.pool.route(w1, time.Now().Add(detourPeriod)); f.relays[l.peer.Name] != first {
 		t.Error("the first relay is not used again later")
 	}
 }
 
-// opened waits until links to all relays are open.
-func (f *fleet) opened(t *testing.T) []*Link {
+// openLinks opens links to all relays and returns them.
+func (f *fleet) openLinks(t *testing.T) []*Link {
 	t.Helper()
 	f.pool.mu.Lock()
 	f.pool.refresh(time.Now())
@@ -152,31 +154,31 @@
 	return links
 }
 
-// Failure: an owner whose own link is full for a second loses all relays, and has to
-// reach every worker itself over that link.
-func TestSilenceOfMostRelaysIsTheOwnersOwn(t *testing.T) {
+// Guards against an owner that ends all its links because its own network is saturated for
+// a second, and then has to call every worker directly over that network.
+func TestLinksAreKeptWhenMostAreUnresponsive(t *testing.T) {
 	for _, test := range []struct {
-		silent int
-		ended  bool
+		unresponsive int
+		ended        bool
 	}{{1, true}, {2, false}, {3, false}} {
 		f := newFleet(t, 3)
-		links := f.opened(t)
+		links := f.openLinks(t)
 		now := time.Now().Add(unresponsiveAfter / 2)
-		for _, l := range links[:test.silent] {
+		for _, l := range links[:test.unresponsive] {
 			l.mu.Lock()
 			l.lastFrameAt = now.Add(-unresponsiveAfter - 1)
 			l.mu.Unlock()
 		}
 		f.pool.scan(now)
 		if got := !links[0].usable(); got != test.ended {
-			t.Errorf("%d of 3 are silent: ended %v", test.silent, got)
+			t.Errorf("%d of 3 links unresponsive: ended is %v", test.unresponsive, got)
 		}
 	}
 }
 
 func TestUnusedLinksEnd(t *testing.T) {
 	f := newFleet(t, 2)
-	links := f.opened(t)
+	links := f.openLinks(t)
 	now := time.Now().Add(idleAfter + time.Second)
 	for _, l := range links {
 		l.mu.Lock()
@@ -193,12 +195,12 @@
 		time.Sleep(time.Millisecond)
 	}
 	if err := f.start(t); err != nil || len(f.direct.started()) > 0 {
-		t.Errorf("a relay without a link in use is passed over: %v", err)
+		t.Errorf("a relay whose idle link ended is avoided: %v", err)
 	}
 }
 
-// Failure: a new owner on a small machine reaches half of the workers, for as long as
-// the load lasts.
+// Guards against a new owner on a small machine that reaches half of the workers only, for
+// as long as the load lasts.
 func TestCallsWaitForLinksWhereNoneOpensSoon(t *testing.T) {
 	f := newFleet(t, 3)
 	f.pool.dial = func(ctx context.Context, address string) (net.Conn, error) {
@@ -213,11 +215,12 @@
 	}
 }
 
-// Failure: each call to some workers is late by as long as a link takes to be given up.
+// Guards against calls that wait out the opening timeout of a link although another link is
+// open.
 func TestCallsTakeAnOpenLinkRatherThanASlowOne(t *testing.T) {
 	f := newFleet(t, 2)
 	first := f.pool.route(w1, time.Now())
-	first.endWithoutBackoff("the test opens it anew")
+	first.endWithoutBackoff("the test reopens it")
 	for end := time.Now().Add(20 * time.Second); len(f.pool.allLinks()) > 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/relay/rank.go
+++ b/internal/relay/rank.go
@@ -9,25 +9,26 @@
 	"gentianstand/internal/cellpeer"
 )
 
-// scoredInstance is an instance and its lot for a worker.
+// scoredInstance is an instance and its rendezvous score for a worker's group.
 type scoredInstance struct {
 	cellpeer.Instance
 	score uint64
 }
 
 const (
-	// relayShare of a zone's instances, and at least leastRelays, are relays at a time.
-	// Each job's spec crosses the owner's link once for each relay that starts a task of
-	// it, and a relay needs little of its machine.
+	// relayShare of a zone's instances, and at least minRelays, act as relays. Each job's
+	// spec crosses the owner's network once for each relay that starts one of its tasks,
+	// and relaying needs little of a machine.
 	relayShare = 0.5
 	minRelays  = 3
 )
 
-// Rank returns the instances through which a worker may be reached, best first: those of
-// its own zone, in an order that differs from group to group of workers (rendezvous
-// hashing). Only the workers of a lost instance move, and the order needs no agreement: a
-// new owner finds the same relays with their connections open. Bytes between zones cost,
-// so the long calls of HTTP stay within one; the short frames cross.
+// Rank returns the instances through which a worker may be reached, best first. They are
+// those of the worker's zone, or all if the zone has none, ordered by rendezvous hashing
+// per group of workers. When an instance is lost, only its own workers move. The order
+// needs no coordination: a new owner selects the same relays, whose connections to workers
+// are open. Traffic between zones costs money, so the long HTTP calls to workers stay
+// within a zone and only the short frames cross.
 func Rank(workerID, zone string, all []cellpeer.Instance) []cellpeer.Instance {
 	near := slices.DeleteFunc(slices.Clone(all), func(i cellpeer.Instance) bool { return i.Zone != zone })
 	if len(near) == 0 {
@@ -47,8 +48,8 @@
 	return near
 }
 
-// groupOf returns which of some groups a worker belongs to. One group more moves the
-// workers of half another group and no others (linear hashing).
+// groupOf returns a worker's group by linear hashing: one more group moves the workers of
+// half another group and no others.
 func groupOf(workerID string, groups int) int {
 	all := 1
 	for all < groups {
@@ -61,14 +62,15 @@
 	return group
 }
 
+// hashScore returns the rendezvous score of an instance for a name.
 func hashScore(name, instance string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(instance + "\x00" + name)) // a hash never fails
 	return mix(h.Sum64())
 }
 
-// mix spreads the bits of a hash: FNV alone leaves the order of two instances the same
-// for most workers whose names differ in the last letters only.
+// mix spreads the bits of a hash. With FNV alone, the order of two instances is the same
+// for most workers whose ids differ only in the last letters.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/internal/relay/rank_test.go
+++ b/internal/relay/rank_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// Load: 500 workers over 16 instances, half of which are relays at a time. Limit: none
-// carries a quarter of them.
+// Load: 500 workers on 16 instances, half of which are relays at a time. Limit: no relay
+// carries a quarter of the workers.
 func TestWorkersAreSpreadOverInstances(t *testing.T) {
 	all := instances("a", "a", "a", "a", "a", "a", "a", "a", "a", "a", "a", "a", "a", "a", "a", "a")
 	share := map[string]int{}
@@ -71,9 +71,10 @@
 	}
 }
 
-// Failure: after the loss of one instance all workers get new connections.
+// Guards against the loss of one instance moving all workers to new relays, which then have
+// to open new connections.
 func TestOnlyWorkersOfALostInstanceMove(t *testing.T) {
-	// Of 11 and 10 instances the same number are relays.
+	// 11 and 10 instances have the same number of relays.
 	all := instances("a", "a", "a", "a", "a", "a", "a", "a", "a", "a", "a")
 	for i := range 200 {
 		worker := fmt.Sprintf("%016x", i)
--- a/internal/relay/report_codec.go
+++ b/internal/relay/report_codec.go
@@ -2,18 +2,18 @@
 
 import "gentianstand/internal/runner"
 
-// reportCodec turns the reportCodec of one link's workers into their short form, or back. Both
-// ends keep the runs of the last report of each worker, and see the reportCodec in the same
-// order. It is not safe for concurrent use.
+// reportCodec converts the reports of one link's workers to and from their short form. Both
+// ends of a link keep the runs of each worker's last report, and process reports in the
+// same order. It is not safe for concurrent use.
 type reportCodec map[uint32]lastReport
 
-// lastReport is what is kept of a worker's last report.
+// lastReport is the part of a worker's last report that is kept.
 type lastReport struct {
 	running     []runner.RunState
 	incarnation runner.Incarnation
 }
 
-// shorten puts a report into a reply in its short form.
+// shorten stores the short form of a report in a reply.
 func (r reportCodec) shorten(out *reply, worker uint32, full runner.Report) {
 	before := r[worker].running
 	places := make(map[string]int, len(before))
@@ -40,8 +40,8 @@
 	out.Report = short
 }
 
-// restore returns the report of a reply; ok is false if it names a run that the report
-// before did not have.
+// restore returns the full report of a reply. ok is false if the report refers to a run
+// that the previous report does not contain.
 func (r reportCodec) restore(in *reply) (full runner.Report, ok bool) {
 	short := in.Report
 	before := r[short.Worker].running
--- a/internal/relay/report_codec_test.go
+++ b/internal/relay/report_codec_test.go
@@ -11,8 +11,8 @@
 	"gentianstand/internal/runner"
 )
 
-// anyReport draws a report in which few tasks come and go.
-func anyReport(t *rapid.T) runner.Report {
+// drawReport draws a report from a small set of tasks that come and go.
+func drawReport(t *rapid.T) runner.Report {
 	r := runner.Report{Incarnation: rapid.SampledFrom([]runner.Incarnation{1767225600000, 1767225609000}).Draw(t, "born"), Running: []runner.RunState{}, Ended: []runner.End{}}
 	for _, task := range rapid.SliceOfDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}), rapid.ID[string]).Draw(t, "tasks") {
 		r.Running = append(r.Running, runner.RunState{Task: task, Run: rapid.Uint64Range(1, 3).Draw(t, "run"),
@@ -25,13 +25,13 @@
 	return r
 }
 
-// Whatever the reports are, both ends of a link see the same.
+// Both ends of a link must see the same reports, whatever their content.
 func TestShortReportsAreRestored(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		relay, owner := reportCodec{}, reportCodec{}
 		for range rapid.IntRange(1, 12).Draw(t, "reports") {
 			worker := rapid.Uint32Range(1, 2).Draw(t, "worker")
-			full := anyReport(t)
+			full := drawReport(t)
 			var wire bytes.Buffer
 			var sent reply
 			relay.shorten(&sent, worker, full)
@@ -50,10 +50,10 @@
 	})
 }
 
-func TestRunThatWasNotInTheReportBeforeIsNoticed(t *testing.T) {
+func TestUnknownRunReferenceIsRejected(t *testing.T) {
 	for _, before := range []int{-1, 1, 3} {
 		if _, ok := (reportCodec{}).restore(&reply{Report: &report{Worker: 1, Running: []runState{{PreviousPlace: before}}}}); ok {
-			t.Errorf("place %d of an empty report was taken", before)
+			t.Errorf("index %d of an empty report was accepted", before)
 		}
 	}
 }
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -2,16 +2,16 @@
 
 import "gentianstand/internal/packed"
 
-// request is one call to a worker or to the adviser, from the owner to a relay. Exactly
-// one of Look, Start, Stop, Pace and Ask is set.
+// request is one call to a worker or to the placement adviser, from the owner to a relay.
+// Exactly one of Poll, Start, Stop, Throttle and Advice is set.
 type request struct {
-	// Number names the request in its reply.
+	// Number identifies the request in its reply.
 	Number uint32 `cbor:"1,keyasint"`
-	// Worker is the number of the worker on this link; Target says who that is, in the
-	// first request to it. Questions to the adviser have neither.
+	// Worker is the worker's number on this link. Target is its identity, set in the first
+	// request to it. Requests to the adviser have neither.
 	Worker uint32  `cbor:"2,keyasint,omitempty"`
 	Target *target `cbor:"3,keyasint,omitempty"`
-	// SentMillis is the owner's time of day.
+	// SentMillis is the time of sending on the owner's wall clock.
 	SentMillis int64 `cbor:"4,keyasint"`
 	// TimeoutMillis is how long the relay waits for the worker's answer.
 	TimeoutMillis int64          `cbor:"5,keyasint"`
@@ -41,14 +41,14 @@
 	return 0
 }
 
-// target is runner.Target on the wire.
+// target is the frame form of runner.Target.
 type target struct {
 	_       struct{} `cbor:",toarray"`
 	ID      string
 	Address string
 }
 
-// poll is runner.Look on the wire.
+// poll is the frame form of runner.Poll.
 type poll struct {
 	_     struct{} `cbor:",toarray"`
 	Token uint64
@@ -58,7 +58,7 @@
 	WaitMillis   int64
 }
 
-// start is runner.Start on the wire.
+// start is the frame form of runner.Start.
 type start struct {
 	_           struct{} `cbor:",toarray"`
 	Task        string
@@ -67,14 +67,14 @@
 	LeaseMillis int64
 	Checkpoint  string
 	Ticket      string
-	// Slot is where the link remembers the spec, which the tasks of a job share. Known
-	// says that it is there already and Spec is left out.
+	// Slot is the link's slot for the spec, which all tasks of a job share. Known reports
+	// that the slot already holds the spec and that Spec is omitted.
 	Slot  uint32
 	Known bool
 	Spec  packed.Text
 }
 
-// stop is runner.Stop on the wire.
+// stop is the frame form of runner.Stop.
 type stop struct {
 	_     struct{} `cbor:",toarray"`
 	Task  string
@@ -82,7 +82,7 @@
 	Token uint64
 }
 
-// throttle is runner.Pace on the wire.
+// throttle is the frame form of runner.Throttle.
 type throttle struct {
 	_       struct{} `cbor:",toarray"`
 	Task    string
@@ -91,13 +91,13 @@
 	Percent int
 }
 
-// adviceRequest is a question to the placement adviser.
+// adviceRequest is a request to the placement adviser.
 type adviceRequest struct {
 	_     struct{} `cbor:",toarray"`
 	Token uint64
 	Stage string
-	// Workers are the places of the workers' ids among all that were sent on this link,
-	// and NewIDs the ids that are sent for the first time.
+	// Workers are indexes into the list of all worker ids sent on this link; NewIDs are the
+	// ids that this request appends to that list.
 	Workers []uint32
 	NewIDs  []string
 }
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -12,30 +12,32 @@
 	"gentianstand/internal/runner"
 )
 
-// Server carries out the requests of owners with this instance's own connections to
-// workers.
+// Server carries out the requests of owners over this instance's own connections to
+// workers. It is safe for concurrent use.
 type Server struct {
 	workers runner.Client
 	adviser advice.Adviser
 	log     logrus.FieldLogger
 
 	mu sync.Mutex
-	// highestTerm is the highestTerm term known, and heardAt when its owner was heard last.
+	// highestTerm is the highest known term, and ownerSeenAt when its owner last made a
+	// request.
 	highestTerm uint64
 	ownerSeenAt time.Time
 	sessions    map[*session]struct{}
 	leaving     bool
-	// handlers are the calls of ServeHTTP; those that begin after leaving is set have
-	// nothing to end.
+	// handlers counts the running ServeHTTP calls that were admitted before leaving was
+	// set.
 	handlers sync.WaitGroup
 }
 
-// NewServer returns a server that reaches workers and the adviser through clients.
+// NewServer returns a server that uses the given clients for workers and the adviser.
 func NewServer(workers runner.Client, adviser advice.Adviser, log logrus.FieldLogger) *Server {
 	return &Server{workers: workers, adviser: adviser, log: log, sessions: map[*session]struct{}{}}
 }
 
-// ServeHTTP takes a link over from HTTP. It implements http.Handler.
+// ServeHTTP upgrades an HTTP request to a link and serves the link until it ends. It
+// implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get("Upgrade") != protocol {
 		http.Error(w, "this address takes links of other instances", http.StatusUpgradeRequired)
@@ -50,22 +52,22 @@
 	if err != nil {
 		s.log.WithField("from", r.RemoteAddr).WithError(err).Info("relay_link_refused")
 		if conn != nil {
-			_ = conn.Close() // its far end has not been told of a link
+			_ = conn.Close() // the peer has not received the upgrade response
 		}
 		return
 	}
 	defer conn.Close()
-	one := newSession(conn, s)
-	if !s.add(one) {
+	link := newSession(conn, s)
+	if !s.add(link) {
 		return
 	}
-	defer s.remove(one)
+	defer s.remove(link)
 	s.log.WithField("from", r.RemoteAddr).Info("relay_link_taken")
-	err = one.run(r.Context())
-	s.log.WithFields(logrus.Fields{"from": r.RemoteAddr, "requests": one.requests, "overdue": one.overdue}).WithError(err).Info("relay_link_over")
+	err = link.run(r.Context())
+	s.log.WithFields(logrus.Fields{"from": r.RemoteAddr, "requests": link.requests, "overdue": link.overdue}).WithError(err).Info("relay_link_over")
 }
 
-// hijack answers the upgrade and returns the connection.
+// hijack answers the upgrade request and returns the connection.
 func hijack(w http.ResponseWriter) (net.Conn, error) {
 	conn, buffered, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -80,35 +82,35 @@
 	return conn, buffered.Flush()
 }
 
-// Leave tells all owners that this instance is about to stop, so that they use other
-// relays, and takes no more links.
+// Leave announces to all owners that this instance is about to stop, so that they use other
+// relays. No more links are accepted.
 func (s *Server) Leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = true
-	for one := range s.sessions {
-		one.leave()
+	for link := range s.sessions {
+		link.leave()
 	}
 }
 
-// Close ends all links, and returns when nothing of them is under way, so that no order is
-// on its way when the instance says that it has stopped. Leave should be called some time
-// before.
+// Close ends all links and waits until none of their calls is in progress, so that no order
+// is in flight once the instance reports that it has stopped. Call Leave some time before.
 func (s *Server) Close() {
 	s.closeSessions()
 	s.handlers.Wait()
 }
 
+// closeSessions closes the connections of all links.
 func (s *Server) closeSessions() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = true
-	for one := range s.sessions {
-		_ = one.conn.Close() // its owner knows by Leave
+	for link := range s.sessions {
+		_ = link.conn.Close() // Leave has announced it to the owner
 	}
 }
 
-// beginHandler counts a handler, unless this instance is stopping.
+// beginHandler counts a handler, and returns false if this instance is stopping.
 func (s *Server) beginHandler() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,23 +120,24 @@
 	return !s.leaving
 }
 
-func (s *Server) add(one *session) bool {
+// add registers a session, and returns false if this instance is stopping.
+func (s *Server) add(link *session) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.leaving {
-		s.sessions[one] = struct{}{}
+		s.sessions[link] = struct{}{}
 	}
 	return !s.leaving
 }
 
-func (s *Server) remove(one *session) {
+func (s *Server) remove(link *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.sessions, one)
+	delete(s.sessions, link)
 }
 
-// admits reports whether no owner with a higher token has been heard of: workers would
-// refuse the call, too, one after the other.
+// admits reports whether no higher token is known. Workers would refuse such a call, too,
+// but each one separately.
 func (s *Server) admits(token uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,8 +148,8 @@
 	return true
 }
 
-// Learned takes in that there is an owner of a term: orders of earlier ones are refused
-// from now on.
+// Learned records that an owner of the term exists. Orders of earlier terms are refused
+// from then on.
 func (s *Server) Learned(term uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/relay/server_test.go
+++ b/internal/relay/server_test.go
@@ -8,7 +8,7 @@
 	"gentianstand/internal/runner"
 )
 
-// An instance that is about to stop says so, and what is under way is finished.
+// A relay that is about to stop announces it, and completes the calls in progress.
 func TestLeavingRelayFinishesItsCalls(t *testing.T) {
 	s := newSite(t)
 	l := s.link(t)
@@ -20,16 +20,17 @@
 		time.Sleep(time.Millisecond)
 	}
 	if got := l.do(within(t), callTo(w1, startOf("b", 1))); !errors.Is(got.err, errNotSent) {
-		t.Errorf("a call to a relay that leaves: %v", got.err)
+		t.Errorf("call to a leaving relay: %v", got.err)
 	}
 	late := s.link(t)
 	if got := late.do(within(t), callTo(w1, startOf("c", 1))); !errors.Is(got.err, errNotSent) {
-		t.Errorf("a link to a relay that leaves: %v", got.err)
+		t.Errorf("call on a new link to a leaving relay: %v", got.err)
 	}
 }
 
-// Failure: orders of a relay go on after its instance has reported that it stopped.
-func TestClosedRelayHasNothingUnderWay(t *testing.T) {
+// Guards against orders that a relay still carries out after its instance has reported that
+// it stopped.
+func TestClosedRelayHasNoCallsInProgress(t *testing.T) {
 	s := newSite(t)
 	l := s.link(t)
 	done := s.hangingStart(t, l)
@@ -38,7 +39,7 @@
 	over := s.workers.over
 	s.workers.mu.Unlock()
 	if over != 1 {
-		t.Errorf("%d of 1 starts are over", over)
+		t.Errorf("%d starts have returned, want 1", over)
 	}
 	if got := <-done; !errors.Is(got.err, runner.ErrNoAnswer) {
 		t.Errorf("got %v", got.err)
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -15,8 +15,8 @@
 )
 
 var (
-	errUnknownWorker = errors.New("a request names a worker that none before it introduced")
-	errUnknownSlot   = errors.New("a request names a place for a spec that there is not")
+	errUnknownWorker = errors.New("request refers to an unknown worker")
+	errUnknownSlot   = errors.New("request refers to an unknown spec slot")
 )
 
 // session is a relay's end of one link.
@@ -25,7 +25,7 @@
 	server *Server
 	wake   chan struct{}
 
-	// workers, ids, specs and late belong to the reader.
+	// workers, ids, specs, delays and the counters are used by the reading goroutine only.
 	workers           map[uint32]runner.Target
 	ids               []string
 	specs             [specSlotCount]packed.Text
@@ -33,11 +33,11 @@
 	requests, overdue int
 
 	mu sync.Mutex
-	// replies are those to write.
+	// replies are the replies that are not written yet.
 	replies []outgoing
 }
 
-// outgoing is a reply and the full report that belongs to it.
+// outgoing is a reply to write, with the full report if there is one.
 type outgoing struct {
 	reply
 	worker uint32
@@ -48,11 +48,11 @@
 	return &session{conn: conn, server: s, wake: make(chan struct{}, 1), workers: map[uint32]runner.Target{}}
 }
 
-// run carries requests out until the connection ends.
+// run carries out requests until the connection ends.
 func (s *session) run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
-	var parts sync.WaitGroup
-	defer parts.Wait()
+	var goroutines sync.WaitGroup
+	defer goroutines.Wait()
 	defer cancel()
 	in := cbor.NewDecoder(bufio.NewReader(s.conn))
 	for {
@@ -61,8 +61,8 @@
 			return err
 		}
 		if s.requests == 0 {
-			// The owner reads frames only after its first request.
-			parts.Go(func() { s.write(ctx) })
+			// The owner does not read frames before its first request.
+			goroutines.Go(func() { s.write(ctx) })
 		}
 		s.requests++
 		w, err := s.resolve(&r)
@@ -75,14 +75,14 @@
 		}
 		if r.Advice != nil {
 			ids := s.idsOf(r.Advice)
-			parts.Go(func() { s.enqueue(s.askAdviser(ctx, &r, ids)) })
+			goroutines.Go(func() { s.enqueue(s.askAdviser(ctx, &r, ids)) })
 			continue
 		}
-		parts.Go(func() { s.enqueue(s.execute(ctx, w, &r)) })
+		goroutines.Go(func() { s.enqueue(s.execute(ctx, w, &r)) })
 	}
 }
 
-// resolve puts in what the owner left out.
+// resolve restores the fields that the owner omitted, and returns the request's worker.
 func (s *session) resolve(r *request) (runner.Target, error) {
 	if r.Target != nil {
 		s.workers[r.Worker] = runner.Target{ID: r.Target.ID, Incarnation: runner.Incarnation(r.IncarnationMillis), Address: r.Target.Address}
@@ -112,7 +112,7 @@
 	return w, nil
 }
 
-// refusal returns the reply to a request that is not carried out, or nil.
+// refusal returns the reply to a request that must not be carried out, or nil.
 func (s *session) refusal(r *request, now time.Time) *reply {
 	limit := time.Duration(r.TimeoutMillis)*time.Millisecond + overdueSlack
 	if s.delays.excess(time.UnixMilli(r.SentMillis), now.Round(0)) > limit {
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// idsOf returns the ids of a question's workers.
+// idsOf returns the worker ids of an adviser request.
 func (s *session) idsOf(a *adviceRequest) []string {
 	ids := make([]string, len(a.Workers))
 	for i, place := range a.Workers {
@@ -134,7 +134,7 @@
 	return ids
 }
 
-// askAdviser asks the placement adviser.
+// askAdviser makes a call to the placement adviser.
 func (s *session) askAdviser(ctx context.Context, r *request, ids []string) outgoing {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(r.TimeoutMillis)*time.Millisecond)
 	defer cancel()
@@ -188,6 +188,7 @@
 	return d
 }
 
+// enqueue queues a reply for writing.
 func (s *session) enqueue(d outgoing) {
 	s.mu.Lock()
 	s.replies = append(s.replies, d)
@@ -198,10 +199,11 @@
 	}
 }
 
-// leave tells the owner that this instance is about to stop.
+// leave announces to the owner that this instance is about to stop.
 func (s *session) leave() { s.enqueue(outgoing{reply: reply{Leaving: true}}) }
 
-// write sends replies as they come, and a heartbeat when there are none for long.
+// write sends replies as they become available, and a heartbeat after heartbeatPeriod
+// without one.
 func (s *session) write(ctx context.Context) {
 	defer s.conn.Close()
 	out := bufio.NewWriter(s.conn)
@@ -221,12 +223,13 @@
 			batch = []outgoing{{}}
 		}
 		if s.send(out, encoder, known, batch) != nil {
-			return // the reader learns of it from the closed connection
+			return // the closed connection ends the reader, too
 		}
 		timer.Reset(heartbeatPeriod)
 	}
 }
 
+// takeReplies returns the queued replies and clears the queue.
 func (s *session) takeReplies() []outgoing {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -235,7 +238,7 @@
 	return batch
 }
 
-// send writes replies in one packet if they fit.
+// send writes a batch of replies, in one packet if they fit.
 func (s *session) send(out *bufio.Writer, encoder *cbor.Encoder, known reportCodec, batch []outgoing) error {
 	for _, d := range batch {
 		if d.report != nil {
--- a/internal/relay/spec_slots.go
+++ b/internal/relay/spec_slots.go
@@ -2,14 +2,14 @@
 
 import "gentianstand/internal/packed"
 
-// specSlotCount is how many specs both ends of a link remember. A spec has up to 4 KB and is
-// needed for as long as its job has tasks to start; a link sees some dozens of jobs at
-// the same time.
+// specSlotCount is how many specs both ends of a link remember. A spec has up to 4 KB and
+// is needed while its job has tasks to start; a link carries some dozens of jobs at the
+// same time.
 const specSlotCount = 128
 
-// specSlots remembers which specs were sent on a link: those of jobs with many tasks would
-// be most of an owner's bytes if they went with every start. It is not safe for concurrent
-// use.
+// specSlots remembers which specs were sent on a link. Without it, the specs of jobs with
+// many tasks would make up most of an owner's traffic, because every start carries one. It
+// is not safe for concurrent use.
 type specSlots struct {
 	bySpec map[packed.Text]uint32
 	specs  [specSlotCount]packed.Text
@@ -18,8 +18,8 @@
 
 func newSpecSlots() *specSlots { return &specSlots{bySpec: map[packed.Text]uint32{}} }
 
-// place returns the slot of a spec; known says that it was there before. A new one takes
-// the place of the oldest.
+// place returns the slot of a spec; known reports that the spec was already in it. A new
+// spec replaces the oldest.
 func (s *specSlots) place(spec packed.Text) (slot uint32, known bool) {
 	if slot, known = s.bySpec[spec]; known {
 		return slot, true
--- a/internal/relay/spec_slots_test.go
+++ b/internal/relay/spec_slots_test.go
@@ -9,7 +9,7 @@
 	"gentianstand/internal/packed"
 )
 
-// Whatever specs are sent, the relay puts in what the owner left out.
+// The relay must restore exactly the specs that the owner omitted, whatever specs are sent.
 func TestLeftOutSpecsAreThoseThatWereSent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		owner := newSpecSlots()
