--- a/internal/job/validate.go
+++ b/internal/job/validate.go
@@ -26,7 +26,7 @@
 		return fmt.Errorf("spec: %d bytes; at most %d", len(r.Spec), MaxSpecBytes)
 	}
 	if len(r.Steps) == 0 || len(r.Steps) > MaxSteps {
-		return fmt.Errorf("steps: %d steps; 1 to %d allowed", len(r.Steps), MaxSteps)
+		return fmt.Errorf("steps: %d of them; 1 to %d allowed", len(r.Steps), MaxSteps)
 	}
 	if s := r.Schedule; s != nil && (s.Count < 1 || s.Count > MaxOccurrences || s.Every < 0) {
 		return fmt.Errorf("repeats: %d every %v; 1 to %d, with a period that is not negative", s.Count, s.Every, MaxOccurrences)
