--- a/internal/cellpeer/server_test.go
+++ b/internal/cellpeer/server_test.go
@@ -34,7 +34,7 @@
 	return store.Row{}, store.ErrUnknown
 }
 
-// Guards against an unknown outcome at the start of an outage: the caller must get a
+// Guards against an unknown outcome in the first second of an outage: the caller must get a
 // definite failure if the instance it asked has no access to the store.
 func TestNothingIsWrittenForAnotherWithoutTheStore(t *testing.T) {
 	log := logrus.New()
--- a/internal/cellpeer/store_finder_test.go
+++ b/internal/cellpeer/store_finder_test.go
@@ -55,7 +55,8 @@
 	return NewStoreFinder(d, NewClients())
 }
 
-// Guards against instances that are overloaded with pings in an outage.
+// Guards against instances that are overloaded with pings in an outage, because each
+// submission starts its own search.
 func TestSubmissionsShareASearch(t *testing.T) {
 	peer := &pingable{}
 	f := finderAmong(t, peer)
@@ -92,8 +93,8 @@
 	<-search
 }
 
-// Guards against submissions that are forwarded to an instance that has lost access to the
-// store, too.
+// Guards against submissions that are forwarded, on an old search result, to an instance
+// that has lost access to the store, too.
 func TestInstanceWithTheStoreIsAskedAgain(t *testing.T) {
 	peer := &pingable{}
 	peer.serves.Store(true)
--- a/internal/job/codec_test.go
+++ b/internal/job/codec_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestBadRecordsAreNamed(t *testing.T) {
+func TestInvalidRecordsAreRejected(t *testing.T) {
 	step := func(change func(*Step)) *Record {
 		s := Step{Count: 1}
 		change(&s)
--- a/internal/relay/fuzz_test.go
+++ b/internal/relay/fuzz_test.go
@@ -24,7 +24,7 @@
 	return wire.Bytes()
 }
 
-// A relay must handle any input from an owner or end the link.
+// FuzzRequests checks that a relay handles any input from an owner or ends the link.
 func FuzzRequests(f *testing.F) {
 	f.Add(frames(f, &request{Number: 1, Worker: 1, Target: &target{ID: "w", Address: "a"}, Poll: &poll{Token: 1}}))
 	f.Add(frames(f, &request{Number: 1, Worker: 1, Target: &target{ID: "w"}, Start: &start{Slot: 3, Spec: "s"}},
@@ -51,7 +51,7 @@
 	})
 }
 
-// An owner must handle any input from a relay or end the link.
+// FuzzReplies checks that an owner handles any input from a relay or ends the link.
 func FuzzReplies(f *testing.F) {
 	f.Add(frames(f, &reply{Number: 1, ClockMicros: 5, Report: &report{Worker: 1, Running: []runState{{Task: "t", Run: 1}}}},
 		&reply{Number: 2, Report: &report{Worker: 1, Running: []runState{{PreviousPlace: 1, Percent: 3}}}}))
--- a/internal/relay/pool_test.go
+++ b/internal/relay/pool_test.go
@@ -199,8 +199,9 @@
 	}
 }
 
-// Guards against a new owner on a small machine that reaches half of the workers only, for
-// as long as the load lasts.
+// Guards against a new owner on a small machine that reaches only half of the workers for
+// as long as the load lasts, because its links open slowly and it calls the workers
+// directly instead.
 func TestCallsWaitForLinksWhereNoneOpensSoon(t *testing.T) {
 	f := newFleet(t, 3)
 	f.pool.dial = func(ctx context.Context, address string) (net.Conn, error) {
