--- a/internal/cellpeer/directory.go
+++ b/internal/cellpeer/directory.go
@@ -16,53 +16,54 @@
 
 const (
 	tableInstances = "instances"
-	// directoryPeriod is how often the list of instances is read. Instances are
-	// replaced a few times an hour; a new one is needed by nobody at once, and every
+	// directoryReadPeriod is how often the list of instances is read. Instances are
+	// replaced a few times an hour, no caller needs a new one immediately, and every
 	// instance makes these calls.
-	directoryPeriod = 5 * time.Second
-	// youngPeriod is directoryPeriod for the first youngFor of an instance: those that
-	// start together register one after the other.
-	youngPeriod   = 1500 * time.Millisecond
-	youngFor      = 12 * time.Second
-	directoryWait = time.Second
-	// registerRetry is the pause before a failed registration is tried again.
+	directoryReadPeriod = 5 * time.Second
+	// initialReadPeriod replaces directoryReadPeriod during an instance's initialPhase:
+	// instances that start together register one after the other.
+	initialReadPeriod = 1500 * time.Millisecond
+	initialPhase      = 12 * time.Second
+	// directoryTimeout bounds a call to the store.
+	directoryTimeout = time.Second
+	// registerRetry is the pause before a failed registration is retried.
 	registerRetry = 300 * time.Millisecond
-	// renewPeriod is how often an instance writes its row anew, so that others see
-	// that it lives.
+	// renewPeriod is how often an instance rewrites its row to show other instances that it
+	// is alive.
 	renewPeriod = 20 * time.Second
-	// goneAfter is how long a row may stay unchanged, on the reader's clock, before
-	// its instance is taken as gone: three renewals and some time.
-	goneAfter = 70 * time.Second
+	// staleAfter is how long a row may stay unchanged, on the reader's clock, before its
+	// instance counts as gone: 3 renewals and a margin.
+	staleAfter = 70 * time.Second
 	// removeAfter is how long a row may stay unchanged before it is removed.
 	removeAfter = 10 * time.Minute
-	// readGap is the time between two reads from which all rows start afresh: while
-	// the store was away, nobody could renew.
-	readGap = 10 * time.Second
+	// maxReadGap is the time between two reads above which the ages of all rows are reset:
+	// if the store was unavailable, no instance could renew its row.
+	maxReadGap = 10 * time.Second
 )
 
-// Directory knows the instances that have registered themselves in the store. Rows are
-// renewed, and those that are not are passed over: an instance that is replaced for good
-// leaves its row behind.
+// Directory lists the instances that have registered in the store. An instance that is
+// replaced for good leaves its row behind, so instances renew their rows, and rows that are
+// not renewed are ignored. Directory is safe for concurrent use.
 type Directory struct {
 	self  Instance
 	store store.Store
 	log   logrus.FieldLogger
 
 	mu      sync.RWMutex
-	others  map[string]listed
+	others  map[string]instanceRow
 	version uint64
 	read    bool
 	// readAt is when the list was last read.
 	readAt time.Time
-	// row is what this instance writes, renewedAt when it last did; only Run uses
-	// them.
+	// row is the transaction that writes this instance's row, and renewedAt is when it last
+	// succeeded. Only Run uses them.
 	row       store.Tx
 	renewedAt time.Time
 }
 
-// NewDirectory returns a directory that knows only this instance.
+// NewDirectory returns a directory that contains only this instance.
 func NewDirectory(self Instance, s store.Store, log logrus.FieldLogger) *Directory {
-	return &Directory{self: self, store: s, log: log, others: map[string]listed{}}
+	return &Directory{self: self, store: s, log: log, others: map[string]instanceRow{}}
 }
 
 // Self returns this instance.
@@ -74,7 +75,7 @@
 	defer d.mu.RUnlock()
 	list := make([]Instance, 0, len(d.others))
 	for _, l := range d.others {
-		if l.unchangedFor(d.readAt) < goneAfter {
+		if l.unchangedFor(d.readAt) < staleAfter {
 			list = append(list, l.Instance)
 		}
 	}
@@ -82,28 +83,28 @@
 	return list
 }
 
-// Sample returns n other instances at random, or all if there are fewer.
+// Sample returns n random other instances, or all of them if there are fewer.
 func (d *Directory) Sample(n int) []Instance {
 	others := d.Others()
 	rand.Shuffle(len(others), func(a, b int) { others[a], others[b] = others[b], others[a] })
 	return others[:min(len(others), n)]
 }
 
-// Known reports whether the list was read at least once.
-func (d *Directory) Known() bool {
+// Loaded reports whether the list was read at least once.
+func (d *Directory) Loaded() bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.read
 }
 
-// Run registers this instance and follows the list until ctx ends.
+// Run registers this instance and keeps the list up to date until ctx ends.
 func (d *Directory) Run(ctx context.Context) {
 	began := time.Now()
 	d.register(ctx)
 	for ctx.Err() == nil {
 		d.follow(ctx)
 		d.renew(ctx)
-		d.removeOld(ctx)
+		d.removeStale(ctx)
 		select {
 		case <-ctx.Done():
 		case <-time.After(readPeriod(time.Since(began))):
@@ -111,19 +112,20 @@
 	}
 }
 
-// readPeriod is how often an instance of some age reads the list.
+// readPeriod returns how often an instance of the given age reads the list.
 func readPeriod(age time.Duration) time.Duration {
-	if age < youngFor {
-		return youngPeriod
+	if age < initialPhase {
+		return initialReadPeriod
 	}
-	return directoryPeriod
+	return directoryReadPeriod
 }
 
-// WatchStore notices the return of a lost store by asking for this instance's own row.
+// WatchStore detects the recovery of a lost store by reading this instance's own row.
 func (d *Directory) WatchStore(ctx context.Context, s *store.Watched) {
 	s.WatchReturn(ctx, tableInstances, "", d.self.Name)
 }
 
+// register writes this instance's row, with retries until it succeeds or ctx ends.
 func (d *Directory) register(ctx context.Context) {
 	value, err := cbor.Marshal(d.self)
 	if err != nil {
@@ -131,7 +133,7 @@
 		return
 	}
 	d.row = store.Tx{Puts: []store.Put{{Table: tableInstances, Key: d.self.Name, Value: value}}}
-	for ctx.Err() == nil && !d.write(ctx) {
+	for ctx.Err() == nil && !d.writeRow(ctx) {
 		select {
 		case <-ctx.Done():
 		case <-time.After(registerRetry):
@@ -139,15 +141,16 @@
 	}
 }
 
-// renew writes this instance's row anew if it is time.
+// renew rewrites this instance's row if renewPeriod has passed.
 func (d *Directory) renew(ctx context.Context) {
 	if time.Since(d.renewedAt) >= renewPeriod {
-		d.write(ctx)
+		d.writeRow(ctx)
 	}
 }
 
-func (d *Directory) write(ctx context.Context) bool {
-	callCtx, cancel := context.WithTimeout(ctx, directoryWait)
+// writeRow writes this instance's row and reports whether it succeeded.
+func (d *Directory) writeRow(ctx context.Context) bool {
+	callCtx, cancel := context.WithTimeout(ctx, directoryTimeout)
 	defer cancel()
 	if _, err := d.store.Commit(callCtx, d.row); err != nil {
 		d.log.WithError(err).Info("instance_not_registered")
@@ -157,14 +160,14 @@
 	return true
 }
 
-// removeOld removes one row that was not renewed for long, unless it has changed
-// since.
-func (d *Directory) removeOld(ctx context.Context) {
-	old, ok := d.oldest()
+// removeStale removes one row that was not renewed for removeAfter, unless the row has
+// changed since the last read.
+func (d *Directory) removeStale(ctx context.Context) {
+	old, ok := d.removable()
 	if !ok {
 		return
 	}
-	callCtx, cancel := context.WithTimeout(ctx, directoryWait)
+	callCtx, cancel := context.WithTimeout(ctx, directoryTimeout)
 	defer cancel()
 	_, err := d.store.Commit(callCtx, store.Tx{
 		Checks:   []store.Check{{Table: tableInstances, Key: old.Name, Version: old.version}},
@@ -173,8 +176,8 @@
 	d.log.WithField("peer", old.Name).WithError(err).Info("dead_instance_removed")
 }
 
-// oldest returns an instance whose row is to be removed.
-func (d *Directory) oldest() (listed, bool) {
+// removable returns an instance whose row was not renewed for removeAfter.
+func (d *Directory) removable() (instanceRow, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	for _, l := range d.others {
@@ -182,20 +185,21 @@
 			return l, true
 		}
 	}
-	return listed{}, false
+	return instanceRow{}, false
 }
 
-// Leave removes this instance from the list.
-func (d *Directory) Leave(ctx context.Context) {
+// Unregister removes this instance from the list.
+func (d *Directory) Unregister(ctx context.Context) {
 	tx := store.Tx{Removals: []store.RowKey{{Table: tableInstances, Key: d.self.Name}}}
 	if _, err := d.store.Commit(ctx, tx); err != nil {
-		// Others find it silent and pass it over.
+		// Other instances drop the row when it becomes stale.
 		d.log.WithError(err).Info("instance_not_unregistered")
 	}
 }
 
+// follow reads the changes of the list, or the whole list if the changes are not available.
 func (d *Directory) follow(ctx context.Context) {
-	callCtx, cancel := context.WithTimeout(ctx, directoryWait)
+	callCtx, cancel := context.WithTimeout(ctx, directoryTimeout)
 	defer cancel()
 	var rows []store.Row
 	d.mu.RLock()
@@ -215,19 +219,21 @@
 		d.log.WithError(err).Debug("directory_not_read")
 		return
 	}
-	d.takeIn(rows, version, whole)
+	d.applyRows(rows, version, whole)
 }
 
-func (d *Directory) takeIn(rows []store.Row, version uint64, whole bool) {
+// applyRows updates the list with rows that were read; whole reports that they are the
+// complete table.
+func (d *Directory) applyRows(rows []store.Row, version uint64, whole bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
 	before := d.others
 	if whole {
-		d.others = map[string]listed{}
+		d.others = map[string]instanceRow{}
 	}
-	if now.Sub(d.readAt) > readGap {
-		d.startAfresh(now)
+	if now.Sub(d.readAt) > maxReadGap {
+		d.resetAges(now)
 		before = nil
 	}
 	d.version, d.read, d.readAt = version, true, now
@@ -244,7 +250,7 @@
 			d.log.WithField("peer", row.Key).WithError(err).Warn("instance_unreadable")
 			continue
 		}
-		l := listed{Instance: i, version: row.Version, changedAt: now}
+		l := instanceRow{Instance: i, version: row.Version, changedAt: now}
 		if known, ok := before[i.Name]; ok && known.version == row.Version {
 			l.changedAt = known.changedAt
 		}
@@ -252,8 +258,8 @@
 	}
 }
 
-// startAfresh has all rows count as changed now; d.mu is held.
-func (d *Directory) startAfresh(now time.Time) {
+// resetAges makes all rows count as changed now; d.mu must be held.
+func (d *Directory) resetAges(now time.Time) {
 	for name, l := range d.others {
 		l.changedAt = now
 		d.others[name] = l
--- a/internal/cellpeer/survey.go
+++ b/internal/cellpeer/ping_all.go
@@ -7,20 +7,19 @@
 	"gentianstand/internal/cellpeer/cellpb"
 )
 
-// PingAnswer is what an instance answered to a ping.
-type PingAnswer struct {
+// PingResult is the result of a ping to one instance.
+type PingResult struct {
 	Instance Instance
 	// Reply is nil if there was no answer.
 	Reply *cellpb.PingReply
-	// Refused says that nothing listens there; see Refused.
+	// Refused reports that nothing listens at the address; see ConnectionRefused.
 	Refused bool
 }
 
-// PingAll sends a ping to instances at the same time and returns the answers as
-// they come. The channel is closed after the last one; a caller that has heard
-// enough may leave the rest unread.
-func (c *Clients) PingAll(ctx context.Context, instances []Instance, ping *cellpb.PingRequest) <-chan PingAnswer {
-	answers := make(chan PingAnswer, len(instances))
+// PingAll pings instances concurrently and returns the results as they arrive. The channel
+// is buffered and is closed after the last result, so a caller may stop reading early.
+func (c *Clients) PingAll(ctx context.Context, instances []Instance, ping *cellpb.PingRequest) <-chan PingResult {
+	answers := make(chan PingResult, len(instances))
 	var pings sync.WaitGroup
 	for _, instance := range instances {
 		pings.Go(func() {
@@ -28,7 +27,7 @@
 			if err != nil {
 				reply = nil
 			}
-			answers <- PingAnswer{instance, reply, Refused(err)}
+			answers <- PingResult{instance, reply, ConnectionRefused(err)}
 		})
 	}
 	go func() {
--- a/internal/cellpeer/server_test.go
+++ b/internal/cellpeer/server_test.go
@@ -17,30 +17,30 @@
 	"gentianstand/internal/store"
 )
 
-// deaf is a store that answers nothing and counts what is written to it.
-type deaf struct {
+// unresponsiveStore is a store that never answers and counts the writes to it.
+type unresponsiveStore struct {
 	store.Store
 	writes int
 }
 
-func (d *deaf) Commit(ctx context.Context, _ store.Tx) (uint64, error) {
+func (d *unresponsiveStore) Commit(ctx context.Context, _ store.Tx) (uint64, error) {
 	d.writes++
 	<-ctx.Done()
 	return 0, store.ErrUnknown
 }
 
-func (d *deaf) Get(ctx context.Context, _, _, _ string) (store.Row, error) {
+func (d *unresponsiveStore) Get(ctx context.Context, _, _, _ string) (store.Row, error) {
 	<-ctx.Done()
 	return store.Row{}, store.ErrUnknown
 }
 
-// Failure: in the first second of an outage callers get an open outcome although the
-// instance they asked knows that it lacks the store.
+// Guards against an unknown outcome in the first second of an outage: the caller must get a
+// definite failure if the instance it asked has no access to the store.
 func TestNothingIsWrittenForAnotherWithoutTheStore(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	silent := &deaf{}
-	server := httptest.NewServer(NewServer(&pingable{}, celljobs.New(store.NewWatched(silent), "cell-0"), nil, nil, log))
+	unresponsive := &unresponsiveStore{}
+	server := httptest.NewServer(NewServer(&pingable{}, celljobs.New(store.NewWatched(unresponsive), "cell-0"), nil, nil, log))
 	defer server.Close()
 	record, err := job.EncodeRecord(&job.Record{ID: "00000000000000aa", Queue: "q", Service: "desk", MaxAttempts: 1, AcceptedAt: time.Now(),
 		Steps: []job.Step{{Count: 1, Need: resource.Amount{MilliCPU: 1}, Estimate: time.Second}}})
@@ -52,7 +52,7 @@
 	if got := StoreErrorFrom(err); !errors.Is(got, store.ErrUnavailable) {
 		t.Errorf("got %v, want that nothing was done", got)
 	}
-	if silent.writes > 0 {
-		t.Errorf("%d writes", silent.writes)
+	if unresponsive.writes > 0 {
+		t.Errorf("%d writes", unresponsive.writes)
 	}
 }
--- a/internal/relay/link_bytes_test.go
+++ b/internal/relay/link_bytes_test.go
@@ -11,8 +11,8 @@
 	"gentianstand/internal/runner"
 )
 
-// Load: a burst of 1,000 starts and as many looks, which filled the link of a machine
-// with 2 Mbit/s: 1.6 KB for each pair over HTTP. Limit: a third of that.
+// Load: a burst of 1,000 starts and as many polls, which over HTTP took 1.6 KB per pair and
+// saturated a machine's 2 Mbit/s link. Limit: a third of that.
 func TestBytesOfABurst(t *testing.T) {
 	s := newSite(t)
 	var mu sync.Mutex
@@ -23,11 +23,11 @@
 		bytes += n
 	}
 	counting := func(ctx context.Context, address string) (net.Conn, error) {
-		conn, err := open(ctx, address)
+		conn, err := dialRelay(ctx, address)
 		return &countedConn{conn, count}, err
 	}
 	l := openLink(cellpeer.Instance{Name: "edge-1", Address: s.proxy.Address()}, counting, func(*Link) {}, logger(t))
-	defer l.endBlameless("the test is over")
+	defer l.endWithoutBackoff("the test is over")
 	const workers, pairs = 50, 20
 	var burst sync.WaitGroup
 	for range workers {
@@ -36,7 +36,7 @@
 				if got := l.do(within(t), callTo(w1, startOf("5c0e7a21d94b36f8.0.1.17", 7))); got.err != nil {
 					t.Error(got.err)
 				}
-				if got := l.do(within(t), callTo(w1, request{Look: lookFrom(runner.Poll{Token: 7, Wait: time.Second})})); got.err != nil {
+				if got := l.do(within(t), callTo(w1, request{Poll: pollFrom(runner.Poll{Token: 7, Wait: time.Second})})); got.err != nil {
 					t.Error(got.err)
 				}
 			}
@@ -44,13 +44,13 @@
 	}
 	burst.Wait()
 	if got := bytes / (workers * pairs); got > 1600/3 {
-		t.Errorf("a start and a look take %d bytes", got)
+		t.Errorf("a start and a poll take %d bytes", got)
 	} else {
-		t.Logf("a start and a look take %d bytes", got)
+		t.Logf("a start and a poll take %d bytes", got)
 	}
 }
 
-// countedConn counts the bytes of both ways.
+// countedConn counts the bytes in both directions.
 type countedConn struct {
 	net.Conn
 	count func(int)
--- a/internal/relay/link_frames.go
+++ b/internal/relay/link_frames.go
@@ -11,13 +11,13 @@
 	"gentianstand/internal/advice"
 )
 
-// write encodes calls in the order in which they were made, several in one packet where
-// they come together.
+// write encodes the queued calls in order. Calls that are queued close together share a
+// packet.
 func (l *Link) write(conn net.Conn) {
 	out := bufio.NewWriter(conn)
 	e := newEncoder(out)
 	for {
-		for _, c := range l.take() {
+		for _, c := range l.takeQueue() {
 			if err := e.encode(c, time.Now()); err != nil {
 				l.end("not encoded", err)
 				return
@@ -33,15 +33,16 @@
 		}
 		select {
 		case <-l.wake:
-			time.Sleep(coalesce)
+			time.Sleep(coalesceDelay)
 		case <-l.done:
 			return
 		}
 	}
 }
 
-// take books the calls of the queue as pending, but for those that were given up.
-func (l *Link) take() []*call {
+// takeQueue moves the queued calls to pending and returns them. It skips calls whose
+// callers have stopped waiting.
+func (l *Link) takeQueue() []*call {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.ended {
@@ -61,24 +62,26 @@
 	return calls
 }
 
-// read takes replies in until the connection ends.
+// read handles replies until the connection ends.
 func (l *Link) read(conn net.Conn) error {
 	in := cbor.NewDecoder(bufio.NewReader(conn))
-	known := reports{}
+	known := reportCodec{}
 	for {
 		var r reply
 		if err := in.Decode(&r); err != nil {
 			return err
 		}
-		if err := l.heard(&r, known); err != nil {
+		if err := l.handleReply(&r, known); err != nil {
 			return err
 		}
 	}
 }
 
-var errBadReport = errors.New("a report names a run that the one before did not have")
+var errBadReport = errors.New("report refers to a run that the previous report does not contain")
 
-func (l *Link) heard(r *reply, known reports) error {
+// handleReply passes a reply to the call that waits for it, and records what it says about
+// the relay.
+func (l *Link) handleReply(r *reply, known reportCodec) error {
 	var got result
 	got.err = r.err()
 	got.answer.Clock = time.Duration(r.ClockMicros) * time.Microsecond
@@ -93,9 +96,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.ended {
-		return nil // the calls have their results
+		return nil // end has already failed the pending calls
 	}
-	l.heardAt = time.Now()
+	l.lastFrameAt = time.Now()
 	if r.Leaving {
 		l.leaving = true
 		l.log.Info("relay_leaving")
@@ -106,18 +109,18 @@
 	}
 	delete(l.pending, r.Number)
 	if !r.fenced() {
-		l.confirm(c)
+		l.confirmTerm(c)
 	}
 	for _, t := range r.Tickets {
-		if int(t.Place) < len(c.asked) {
-			got.tickets = append(got.tickets, advice.Ticket{Worker: c.asked[t.Place], Text: t.Text})
+		if int(t.Place) < len(c.workerIDs) {
+			got.tickets = append(got.tickets, advice.Ticket{Worker: c.workerIDs[t.Place], Text: t.Text})
 		}
 	}
 	c.result <- got
 	if r.Outcome == expired && time.Since(c.queuedAt) < overdueSlack {
-		// The reply is here before the request can have been late: a clock was set. A
-		// new link compares the clocks anew.
-		go l.endBlameless("a clock was set")
+		// The reply arrived before the request could have expired, so a clock was
+		// stepped. A new link starts with a new baseline.
+		go l.endWithoutBackoff("a clock was set")
 	}
 	return nil
 }
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -14,38 +14,41 @@
 	"gentianstand/internal/runner"
 )
 
-// Pool reaches workers through other instances. It implements runner.Client.
+// Pool reaches workers through other instances. It implements runner.Client and is safe for
+// concurrent use.
 type Pool struct {
 	directory Directory
 	workers   runner.Client
-	dial      dial
+	dial      dialFunc
 	log       logrus.FieldLogger
 
 	mu sync.Mutex
-	// instances are those that may be relays, as of refreshedAt.
+	// instances are the instances that can act as relays, as of refreshedAt.
 	instances   []cellpeer.Instance
 	refreshedAt time.Time
-	// routes are the ranked instances of each worker.
-	routes  map[string][]cellpeer.Instance
-	links   map[string]*Link
-	avoided map[string]avoidance
-	detours map[string]detour
+	// routes holds the ranked relays of each worker.
+	routes map[string][]cellpeer.Instance
+	links  map[string]*Link
+	// backoffs and detours hold, by instance and by worker, which relays are not used for a
+	// while.
+	backoffs map[string]backoff
+	detours  map[string]detour
 }
 
-// detour is which relay a worker is not reached through for a while.
+// detour is a relay through which one worker is temporarily not reached.
 type detour struct {
 	relay string
 	until time.Time
 }
 
-// NewPool returns a pool over the instances of a directory. workers reaches workers from
-// this instance.
+// NewPool returns a pool that relays through the instances of a directory. workers reaches
+// workers directly from this instance.
 func NewPool(d Directory, workers runner.Client, log logrus.FieldLogger) *Pool {
-	return &Pool{directory: d, workers: workers, dial: open, log: log, routes: map[string][]cellpeer.Instance{},
-		links: map[string]*Link{}, avoided: map[string]avoidance{}, detours: map[string]detour{}}
+	return &Pool{directory: d, workers: workers, dial: dialRelay, log: log, routes: map[string][]cellpeer.Instance{},
+		links: map[string]*Link{}, backoffs: map[string]backoff{}, detours: map[string]detour{}}
 }
 
-// Run ends silent and idle links until ctx ends, then all.
+// Run ends unresponsive and idle links until ctx ends, and then all links.
 func (p *Pool) Run(ctx context.Context) {
 	ticker := time.NewTicker(scanPeriod)
 	defer ticker.Stop()
@@ -62,19 +65,20 @@
 	}
 }
 
-// scan ends silent and idle links. Where most are silent, it is this instance that hears
-// nothing: its own link is full or cut, and opening others would add to that.
+// scan ends unresponsive and idle links. If more than half of the links are unresponsive,
+// the cause is this instance's own network, saturated or cut; links are kept then, because
+// opening new ones would add load.
 func (p *Pool) scan(now time.Time) {
 	all := p.allLinks()
-	silent := slices.DeleteFunc(slices.Clone(all), func(l *Link) bool { return !l.silent(now) })
-	if 2*len(silent) <= len(all) {
-		for _, l := range silent {
+	unresponsive := slices.DeleteFunc(slices.Clone(all), func(l *Link) bool { return !l.unresponsive(now) })
+	if 2*len(unresponsive) <= len(all) {
+		for _, l := range unresponsive {
 			l.end("silent", nil)
 		}
 	}
 	for _, l := range all {
 		if l.idle(now) {
-			l.endBlameless("unused")
+			l.endWithoutBackoff("unused")
 		}
 	}
 }
@@ -91,7 +95,7 @@
 
 // Poll implements runner.Client.
 func (p *Pool) Poll(ctx context.Context, w runner.Target, l runner.Poll) (runner.Report, error) {
-	got, done := p.relay(ctx, w, &call{request: request{Look: lookFrom(l)}})
+	got, done := p.viaRelay(ctx, w, &call{request: request{Poll: pollFrom(l)}})
 	if !done {
 		return p.workers.Poll(ctx, w, l)
 	}
@@ -100,7 +104,7 @@
 
 // Start implements runner.Client.
 func (p *Pool) Start(ctx context.Context, w runner.Target, s runner.Start) (runner.Answer, error) {
-	got, done := p.relay(ctx, w, &call{request: request{Start: startFrom(s)}})
+	got, done := p.viaRelay(ctx, w, &call{request: request{Start: startFrom(s)}})
 	if !done {
 		return p.workers.Start(ctx, w, s)
 	}
@@ -109,7 +113,7 @@
 
 // Stop implements runner.Client.
 func (p *Pool) Stop(ctx context.Context, w runner.Target, s runner.Stop) (runner.Answer, error) {
-	got, done := p.relay(ctx, w, &call{request: request{Stop: &stop{Task: s.Task, Run: s.Run, Token: s.Token}}})
+	got, done := p.viaRelay(ctx, w, &call{request: request{Stop: &stop{Task: s.Task, Run: s.Run, Token: s.Token}}})
 	if !done {
 		return p.workers.Stop(ctx, w, s)
 	}
@@ -118,44 +122,45 @@
 
 // Throttle implements runner.Client.
 func (p *Pool) Throttle(ctx context.Context, w runner.Target, c runner.Throttle) (runner.Answer, error) {
-	got, done := p.relay(ctx, w, &call{request: request{Pace: &pace{Task: c.Task, Run: c.Run, Token: c.Token, Percent: c.Percent}}})
+	got, done := p.viaRelay(ctx, w, &call{request: request{Throttle: &throttle{Task: c.Task, Run: c.Run, Token: c.Token, Percent: c.Percent}}})
 	if !done {
 		return p.workers.Throttle(ctx, w, c)
 	}
 	return got.answer, got.err
 }
 
-// relay makes a call through a relay; done is false if this instance has to make it.
-func (p *Pool) relay(ctx context.Context, w runner.Target, c *call) (got result, done bool) {
+// viaRelay makes a call through a relay. done is false if this instance has to make the
+// call itself.
+func (p *Pool) viaRelay(ctx context.Context, w runner.Target, c *call) (got result, done bool) {
 	c.worker = w
-	for range paths {
+	for range maxRelayAttempts {
 		l := p.route(w, time.Now())
 		if l == nil {
 			return result{}, false
 		}
-		// Each link has its own copy: that of a lost one may still be written.
+		// Each link gets its own copy: a lost link may still be writing its copy.
 		attempt := *c
 		got = l.do(ctx, &attempt)
 		switch {
 		case errors.Is(got.err, errNotSent):
 			continue
-		case errors.Is(got.err, errLinkLost) && c.Look != nil && ctx.Err() == nil:
-			// A look changes nothing that a second one does not: the end of the lease
-			// that it carries is the same.
+		case errors.Is(got.err, errLinkLost) && c.Poll != nil && ctx.Err() == nil:
+			// A poll is idempotent: a repeated one carries the same lease end, so it
+			// can be sent through another relay.
 			continue
 		case errors.Is(got.err, runner.ErrNoAnswer):
-			p.avoidFor(w, l)
+			p.addDetour(w, l)
 		}
 		return got, true
 	}
 	return result{}, false
 }
 
-// Ask has an instance ask the placement adviser on behalf of the owner of a term. sent is
-// false if the instance takes no calls over a link, and was not asked.
+// Ask requests tickets from the placement adviser through another instance, for the owner
+// of a term. sent is false if that instance accepts no calls over a link and was not asked.
 func (p *Pool) Ask(ctx context.Context, i cellpeer.Instance, term uint64, stage string, workers []string) (tickets []advice.Ticket, sent bool, err error) {
 	p.mu.Lock()
-	avoided := time.Now().Before(p.avoided[i.Name].until)
+	avoided := time.Now().Before(p.backoffs[i.Name].until)
 	var l *Link
 	if !avoided {
 		l = p.link(i)
@@ -164,14 +169,15 @@
 	if l == nil {
 		return nil, false, nil
 	}
-	got := l.do(ctx, &call{request: request{Ask: &ask{Token: term, Stage: stage}}, asked: workers})
+	got := l.do(ctx, &call{request: request{Advice: &adviceRequest{Token: term, Stage: stage}}, workerIDs: workers})
 	if errors.Is(got.err, errNotSent) {
 		return nil, false, nil
 	}
 	return got.tickets, true, got.err
 }
 
-// Confirming returns the relays that knew of no later term at some time since.
+// Confirming returns the relays that have accepted a request of the term made at or after
+// since; they knew of no later term then.
 func (p *Pool) Confirming(term uint64, since time.Time) []string {
 	var names []string
 	for _, l := range p.allLinks() {
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -2,54 +2,54 @@
 
 import "gentianstand/internal/packed"
 
-// request is one call to a worker or to the adviser, from the owner to a relay. Exactly
-// one of Look, Start, Stop, Pace and Ask is set.
+// request is one call to a worker or to the placement adviser, from the owner to a relay.
+// Exactly one of Poll, Start, Stop, Throttle and Advice is set.
 type request struct {
-	// Number names the request in its reply.
+	// Number identifies the request in its reply.
 	Number uint32 `cbor:"1,keyasint"`
-	// Worker is the number of the worker on this link; Target says who that is, in the
-	// first request to it. Questions to the adviser have neither.
+	// Worker is the worker's number on this link. Target is its identity, set in the first
+	// request to it. Requests to the adviser have neither.
 	Worker uint32  `cbor:"2,keyasint,omitempty"`
 	Target *target `cbor:"3,keyasint,omitempty"`
-	// SentMillis is the owner's time of day.
+	// SentMillis is the time of sending on the owner's wall clock.
 	SentMillis int64 `cbor:"4,keyasint"`
-	// LimitMillis is how long the relay waits for the worker's answer.
-	LimitMillis int64  `cbor:"5,keyasint"`
-	Look        *look  `cbor:"6,keyasint,omitempty"`
-	Start       *start `cbor:"7,keyasint,omitempty"`
-	Stop        *stop  `cbor:"8,keyasint,omitempty"`
-	Pace        *pace  `cbor:"9,keyasint,omitempty"`
-	Ask         *ask   `cbor:"10,keyasint,omitempty"`
-	// BornMillis is the incarnation of Target.
-	BornMillis int64 `cbor:"11,keyasint,omitempty"`
+	// TimeoutMillis is how long the relay waits for the worker's answer.
+	TimeoutMillis int64          `cbor:"5,keyasint"`
+	Poll          *poll          `cbor:"6,keyasint,omitempty"`
+	Start         *start         `cbor:"7,keyasint,omitempty"`
+	Stop          *stop          `cbor:"8,keyasint,omitempty"`
+	Throttle      *throttle      `cbor:"9,keyasint,omitempty"`
+	Advice        *adviceRequest `cbor:"10,keyasint,omitempty"`
+	// IncarnationMillis is the incarnation of Target.
+	IncarnationMillis int64 `cbor:"11,keyasint,omitempty"`
 }
 
 // token returns the fencing token of the call.
 func (r *request) token() uint64 {
 	switch {
-	case r.Look != nil:
-		return r.Look.Token
+	case r.Poll != nil:
+		return r.Poll.Token
 	case r.Start != nil:
 		return r.Start.Token
 	case r.Stop != nil:
 		return r.Stop.Token
-	case r.Pace != nil:
-		return r.Pace.Token
-	case r.Ask != nil:
-		return r.Ask.Token
+	case r.Throttle != nil:
+		return r.Throttle.Token
+	case r.Advice != nil:
+		return r.Advice.Token
 	}
 	return 0
 }
 
-// target is runner.Target on the wire.
+// target is the frame form of runner.Target.
 type target struct {
 	_       struct{} `cbor:",toarray"`
 	ID      string
 	Address string
 }
 
-// look is runner.Look on the wire.
-type look struct {
+// poll is the frame form of runner.Poll.
+type poll struct {
 	_     struct{} `cbor:",toarray"`
 	Token uint64
 	// LeaseMillis is the end of the lease on the worker's clock, or nil.
@@ -58,23 +58,23 @@
 	WaitMillis   int64
 }
 
-// start is runner.Start on the wire.
+// start is the frame form of runner.Start.
 type start struct {
 	_           struct{} `cbor:",toarray"`
 	Task        string
 	Run         uint64
 	Token       uint64
 	LeaseMillis int64
-	Saved       string
+	Checkpoint  string
 	Ticket      string
-	// Slot is where the link remembers the spec, which the tasks of a job share. Known
-	// says that it is there already and Spec is left out.
+	// Slot is the link's slot for the spec, which all tasks of a job share. Known reports
+	// that the slot already holds the spec and that Spec is omitted.
 	Slot  uint32
 	Known bool
 	Spec  packed.Text
 }
 
-// stop is runner.Stop on the wire.
+// stop is the frame form of runner.Stop.
 type stop struct {
 	_     struct{} `cbor:",toarray"`
 	Task  string
@@ -82,8 +82,8 @@
 	Token uint64
 }
 
-// pace is runner.Pace on the wire.
-type pace struct {
+// throttle is the frame form of runner.Throttle.
+type throttle struct {
 	_       struct{} `cbor:",toarray"`
 	Task    string
 	Run     uint64
@@ -91,13 +91,13 @@
 	Percent int
 }
 
-// ask is a question to the placement adviser.
-type ask struct {
+// adviceRequest is a request to the placement adviser.
+type adviceRequest struct {
 	_     struct{} `cbor:",toarray"`
 	Token uint64
 	Stage string
-	// Workers are the places of the workers' ids among all that were sent on this link,
-	// and NewIDs the ids that are sent for the first time.
+	// Workers are indexes into the list of all worker ids sent on this link; NewIDs are the
+	// ids that this request appends to that list.
 	Workers []uint32
 	NewIDs  []string
 }
