--- a/internal/access/gate.go
+++ b/internal/access/gate.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// confirmWait bounds the wait of a call for a confirmation: the time in which the store
+	// confirmTimeout bounds the wait of a call for a confirmation: the time in which the store
 	// or another instance answers while either is well.
-	confirmWait = 600 * time.Millisecond
+	confirmTimeout = 600 * time.Millisecond
 	// unconfirmedRetryAfter tells callers when to come back to an instance that cannot tell
 	// whether their key is valid; another instance may serve them at once.
 	unconfirmedRetryAfter = time.Second
@@ -50,16 +50,16 @@
 		g.confirm(ctx)
 		grant, verdict = g.policy.decide(g.current.View(), call, g.now())
 	}
-	return grant, g.refusal(verdict)
+	return grant, g.errorFor(verdict)
 }
 
 // confirm waits for a confirmation that began after now, or a moment before.
 func (g *Gate) confirm(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, confirmWait)
+	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	done := g.confirming.DoChan("", func() (any, error) {
 		// Others may wait for it when this caller has gone.
-		shared, cancel := context.WithTimeout(context.Background(), confirmWait)
+		shared, cancel := context.WithTimeout(context.Background(), confirmTimeout)
 		defer cancel()
 		err := g.confirmer.Confirm(shared)
 		if err != nil {
@@ -73,9 +73,9 @@
 	}
 }
 
-func (g *Gate) refusal(v verdict) error {
+func (g *Gate) errorFor(v verdict) error {
 	switch v {
-	case served:
+	case allowed:
 		return nil
 	case noCatalog:
 		return fault.New(fault.PlatformUnavailable, "no configuration is known yet")
--- a/internal/access/gate_test.go
+++ b/internal/access/gate_test.go
@@ -26,11 +26,11 @@
 	return s.confirm(ctx)
 }
 
-// gateSite is a gate whose clock stands at an hour, before a view of some age.
-func gateSite(age time.Duration, c *scriptedConfirmer) (*Gate, *catalog.Current, *logtest.Hook) {
+// newTestGate is a gate whose clock stands at an hour, before a view of some age.
+func newTestGate(age time.Duration, c *scriptedConfirmer) (*Gate, *catalog.Current, *logtest.Hook) {
 	log, hook := logtest.NewNullLogger()
 	current := &catalog.Current{}
-	current.Advance(someCatalog())
+	current.Advance(testCatalog())
 	g := NewGate(Policy{KeysNeeded: true, RevokedWithin: 5 * time.Second}, current, c, NewMetrics(metrics.NewSet()), log)
 	g.now = func() steady.Instant { return steady.Instant(time.Hour) }
 	current.Confirm(g.now().Add(-age))
@@ -51,7 +51,7 @@
 		current.Confirm(g.now())
 		return nil
 	}}
-	g, current, _ = gateSite(time.Second, c)
+	g, current, _ = newTestGate(time.Second, c)
 	if grant, err := g.admitKey(t.Context(), "new"); err != nil || grant.Caller.Workspace != "east" {
 		t.Errorf("new key: %+v, %v", grant.Caller, err)
 	}
@@ -61,9 +61,9 @@
 }
 
 // Failure: a removed key goes on working on an instance that has lost touch.
-func TestKeysAreRefusedForNowWhenNobodyConfirms(t *testing.T) {
+func TestKeysAreRefusedTemporarilyWithoutConfirmation(t *testing.T) {
 	c := &scriptedConfirmer{confirm: func(context.Context) error { return errors.New("nobody") }}
-	g, _, hook := gateSite(4*time.Second, c)
+	g, _, hook := newTestGate(4*time.Second, c)
 	_, err := g.admitKey(t.Context(), northKey)
 	if !fault.Is(err, fault.PlatformUnavailable) || fault.From(err).Answer().RetryAfter <= 0 || fault.From(err).Answer().Outcome != fault.DidNotRun {
 		t.Errorf("got %v, want a refusal for now that says that nothing ran", err)
@@ -79,12 +79,12 @@
 }
 
 // Failure: callers wait until their deadline for an answer that cannot come.
-func TestConfirmationIsGivenUpSoon(t *testing.T) {
+func TestConfirmationTimesOut(t *testing.T) {
 	c := &scriptedConfirmer{confirm: func(ctx context.Context) error {
 		<-ctx.Done()
 		return ctx.Err()
 	}}
-	g, _, _ := gateSite(4*time.Second, c)
+	g, _, _ := newTestGate(4*time.Second, c)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := g.admitKey(ctx, northKey); !fault.Is(err, fault.PlatformUnavailable) {
--- a/internal/access/model_test.go
+++ b/internal/access/model_test.go
@@ -14,8 +14,8 @@
 const (
 	modelInstances = 2
 	modelRevoke    = 5 * time.Second
-	// modelRefuse is how long after it was added a key must not be refused for good.
-	modelRefuse = time.Second
+	// modelRejectAfter is how long after it was added a key must not be refused for good.
+	modelRejectAfter = time.Second
 )
 
 // modelKeys are the keys that configurations hold or lack; the last one stands for a call
@@ -27,11 +27,11 @@
 	current *catalog.Current
 	offset  time.Duration
 	drift   float64
-	reads   []*modelRead
+	queries []*modelQuery
 }
 
-// modelRead is a question under way, to the store or to another instance.
-type modelRead struct {
+// modelQuery is a question under way, to the store or to another instance.
+type modelQuery struct {
 	asked    steady.Instant
 	answered bool
 	found    *catalog.Catalog
@@ -86,11 +86,11 @@
 	call := Call{Host: "h", Path: "/1", Key: key, ArrivedAt: m.clock(i)}
 	policy := Policy{KeysNeeded: true, RevokedWithin: modelRevoke}
 	_, got := policy.decide(i.current.View(), call, m.clock(i))
-	if got == served && !m.validSince(key, m.now-modelRevoke) {
+	if got == allowed && !m.validSince(key, m.now-modelRevoke) {
 		t.Fatalf("%q is served at %v; versions %+v", key, m.now, m.versions)
 	}
 	newest := m.versions[len(m.versions)-1]
-	if got == unknownKey && newest.opens(key) && m.now-newest.at > modelRefuse {
+	if got == unknownKey && newest.opens(key) && m.now-newest.at > modelRejectAfter {
 		t.Fatalf("%q is refused for good at %v; versions %+v", key, m.now, m.versions)
 	}
 }
@@ -110,27 +110,27 @@
 // ask sends a question.
 func (m *accessModel) ask(t *rapid.T) {
 	i := m.pick(t)
-	i.reads = append(i.reads, &modelRead{asked: m.clock(i)})
+	i.queries = append(i.queries, &modelQuery{asked: m.clock(i)})
 }
 
 // unanswered returns the oldest question of an instance without an answer, or nil.
-func (i *modelInstance) unanswered() *modelRead {
-	at := slices.IndexFunc(i.reads, func(r *modelRead) bool { return !r.answered })
+func (i *modelInstance) unanswered() *modelQuery {
+	at := slices.IndexFunc(i.queries, func(r *modelQuery) bool { return !r.answered })
 	if at < 0 {
 		return nil
 	}
-	return i.reads[at]
+	return i.queries[at]
 }
 
-// storeAnswers has the store answer a question.
-func (m *accessModel) storeAnswers(t *rapid.T) {
+// answerFromStore has the store answer a question.
+func (m *accessModel) answerFromStore(t *rapid.T) {
 	if r := m.pick(t).unanswered(); r != nil {
 		r.answered, r.found = true, m.newest()
 	}
 }
 
-// instanceAnswers has an instance answer another one's question.
-func (m *accessModel) instanceAnswers(t *rapid.T) {
+// answerFromInstance has an instance answer another one's question.
+func (m *accessModel) answerFromInstance(t *rapid.T) {
 	i, peer := m.pick(t), m.pick(t)
 	view := peer.current.View()
 	r := i.unanswered()
@@ -140,23 +140,23 @@
 	r.answered, r.found, r.age = true, view.Catalog, view.Age(m.clock(peer))
 }
 
-// answerArrives has an instance take an answer in.
-func (m *accessModel) answerArrives(t *rapid.T) {
+// deliverAnswer has an instance take an answer in.
+func (m *accessModel) deliverAnswer(t *rapid.T) {
 	i := m.pick(t)
-	at := slices.IndexFunc(i.reads, func(r *modelRead) bool { return r.answered })
+	at := slices.IndexFunc(i.queries, func(r *modelQuery) bool { return r.answered })
 	if at < 0 {
 		return
 	}
-	r := i.reads[at]
-	i.reads = slices.Delete(i.reads, at, at+1)
+	r := i.queries[at]
+	i.queries = slices.Delete(i.queries, at, at+1)
 	i.current.Advance(r.found)
 	i.current.Confirm(r.asked.Add(-r.age))
 }
 
-// startAgain has an instance forget everything.
-func (m *accessModel) startAgain(t *rapid.T) {
+// restart has an instance forget everything.
+func (m *accessModel) restart(t *rapid.T) {
 	i := m.pick(t)
-	i.current, i.reads = &catalog.Current{}, nil
+	i.current, i.queries = &catalog.Current{}, nil
 }
 
 // callAll has all keys tried at all instances.
@@ -188,10 +188,10 @@
 			},
 			"change":           m.change,
 			"ask":              m.ask,
-			"store answers":    m.storeAnswers,
-			"instance answers": m.instanceAnswers,
-			"answer arrives":   m.answerArrives,
-			"start again":      m.startAgain,
+			"store answers":    m.answerFromStore,
+			"instance answers": m.answerFromInstance,
+			"answer arrives":   m.deliverAnswer,
+			"start again":      m.restart,
 			"":                 m.callAll,
 		})
 	})
--- a/internal/access/policy.go
+++ b/internal/access/policy.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// freshShare of the time after which a removed key must not work is how long a view
+	// maxViewAgeShare of the time after which a removed key must not work is how long a view
 	// serves after it was confirmed; the rest is for clocks that drift and for feeds that
 	// hear of a change late.
-	freshShare = 0.7
-	// settleTime is how old a view may be that refuses a key for good: a caller whose key
+	maxViewAgeShare = 0.7
+	// maxRejectAge is how old a view may be that refuses a key for good: a caller whose key
 	// was added a moment ago must not be told that there is none.
-	settleTime = 250 * time.Millisecond
+	maxRejectAge = 250 * time.Millisecond
 )
 
 // Policy is what a deployment demands of calls.
@@ -32,7 +32,7 @@
 	if !p.KeysNeeded {
 		return 0
 	}
-	return time.Duration(freshShare * float64(p.RevokedWithin))
+	return time.Duration(maxViewAgeShare * float64(p.RevokedWithin))
 }
 
 // decide says what a view means for a call at an instant after the call was read.
@@ -50,14 +50,14 @@
 		return Grant{}, noQueue
 	case !p.KeysNeeded, queue.Public && !old:
 		grant.Caller = Caller{Anonymous: true}
-		return grant, served
+		return grant, allowed
 	}
 	workspace, known := view.Catalog.WorkspaceOf(catalog.DigestOf(call.Key))
 	switch {
 	case known && !old:
 		grant.Caller = Caller{Workspace: workspace}
-		return grant, served
-	case !known && view.ConfirmedAt >= call.ArrivedAt.Add(-settleTime):
+		return grant, allowed
+	case !known && view.ConfirmedAt >= call.ArrivedAt.Add(-maxRejectAge):
 		return Grant{}, unknownKey
 	}
 	return Grant{}, outdated
--- a/internal/access/policy_test.go
+++ b/internal/access/policy_test.go
@@ -13,7 +13,7 @@
 	southKey = "key-of-south"
 )
 
-func someCatalog() *catalog.Catalog {
+func testCatalog() *catalog.Catalog {
 	return catalog.New(catalog.Content{Version: 3,
 		Queues: []catalog.Queue{
 			{Name: "open", Host: "desk.example", PathPrefix: "/open/", Public: true},
@@ -39,23 +39,23 @@
 		workspace string
 	}{
 		{"no configuration", keyed, nil, 0, "/closed/1", northKey, noCatalog, ""},
-		{"valid key", keyed, someCatalog(), ago(time.Second), "/closed/1", northKey, served, "north"},
-		{"key of two workspaces", keyed, someCatalog(), ago(time.Second), "/closed/1", southKey, served, "south"},
-		{"valid key, old view", keyed, someCatalog(), ago(3500 * time.Millisecond), "/closed/1", northKey, outdated, ""},
-		{"valid key, view never confirmed", keyed, someCatalog(), 0, "/closed/1", northKey, outdated, ""},
-		{"valid key, old view, no time for revocation", Policy{KeysNeeded: true}, someCatalog(), ago(time.Hour), "/closed/1", northKey, served, "north"},
-		{"unknown key, view of before the call", keyed, someCatalog(), ago(time.Second), "/closed/1", "other", outdated, ""},
-		{"unknown key, new view", keyed, someCatalog(), ago(100 * time.Millisecond), "/closed/1", "other", unknownKey, ""},
-		{"no key, new view", keyed, someCatalog(), ago(100 * time.Millisecond), "/closed/1", "", unknownKey, ""},
-		{"public queue", keyed, someCatalog(), ago(time.Second), "/open/1", "", served, ""},
-		{"public queue, unknown key", keyed, someCatalog(), ago(time.Second), "/open/1", "other", served, ""},
-		{"public queue, old view", keyed, someCatalog(), ago(3500 * time.Millisecond), "/open/1", "", outdated, ""},
-		{"public queue, old view, known key", keyed, someCatalog(), ago(time.Hour), "/open/1", northKey, outdated, ""},
-		{"public queue, old view, no time for revocation", Policy{KeysNeeded: true}, someCatalog(), ago(time.Hour), "/open/1", "", served, ""},
-		{"no such queue", keyed, someCatalog(), ago(time.Second), "/other/1", northKey, noQueue, ""},
-		{"no such queue, old view", keyed, someCatalog(), ago(time.Hour), "/other/1", northKey, outdated, ""},
-		{"keys are not needed", Policy{}, someCatalog(), 0, "/closed/1", "", served, ""},
-		{"keys are not needed, no such queue", Policy{}, someCatalog(), 0, "/other/1", "", noQueue, ""},
+		{"valid key", keyed, testCatalog(), ago(time.Second), "/closed/1", northKey, allowed, "north"},
+		{"key of two workspaces", keyed, testCatalog(), ago(time.Second), "/closed/1", southKey, allowed, "south"},
+		{"valid key, old view", keyed, testCatalog(), ago(3500 * time.Millisecond), "/closed/1", northKey, outdated, ""},
+		{"valid key, view never confirmed", keyed, testCatalog(), 0, "/closed/1", northKey, outdated, ""},
+		{"valid key, old view, no time for revocation", Policy{KeysNeeded: true}, testCatalog(), ago(time.Hour), "/closed/1", northKey, allowed, "north"},
+		{"unknown key, view of before the call", keyed, testCatalog(), ago(time.Second), "/closed/1", "other", outdated, ""},
+		{"unknown key, new view", keyed, testCatalog(), ago(100 * time.Millisecond), "/closed/1", "other", unknownKey, ""},
+		{"no key, new view", keyed, testCatalog(), ago(100 * time.Millisecond), "/closed/1", "", unknownKey, ""},
+		{"public queue", keyed, testCatalog(), ago(time.Second), "/open/1", "", allowed, ""},
+		{"public queue, unknown key", keyed, testCatalog(), ago(time.Second), "/open/1", "other", allowed, ""},
+		{"public queue, old view", keyed, testCatalog(), ago(3500 * time.Millisecond), "/open/1", "", outdated, ""},
+		{"public queue, old view, known key", keyed, testCatalog(), ago(time.Hour), "/open/1", northKey, outdated, ""},
+		{"public queue, old view, no time for revocation", Policy{KeysNeeded: true}, testCatalog(), ago(time.Hour), "/open/1", "", allowed, ""},
+		{"no such queue", keyed, testCatalog(), ago(time.Second), "/other/1", northKey, noQueue, ""},
+		{"no such queue, old view", keyed, testCatalog(), ago(time.Hour), "/other/1", northKey, outdated, ""},
+		{"keys are not needed", Policy{}, testCatalog(), 0, "/closed/1", "", allowed, ""},
+		{"keys are not needed, no such queue", Policy{}, testCatalog(), 0, "/other/1", "", noQueue, ""},
 	} {
 		call := Call{Host: "desk.example", Path: test.path, Key: test.key, ArrivedAt: now}
 		grant, got := test.policy.decide(catalog.View{Catalog: test.catalog, ConfirmedAt: test.confirmed}, call, now)
--- a/internal/access/verdict.go
+++ b/internal/access/verdict.go
@@ -4,8 +4,8 @@
 type verdict int
 
 const (
-	// served means that the call is served.
-	served verdict = iota
+	// allowed means that the call is allowed.
+	allowed verdict = iota
 	// noCatalog means that no configuration is known.
 	noCatalog
 	// noQueue means that no queue has this host and path.
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -31,17 +31,17 @@
 		{"nothing waits", lookup(2), 0, 0},
 		{"a little late", lookup(2), 3 * time.Second, 0},
 		{"late", lookup(2), 5 * time.Second, 2 * time.Second},
-		{"just too late", lookup(2), 3*time.Second + 1, earliestReturn},
-		{"hopeless", lookup(2), time.Minute, latestReturn},
+		{"just too late", lookup(2), 3*time.Second + 1, minRetryAfter},
+		{"hopeless", lookup(2), time.Minute, maxRetryAfter},
 		{"of a more urgent queue", lookup(0), time.Minute, 0},
 		{"of another service", elsewhere, time.Minute, 0},
 		{"one that lasts", lasting, time.Minute, 0},
 		{"one for later", later, time.Minute, 0},
 		{"one with more time", long, 40 * time.Second, 0},
 	} {
-		var b Controller
-		b.Update([]Backlog{{Service: "desk", Priority: 2, Wait: test.wait}, {Service: "desk", Priority: 0, Wait: 0}}, now)
-		after, refuse := b.ShouldRefuse(test.job, now)
+		var c Controller
+		c.Update([]Backlog{{Service: "desk", Priority: 2, Wait: test.wait}, {Service: "desk", Priority: 0, Wait: 0}}, now)
+		after, refuse := c.ShouldRefuse(test.job, now)
 		if after != test.after || refuse != (test.after > 0) {
 			t.Errorf("%s: refused %v, to come back after %v, want %v", test.name, refuse, after, test.after)
 		}
@@ -49,23 +49,23 @@
 }
 
 // Failure: an instance refuses everything although workers are idle.
-func TestOldNewsOfABacklogIsForgotten(t *testing.T) {
+func TestExpiredBacklogIsIgnored(t *testing.T) {
 	now := time.Now()
-	var b Controller
-	b.Update([]Backlog{{Service: "desk", Priority: 0, Wait: time.Minute}}, now)
-	if _, refuse := b.ShouldRefuse(lookup(0), now.Add(newsFor)); !refuse {
-		t.Errorf("taken in %v after the news", newsFor)
+	var c Controller
+	c.Update([]Backlog{{Service: "desk", Priority: 0, Wait: time.Minute}}, now)
+	if _, refuse := c.ShouldRefuse(lookup(0), now.Add(backlogTTL)); !refuse {
+		t.Errorf("taken in %v after the news", backlogTTL)
 	}
-	if _, refuse := b.ShouldRefuse(lookup(0), now.Add(newsFor+1)); refuse {
-		t.Errorf("refused more than %v after the news", newsFor)
+	if _, refuse := c.ShouldRefuse(lookup(0), now.Add(backlogTTL+1)); refuse {
+		t.Errorf("refused more than %v after the news", backlogTTL)
 	}
 }
 
 func TestBacklogShrinksWithTime(t *testing.T) {
 	now := time.Now()
-	var b Controller
-	b.Update([]Backlog{{Service: "desk", Priority: 0, Wait: 7 * time.Second}}, now)
-	if got := b.Wait("desk", 1, now.Add(1500*time.Millisecond)); got != 5500*time.Millisecond {
+	var c Controller
+	c.Update([]Backlog{{Service: "desk", Priority: 0, Wait: 7 * time.Second}}, now)
+	if got := c.Wait("desk", 1, now.Add(1500*time.Millisecond)); got != 5500*time.Millisecond {
 		t.Errorf("after 1.5 s the wait is %v", got)
 	}
 }
--- a/internal/fairness/token_bucket.go
+++ b/internal/fairness/token_bucket.go
@@ -9,29 +9,29 @@
 // TokenBucket measures the jobs of one workspace against its share of jobs a second. The zero
 // value is that of a workspace that has sent nothing.
 type TokenBucket struct {
-	credit float64
-	at     time.Time
+	tokens     float64
+	refilledAt time.Time
 }
 
 // Take takes in a job that was accepted at a time and reports whether it is within a share
 // of rate jobs a second, of which those of the last second may come at once. A share of 0 is
 // no limit. Jobs have to come in the order of their times; one that does not counts as of the
 // time of the one before.
-func (m *TokenBucket) Take(rate float64, at time.Time) bool {
+func (b *TokenBucket) Take(rate float64, at time.Time) bool {
 	if rate <= 0 {
 		return true
 	}
 	most := max(rate, 1)
 	switch {
-	case m.at.IsZero():
-		m.credit, m.at = most, at
-	case at.After(m.at):
-		m.credit = min(most, m.credit+rate*at.Sub(m.at).Seconds())
-		m.at = at
+	case b.refilledAt.IsZero():
+		b.tokens, b.refilledAt = most, at
+	case at.After(b.refilledAt):
+		b.tokens = min(most, b.tokens+rate*at.Sub(b.refilledAt).Seconds())
+		b.refilledAt = at
 	}
-	if m.credit < 1 {
+	if b.tokens < 1 {
 		return false
 	}
-	m.credit--
+	b.tokens--
 	return true
 }
--- a/internal/fairness/token_bucket_test.go
+++ b/internal/fairness/token_bucket_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestMeter(t *testing.T) {
+func TestTokenBucket(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		rate float64
@@ -21,10 +21,10 @@
 		{"nothing is saved for later", 2, []int{0, 60000, 60000, 60000}, []bool{true, true, true, false}},
 		{"out of order", 1, []int{1000, 0, 1500, 2000}, []bool{true, false, false, true}},
 	} {
-		var m TokenBucket
+		var b TokenBucket
 		var got []bool
 		for _, ms := range test.at {
-			got = append(got, m.Take(test.rate, time.UnixMilli(int64(ms)+1)))
+			got = append(got, b.Take(test.rate, time.UnixMilli(int64(ms)+1)))
 		}
 		if !slices.Equal(got, test.want) {
 			t.Errorf("%s: %v, want %v", test.name, got, test.want)
--- a/internal/intake/admit.go
+++ b/internal/intake/admit.go
@@ -17,7 +17,7 @@
 // whether an earlier attempt was stored; if it does not answer, the job is passed on to
 // where that is dealt with.
 func (i *Intake) admit(ctx context.Context, r *job.Record) error {
-	retryAfter, refuse := i.book.ShouldRefuse(r, time.Now())
+	retryAfter, refuse := i.admission.ShouldRefuse(r, time.Now())
 	if !refuse {
 		return nil
 	}
@@ -29,7 +29,9 @@
 }
 
 // UpdateBacklogs takes in the owner's newest backlogs.
-func (i *Intake) UpdateBacklogs(backlogs []admission.Backlog) { i.book.Update(backlogs, time.Now()) }
+func (i *Intake) UpdateBacklogs(backlogs []admission.Backlog) {
+	i.admission.Update(backlogs, time.Now())
+}
 
 func backlogsFrom(list []*cellpb.Backlog) []admission.Backlog {
 	backlogs := make([]admission.Backlog, len(list))
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -24,24 +24,24 @@
 )
 
 const (
-	// askTimeout bounds a question to the owner; the store is asked after it.
-	askTimeout = 500 * time.Millisecond
-	// tellTimeout bounds news to the owner. News that is lost reaches it through
+	// queryTimeout bounds a question to the owner; the store is asked after it.
+	queryTimeout = 500 * time.Millisecond
+	// notifyTimeout bounds news to the owner. News that is lost reaches it through
 	// the store within a second.
-	tellTimeout = time.Second
-	// answerMargin is kept of a caller's deadline for the way of the answer.
-	answerMargin = 250 * time.Millisecond
+	notifyTimeout = time.Second
+	// replyMargin is kept of a caller's deadline for the way of the answer.
+	replyMargin = 250 * time.Millisecond
 	// outageRetryAfter tells callers when to come back in an outage, and
 	// longOutageRetryAfter when it has lasted for longOutage. A caller has few attempts, and
 	// must not use them up in one outage. The adapter adds jitter.
 	outageRetryAfter     = time.Second
 	longOutageRetryAfter = 2 * time.Second
 	longOutage           = 2500 * time.Millisecond
-	// ownerCalls is how many questions to the owner, and how many pieces of news, an
+	// maxOwnerCalls is how many questions to the owner, and how many pieces of news, an
 	// instance has under way at most: as many as it keeps connections.
-	ownerCalls = 4
-	// waitingFresh is how old a count of waiting jobs may be.
-	waitingFresh = 1500 * time.Millisecond
+	maxOwnerCalls = 4
+	// waitingCountTTL is how old a count of waiting jobs may be.
+	waitingCountTTL = 1500 * time.Millisecond
 )
 
 // errOutage says that the store serves no instance that this one can reach.
@@ -49,23 +49,23 @@
 
 // Intake serves callers' jobs.
 type Intake struct {
-	jobs    *celljobs.Jobs
-	store   *store.Watched
-	leader  Ownership
-	clients *cellpeer.Clients
-	finder  *cellpeer.StoreFinder
-	metrics *Metrics
-	log     logrus.FieldLogger
-	waiting waitingCounts
-	// asking and telling bound what this instance has under way at the owner.
-	asking, telling *bound
-	book            admission.Controller
+	jobs      *celljobs.Jobs
+	store     *store.Watched
+	ownership Ownership
+	clients   *cellpeer.Clients
+	finder    *cellpeer.StoreFinder
+	metrics   *Metrics
+	log       logrus.FieldLogger
+	waiting   waitingCounts
+	// queries and notifications bound what this instance has under way at the owner.
+	queries, notifications *semaphore
+	admission              admission.Controller
 }
 
 // New returns an intake.
-func New(jobs *celljobs.Jobs, s *store.Watched, l Ownership, f *cellpeer.StoreFinder, c *cellpeer.Clients, m *Metrics, log logrus.FieldLogger) *Intake {
-	return &Intake{jobs: jobs, store: s, leader: l, clients: c, finder: f, metrics: m, log: log,
-		asking: newBound(ownerCalls), telling: newBound(ownerCalls),
+func New(jobs *celljobs.Jobs, s *store.Watched, o Ownership, f *cellpeer.StoreFinder, c *cellpeer.Clients, m *Metrics, log logrus.FieldLogger) *Intake {
+	return &Intake{jobs: jobs, store: s, ownership: o, clients: c, finder: f, metrics: m, log: log,
+		queries: newSemaphore(maxOwnerCalls), notifications: newSemaphore(maxOwnerCalls),
 		waiting: waitingCounts{byQueue: map[string]waitingCount{}}}
 }
 
@@ -91,14 +91,14 @@
 		if errors.Is(err, celljobs.ErrTaken) {
 			return fault.New(fault.Conflict, "job %s: %w", r.ID, err)
 		}
-		return i.storeFault(err)
+		return i.faultFromStore(err)
 	}
 	i.metrics.Submitted.Inc()
 	i.log.WithFields(logrus.Fields{"job": r.ID, "queue": r.Queue, "workspace": r.Workspace, "took_ms": time.Since(began).Milliseconds()}).Info("job_accepted")
 	if created {
 		// A job that was there already was told to the owner of that time. Told
 		// again, it would look new to the owner of now.
-		i.tellSubmitted(r)
+		i.notifySubmitted(r)
 	}
 	return nil
 }
@@ -120,7 +120,7 @@
 	if !ok {
 		return false, err
 	}
-	created, peerErr := i.createThrough(ctx, peer, r)
+	created, peerErr := i.createViaPeer(ctx, peer, r)
 	if peerErr != nil && errors.Is(err, store.ErrUnknown) {
 		// Whatever the peer says, the attempt made here may have taken effect.
 		return false, err
@@ -132,7 +132,7 @@
 	return errors.Is(err, store.ErrUnavailable) || errors.Is(err, store.ErrUnknown)
 }
 
-func (i *Intake) createThrough(ctx context.Context, peer cellpeer.Instance, r *job.Record) (created bool, err error) {
+func (i *Intake) createViaPeer(ctx context.Context, peer cellpeer.Instance, r *job.Record) (created bool, err error) {
 	value, err := job.EncodeRecord(r)
 	if err != nil {
 		return false, err
@@ -144,10 +144,10 @@
 	return reply.Created, nil
 }
 
-// tellSubmitted tells the owner of a stored job without delaying the caller.
-func (i *Intake) tellSubmitted(r *job.Record) {
-	if i.leader.Submitted(r) {
-		i.UpdateBacklogs(i.leader.Backlogs())
+// notifySubmitted tells the owner of a stored job without delaying the caller.
+func (i *Intake) notifySubmitted(r *job.Record) {
+	if i.ownership.Submitted(r) {
+		i.UpdateBacklogs(i.ownership.Backlogs())
 		return
 	}
 	value, err := job.EncodeRecord(r)
@@ -155,7 +155,7 @@
 		i.log.WithField("job", r.ID).WithError(err).Error("job_not_encoded")
 		return
 	}
-	go i.tell(r.ID, func(ctx context.Context, owner cellpb.Cells) (bool, error) {
+	go i.notifyOwner(r.ID, func(ctx context.Context, owner cellpb.Cells) (bool, error) {
 		reply, err := owner.Submitted(ctx, &cellpb.SubmittedRequest{Record: value})
 		if reply.GetOwner() {
 			i.UpdateBacklogs(backlogsFrom(reply.Backlogs))
@@ -164,18 +164,18 @@
 	})
 }
 
-// tell brings news to the owner once. It may fail: the owner reads the store.
-func (i *Intake) tell(id string, call func(context.Context, cellpb.Cells) (bool, error)) {
-	address, self := i.leader.Owner()
+// notifyOwner brings news to the owner once. It may fail: the owner reads the store.
+func (i *Intake) notifyOwner(id string, call func(context.Context, cellpb.Cells) (bool, error)) {
+	address, self := i.ownership.Owner()
 	if address == "" || self {
 		return
 	}
-	if !i.telling.enter() {
+	if !i.notifications.tryAcquire() {
 		i.log.WithFields(logrus.Fields{"job": id, "owner": address}).Debug("owner_not_told")
 		return
 	}
-	defer i.telling.leave()
-	ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
+	defer i.notifications.release()
+	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
 	if owner, err := call(ctx, i.clients.To(address)); err != nil || !owner {
 		i.log.WithFields(logrus.Fields{"job": id, "owner": address}).WithError(err).Debug("owner_not_told")
@@ -185,18 +185,18 @@
 // Cancel ends a job and reports whether the caller has it. It is stored when Cancel
 // returns without an error.
 func (i *Intake) Cancel(ctx context.Context, by access.Caller, id string) (bool, error) {
-	status, _ := i.askOwner(ctx, id)
+	status, _ := i.queryOwner(ctx, id)
 	if !by.MaySee(status.Workspace) {
 		return false, nil
 	}
 	known, err := i.storeCancel(ctx, by, id, status.State != "")
 	if err != nil {
 		i.log.WithField("job", id).WithError(err).Info("job_not_cancelled")
-		return false, i.storeFault(err)
+		return false, i.faultFromStore(err)
 	}
 	i.log.WithFields(logrus.Fields{"job": id, "known": known}).Info("job_cancelled")
-	if known && !i.leader.Cancelled(id) {
-		i.tell(id, func(ctx context.Context, owner cellpb.Cells) (bool, error) {
+	if known && !i.ownership.Cancelled(id) {
+		i.notifyOwner(id, func(ctx context.Context, owner cellpb.Cells) (bool, error) {
 			reply, err := owner.Cancelled(ctx, &cellpb.CancelledRequest{Job: id})
 			return reply.GetOwner(), err
 		})
@@ -221,11 +221,11 @@
 // State returns a job's state; known is false only if the store has no such
 // job of the caller. The owner is asked first, because it knows the newest state.
 func (i *Intake) State(ctx context.Context, by access.Caller, id string) (state job.State, known bool, err error) {
-	status, ok := i.askOwner(ctx, id)
+	status, ok := i.queryOwner(ctx, id)
 	if !ok || status.State == "" {
 		status, known, err = i.jobs.Status(ctx, id)
 		if err != nil {
-			return "", false, i.storeFault(err)
+			return "", false, i.faultFromStore(err)
 		}
 		if !known {
 			return "", false, nil
@@ -237,21 +237,21 @@
 	return status.State, true, nil
 }
 
-// askOwner asks the cell's owner for a job's status; its state is empty if the owner
+// queryOwner asks the cell's owner for a job's status; its state is empty if the owner
 // does not know the job, and ok is false if no owner answered.
-func (i *Intake) askOwner(ctx context.Context, id string) (status job.Status, ok bool) {
-	if status, ok := i.leader.Status(id); ok {
+func (i *Intake) queryOwner(ctx context.Context, id string) (status job.Status, ok bool) {
+	if status, ok := i.ownership.Status(id); ok {
 		return status, true
 	}
-	address, self := i.leader.Owner()
+	address, self := i.ownership.Owner()
 	if address == "" || self {
 		return job.Status{}, false
 	}
-	if !i.asking.enter() {
+	if !i.queries.tryAcquire() {
 		return job.Status{}, false
 	}
-	defer i.asking.leave()
-	callCtx, cancel := context.WithTimeout(ctx, askTimeout)
+	defer i.queries.release()
+	callCtx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	reply, err := i.clients.To(address).State(callCtx, &cellpb.StateRequest{Job: id})
 	if err != nil {
@@ -262,8 +262,8 @@
 	return job.Status{State: job.State(reply.State), Workspace: reply.Workspace}, reply.Owner
 }
 
-// storeFault turns a failure of the store into the answer for the caller.
-func (i *Intake) storeFault(err error) error {
+// faultFromStore turns a failure of the store into the answer for the caller.
+func (i *Intake) faultFromStore(err error) error {
 	if errors.Is(err, store.ErrUnavailable) {
 		after := outageRetryAfter
 		if i.store.LostFor(time.Now()) > longOutage {
@@ -277,5 +277,5 @@
 // ReplyDeadline returns when an answer must be ready for a caller that waits for
 // limit from now.
 func ReplyDeadline(now time.Time, limit time.Duration) time.Time {
-	return now.Add(max(limit-answerMargin, limit/2))
+	return now.Add(max(limit-replyMargin, limit/2))
 }
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -23,37 +23,37 @@
 	"gentianstand/platform/standin"
 )
 
-// entry is one instance with its own way to the store.
-type entry struct {
+// testInstance is one instance with its own way to the store.
+type testInstance struct {
 	intake *intake.Intake
 	jobs   *celljobs.Jobs
 	store  *store.Watched
 	proxy  *standin.Proxy
 }
 
-// ownerless is an instance that knows no owner.
-type ownerless struct{ store *store.Watched }
+// noOwner is an instance that knows no owner.
+type noOwner struct{ store *store.Watched }
 
-func (o ownerless) Ping(*cellpb.PingRequest) *cellpb.PingReply {
+func (o noOwner) Ping(*cellpb.PingRequest) *cellpb.PingReply {
 	return &cellpb.PingReply{StoreOk: o.store.Reachable()}
 }
-func (ownerless) TakeOver(context.Context, string, uint64) bool { return false }
-func (ownerless) Submitted(*job.Record) bool                    { return false }
-func (ownerless) Backlogs() []admission.Backlog                 { return nil }
-func (ownerless) Cancelled(string) bool                         { return false }
-func (ownerless) Status(string) (job.Status, bool)              { return job.Status{}, false }
-func (ownerless) Waiting(string) (int, bool)                    { return 0, false }
-func (ownerless) Owner() (string, bool)                         { return "", false }
-
-// entries returns instances over one store that know one another.
-func entries(t *testing.T, names ...string) []*entry {
+func (noOwner) TakeOver(context.Context, string, uint64) bool { return false }
+func (noOwner) Submitted(*job.Record) bool                    { return false }
+func (noOwner) Backlogs() []admission.Backlog                 { return nil }
+func (noOwner) Cancelled(string) bool                         { return false }
+func (noOwner) Status(string) (job.Status, bool)              { return job.Status{}, false }
+func (noOwner) Waiting(string) (int, bool)                    { return 0, false }
+func (noOwner) Owner() (string, bool)                         { return "", false }
+
+// newInstances returns instances over one store that know one another.
+func newInstances(t *testing.T, names ...string) []*testInstance {
 	t.Helper()
 	backing := httptest.NewServer(standin.NewStore())
 	t.Cleanup(backing.Close)
-	var all []*entry
+	var all []*testInstance
 	var directories []*cellpeer.Directory
 	for _, name := range names {
-		e, d := join(t, name, backing.Listener.Addr().String())
+		e, d := newInstance(t, name, backing.Listener.Addr().String())
 		all = append(all, e)
 		directories = append(directories, d)
 	}
@@ -70,7 +70,7 @@
 	return nil
 }
 
-func join(t *testing.T, name, storeAddress string) (*entry, *cellpeer.Directory) {
+func newInstance(t *testing.T, name, storeAddress string) (*testInstance, *cellpeer.Directory) {
 	t.Helper()
 	logger := logrus.New()
 	logger.SetOutput(t.Output())
@@ -80,9 +80,9 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(proxy.Close)
-	e := &entry{proxy: proxy, store: store.NewWatched(platform.NewStore(proxy.Address()))}
+	e := &testInstance{proxy: proxy, store: store.NewWatched(platform.NewStore(proxy.Address()))}
 	e.jobs = celljobs.New(e.store, "cell-0")
-	server := httptest.NewServer(cellpeer.NewServer(ownerless{e.store}, e.jobs, nil, nil, log))
+	server := httptest.NewServer(cellpeer.NewServer(noOwner{e.store}, e.jobs, nil, nil, log))
 	t.Cleanup(server.Close)
 	clients := cellpeer.NewClients()
 	self := cellpeer.Instance{Name: name, Address: server.Listener.Addr().String(), Incarnation: name}
@@ -97,12 +97,12 @@
 		cancel()
 		<-done
 	})
-	e.intake = intake.New(e.jobs, e.store, ownerless{e.store}, cellpeer.NewStoreFinder(directory, clients), clients, intake.NewMetrics(metrics.NewSet()), log)
+	e.intake = intake.New(e.jobs, e.store, noOwner{e.store}, cellpeer.NewStoreFinder(directory, clients), clients, intake.NewMetrics(metrics.NewSet()), log)
 	return e, directory
 }
 
-// refuse has the store refuse an instance, and waits until it has noticed.
-func (e *entry) refuse(t *testing.T) {
+// loseStore has the store loseStore an instance, and waits until it has noticed.
+func (e *testInstance) loseStore(t *testing.T) {
 	t.Helper()
 	e.proxy.Refuse(true)
 	e.proxy.Reset()
@@ -116,14 +116,14 @@
 		Steps: []job.Step{{Count: 1, Need: resource.Amount{MilliCPU: 100, MemoryMiB: 10}, Estimate: time.Second}}}
 }
 
-func (e *entry) submit(t *testing.T, id string) error {
+func (e *testInstance) submit(t *testing.T, id string) error {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	return e.intake.Submit(ctx, record(id))
 }
 
-func (e *entry) knows(t *testing.T, id string) bool {
+func (e *testInstance) jobKnown(t *testing.T, id string) bool {
 	t.Helper()
 	_, known, err := e.intake.State(t.Context(), access.Caller{Anonymous: true}, id)
 	if err != nil {
@@ -134,21 +134,21 @@
 
 // Failure: callers in one zone are refused while the others are served.
 func TestJobIsStoredThroughAnotherInstance(t *testing.T) {
-	all := entries(t, "edge-0", "edge-1", "edge-2")
-	all[0].refuse(t)
+	all := newInstances(t, "edge-0", "edge-1", "edge-2")
+	all[0].loseStore(t)
 	if err := all[0].submit(t, "00000000000000aa"); err != nil {
 		t.Fatalf("not accepted: %v", err)
 	}
-	if !all[1].knows(t, "00000000000000aa") {
+	if !all[1].jobKnown(t, "00000000000000aa") {
 		t.Error("the accepted job is not in the store")
 	}
 }
 
 // Failure: callers wait for nothing in an outage, or a job that was refused runs.
 func TestOutageForAllIsRefusedAndNothingIsStored(t *testing.T) {
-	all := entries(t, "edge-0", "edge-1")
+	all := newInstances(t, "edge-0", "edge-1")
 	for _, e := range all {
-		e.refuse(t)
+		e.loseStore(t)
 	}
 	err := all[0].submit(t, "00000000000000bb")
 	if !fault.Is(err, fault.PlatformUnavailable) || fault.From(err).Answer().RetryAfter <= 0 {
@@ -160,26 +160,26 @@
 	for end := time.Now().Add(30 * time.Second); !all[1].store.Reachable() && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
 	}
-	if all[1].knows(t, "00000000000000bb") {
+	if all[1].jobKnown(t, "00000000000000bb") {
 		t.Error("a refused job is in the store")
 	}
 }
 
 // Failure: callers get an open outcome (504) although most instances have the store.
 func TestOpenOutcomeIsSettledThroughAnotherInstance(t *testing.T) {
-	all := entries(t, "edge-0", "edge-1")
+	all := newInstances(t, "edge-0", "edge-1")
 	all[0].proxy.Cut(false, true)
 	if err := all[0].submit(t, "00000000000000cc"); err != nil {
 		t.Fatalf("not accepted: %v", err)
 	}
-	if !all[1].knows(t, "00000000000000cc") {
+	if !all[1].jobKnown(t, "00000000000000cc") {
 		t.Error("the accepted job is not in the store")
 	}
 }
 
 // Failure: a caller was told that its job never runs, and it ran.
 func TestRepeatOfAStoredJobIsNotRefused(t *testing.T) {
-	e := entries(t, "edge-0")[0]
+	e := newInstances(t, "edge-0")[0]
 	if err := e.submit(t, "00000000000000dd"); err != nil {
 		t.Fatal(err)
 	}
@@ -191,7 +191,7 @@
 	if !fault.Is(err, fault.Overloaded) || fault.From(err).Answer().RetryAfter <= 0 {
 		t.Errorf("a new job beside a backlog: %v, want a refusal with when to come back", err)
 	}
-	if e.knows(t, "00000000000000ee") {
+	if e.jobKnown(t, "00000000000000ee") {
 		t.Error("the refused job is stored")
 	}
 }
--- a/internal/intake/waiting.go
+++ b/internal/intake/waiting.go
@@ -25,7 +25,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	c, ok := w.byQueue[queue]
-	return c.jobs, ok && now.Sub(c.at) < waitingFresh
+	return c.jobs, ok && now.Sub(c.at) < waitingCountTTL
 }
 
 func (w *waitingCounts) set(queue string, jobs int, now time.Time) {
@@ -37,12 +37,12 @@
 // Waiting returns how many jobs of a queue wait. If the owner does not answer,
 // a count that is not too old stands in.
 func (i *Intake) Waiting(ctx context.Context, queue string) (int, error) {
-	if jobs, ok := i.leader.Waiting(queue); ok {
+	if jobs, ok := i.ownership.Waiting(queue); ok {
 		return jobs, nil
 	}
-	address, self := i.leader.Owner()
+	address, self := i.ownership.Owner()
 	if address != "" && !self {
-		callCtx, cancel := context.WithTimeout(ctx, askTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, queryTimeout)
 		defer cancel()
 		reply, err := i.clients.To(address).Waiting(callCtx, &cellpb.WaitingRequest{Queue: queue})
 		if err == nil && reply.Owner {
--- a/internal/packed/text.go
+++ b/internal/packed/text.go
@@ -17,11 +17,11 @@
 	// marker is the first byte of a packed text. A plain text that begins with it is
 	// packed in any case.
 	marker = 0
-	// leastBytes is the shortest text that is packed: below, there is little to gain.
-	leastBytes = 64
-	// mostBytes bounds what a text may grow to when it is unpacked; more is not one of
+	// minBytes is the shortest text that is packed: below, there is little to gain.
+	minBytes = 64
+	// maxUnpackedBytes bounds what a text may grow to when it is unpacked; more is not one of
 	// ours.
-	mostBytes = 1 << 20
+	maxUnpackedBytes = 1 << 20
 )
 
 // Text is a text as it is, or packed.
@@ -39,7 +39,7 @@
 // Pack returns the packed form of a plain text, or the text itself if that is no longer.
 func Pack(plain string) Text {
 	forced := plain != "" && plain[0] == marker
-	if len(plain) < leastBytes && !forced {
+	if len(plain) < minBytes && !forced {
 		return Text(plain)
 	}
 	out := bytes.NewBuffer([]byte{marker})
@@ -61,12 +61,12 @@
 	}
 	r := flate.NewReader(bytes.NewReader([]byte(t[1:])))
 	defer r.Close()
-	plain, err := io.ReadAll(io.LimitReader(r, mostBytes+1))
+	plain, err := io.ReadAll(io.LimitReader(r, maxUnpackedBytes+1))
 	if err != nil {
 		return "", fmt.Errorf("packed text of %d bytes: %w", len(t), err)
 	}
-	if len(plain) > mostBytes {
-		return "", fmt.Errorf("packed text of %d bytes: more than %d when unpacked", len(t), mostBytes)
+	if len(plain) > maxUnpackedBytes {
+		return "", fmt.Errorf("packed text of %d bytes: more than %d when unpacked", len(t), maxUnpackedBytes)
 	}
 	return string(plain), nil
 }
--- a/internal/packed/text_test.go
+++ b/internal/packed/text_test.go
@@ -60,7 +60,7 @@
 	f.Add("\x00\xff")
 	f.Fuzz(func(t *testing.T, data string) {
 		plain, err := Text(data).Unpack()
-		if err == nil && len(plain) > mostBytes && data[0] == marker {
+		if err == nil && len(plain) > maxUnpackedBytes && data[0] == marker {
 			t.Errorf("%d bytes", len(plain))
 		}
 	})
--- a/internal/patience/adaptive_timeout.go
+++ b/internal/patience/adaptive_timeout.go
@@ -11,35 +11,35 @@
 type AdaptiveTimeout struct {
 	settings Settings
 
-	mu    sync.Mutex
-	usual time.Duration
+	mu      sync.Mutex
+	average time.Duration
 }
 
 // New returns a Patience that knows of no answer yet.
 func New(s Settings) *AdaptiveTimeout { return &AdaptiveTimeout{settings: s} }
 
 // ObserveAnswer takes in how long an answer took.
-func (p *AdaptiveTimeout) ObserveAnswer(took time.Duration) { p.move(took, p.settings.AnswerWeight) }
+func (t *AdaptiveTimeout) ObserveAnswer(took time.Duration) { t.observe(took, t.settings.AnswerWeight) }
 
 // ObserveTimeout takes in after which time a call was given up.
-func (p *AdaptiveTimeout) ObserveTimeout(after time.Duration) {
-	p.move(after, p.settings.TimeoutWeight)
+func (t *AdaptiveTimeout) ObserveTimeout(after time.Duration) {
+	t.observe(after, t.settings.TimeoutWeight)
 }
 
-func (p *AdaptiveTimeout) move(to time.Duration, weight float64) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.usual += time.Duration(weight * float64(to-p.usual))
+func (t *AdaptiveTimeout) observe(to time.Duration, weight float64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.average += time.Duration(weight * float64(to-t.average))
 }
 
 // Limit returns how long to wait.
-func (p *AdaptiveTimeout) Limit() time.Duration {
-	return p.LimitWith(p.settings.Factor, p.settings.Min)
+func (t *AdaptiveTimeout) Limit() time.Duration {
+	return t.LimitWith(t.settings.Factor, t.settings.Min)
 }
 
 // LimitWith returns factor times what answers usually take, at least least.
-func (p *AdaptiveTimeout) LimitWith(factor float64, least time.Duration) time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return min(max(time.Duration(factor*float64(p.usual)), least), p.settings.Max)
+func (t *AdaptiveTimeout) LimitWith(factor float64, least time.Duration) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return min(max(time.Duration(factor*float64(t.average)), least), t.settings.Max)
 }
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -15,27 +15,27 @@
 	"gentianstand/internal/spec"
 )
 
-// size is a cluster to measure on.
-type size struct {
+// clusterSize is a cluster to measure on.
+type clusterSize struct {
 	name                    string
 	workers, perRack, tasks int
 }
 
-var sizes = []size{
+var sizes = []clusterSize{
 	{"today", 50, 8, 1100},
 	{"target", 610, 8, 14_000},
 }
 
-// filled returns a cluster with tasks on it and its naive twin.
-func filled(s size) *pair {
+// newLoadedPair returns a cluster with tasks on it and its naive twin.
+func newLoadedPair(s clusterSize) *clusterPair {
 	nodes := newNodes(s.workers, s.perRack, 4, resource.Amount{MilliCPU: 16_000, MemoryMiB: 32 << 10}, 8)
-	p := &pair{fast: cluster.New(nodes), naive: &naiveCluster{nodes: nodes}}
+	p := &clusterPair{fast: cluster.New(nodes), naive: &naiveCluster{nodes: nodes}}
 	r := rand.New(rand.NewPCG(1, 2))
 	for range s.tasks {
 		need := resource.Amount{MilliCPU: 250 + int64(r.IntN(3))*125, MemoryMiB: 256 + int64(r.IntN(4))*128}
 		node := r.IntN(s.workers)
 		if need.Fits(p.fast.Node(node).Free) {
-			p.take(node, "filler", need)
+			p.allocate(node, "filler", need)
 		}
 	}
 	return p
@@ -64,7 +64,7 @@
 	}
 	for _, pol := range policies {
 		for _, s := range sizes {
-			p := filled(s)
+			p := newLoadedPair(s)
 			b.Run(pol.name+"/"+s.name, func(b *testing.B) {
 				r := rand.New(rand.NewPCG(3, 4))
 				measure(b, func() {
@@ -106,7 +106,7 @@
 	for _, s := range sizes {
 		b.Run(s.name, func(b *testing.B) {
 			for b.Loop() {
-				needs := stream(s.workers * 12)
+				needs := randomNeeds(s.workers * 12)
 				bound := lowerBound(needs)
 				ours := workersUsed(s, needs, placeBatch)
 				b.ReportMetric(ours/bound, "ours/bound")
@@ -117,7 +117,7 @@
 	}
 }
 
-func stream(n int) []resource.Amount {
+func randomNeeds(n int) []resource.Amount {
 	r := rand.New(rand.NewPCG(5, 6))
 	needs := make([]resource.Amount, n)
 	for i := range needs {
@@ -134,7 +134,7 @@
 	return max(float64(sum.MilliCPU)/16_000, float64(sum.MemoryMiB)/float64(32<<10))
 }
 
-func workersUsed(s size, needs []resource.Amount, place func(*cluster.Cluster, resource.Amount) int) float64 {
+func workersUsed(s clusterSize, needs []resource.Amount, place func(*cluster.Cluster, resource.Amount) int) float64 {
 	c := cluster.New(newNodes(s.workers, s.perRack, 4, resource.Amount{MilliCPU: 16_000, MemoryMiB: 32 << 10}, 0))
 	used := map[int]bool{}
 	for _, need := range needs {
--- a/internal/placement/cluster/cluster.go
+++ b/internal/placement/cluster/cluster.go
@@ -18,8 +18,8 @@
 	name    string
 	members []int
 	zone    int
-	// most is the largest free amount in each dimension of any open member.
-	most resource.Amount
+	// maxFree is the largest free amount in each dimension of any open member.
+	maxFree resource.Amount
 }
 
 // New returns a Cluster of the given nodes.
@@ -75,7 +75,7 @@
 	n.Free = n.Free.Sub(need)
 	n.FreeForLong = n.FreeForLong.Sub(need)
 	c.Counts(workload).add(n, i, 1)
-	c.refresh(n)
+	c.reindexNode(n)
 }
 
 // AllocateUnindexed is Take for filling a new cluster: Refresh must follow before the next
@@ -90,10 +90,10 @@
 // Reindex brings the index up to date after Load.
 func (c *Cluster) Reindex() {
 	for r := range c.racks {
-		c.refreshRack(r)
+		c.reindexRack(r)
 	}
 	for z := range c.zones {
-		c.refreshZone(z)
+		c.reindexZone(z)
 	}
 }
 
@@ -103,7 +103,7 @@
 	n.Free = n.Free.Add(need)
 	n.FreeForLong = n.FreeForLong.Add(need)
 	c.Counts(workload).add(n, i, -1)
-	c.refresh(n)
+	c.reindexNode(n)
 }
 
 // Reserve reserves need on worker i for later: long tasks may not take it.
@@ -117,7 +117,7 @@
 // SetUnschedulable opens or closes worker i.
 func (c *Cluster) SetUnschedulable(i int, closed bool) {
 	c.nodes[i].Unschedulable = closed
-	c.refresh(&c.nodes[i])
+	c.reindexNode(&c.nodes[i])
 }
 
 // Counts returns where tasks of a workload stand.
@@ -134,7 +134,7 @@
 // zones in which none has.
 func (c *Cluster) EachFit(need resource.Amount, visit func(i int, n *Node)) {
 	for z := range c.zones {
-		if !need.Fits(c.zones[z].most) {
+		if !need.Fits(c.zones[z].maxFree) {
 			continue
 		}
 		for _, r := range c.zones[z].members {
@@ -146,7 +146,7 @@
 // EachFitInRack is EachFit for one rack.
 func (c *Cluster) EachFitInRack(rack int, need resource.Amount, visit func(i int, n *Node)) {
 	g := &c.racks[rack]
-	if !need.Fits(g.most) {
+	if !need.Fits(g.maxFree) {
 		return
 	}
 	for _, i := range g.members {
@@ -159,7 +159,7 @@
 
 // RackMayFit reports whether some worker of a rack may have need free.
 func (c *Cluster) RackMayFit(rack int, need resource.Amount) bool {
-	return need.Fits(c.racks[rack].most)
+	return need.Fits(c.racks[rack].maxFree)
 }
 
 // ZoneOfRack returns the zone of a rack.
@@ -168,25 +168,25 @@
 // RackNodes returns the workers of a rack.
 func (c *Cluster) RackNodes(rack int) []int { return c.racks[rack].members }
 
-func (c *Cluster) refresh(n *Node) {
-	c.refreshRack(n.rack)
-	c.refreshZone(n.zone)
+func (c *Cluster) reindexNode(n *Node) {
+	c.reindexRack(n.rack)
+	c.reindexZone(n.zone)
 }
 
-func (c *Cluster) refreshRack(r int) {
+func (c *Cluster) reindexRack(r int) {
 	var most resource.Amount
 	for _, i := range c.racks[r].members {
 		if !c.nodes[i].Unschedulable {
 			most = most.Max(c.nodes[i].Free)
 		}
 	}
-	c.racks[r].most = most
+	c.racks[r].maxFree = most
 }
 
-func (c *Cluster) refreshZone(z int) {
+func (c *Cluster) reindexZone(z int) {
 	var most resource.Amount
 	for _, r := range c.zones[z].members {
-		most = most.Max(c.racks[r].most)
+		most = most.Max(c.racks[r].maxFree)
 	}
-	c.zones[z].most = most
+	c.zones[z].maxFree = most
 }
--- a/internal/placement/differential_test.go
+++ b/internal/placement/differential_test.go
@@ -17,45 +17,45 @@
 	"gentianstand/internal/spec"
 )
 
-// pair is a cluster and its naive twin, changed together.
-type pair struct {
+// clusterPair is a cluster and its naive twin, changed together.
+type clusterPair struct {
 	fast  *cluster.Cluster
 	naive *naiveCluster
 }
 
-func drawPair(rt *rapid.T) *pair {
+func drawPair(rt *rapid.T) *clusterPair {
 	workers := rapid.IntRange(1, 24).Draw(rt, "workers")
 	perRack := rapid.IntRange(1, 5).Draw(rt, "per_rack")
 	nodes := newNodes(workers, perRack, 4, resource.Amount{MilliCPU: 16_000, MemoryMiB: 16 << 10}, 4)
 	for i := range nodes {
 		nodes[i].Unschedulable = rapid.IntRange(0, 9).Draw(rt, "closed") == 0
 	}
-	return &pair{fast: cluster.New(nodes), naive: &naiveCluster{nodes: nodes}}
+	return &clusterPair{fast: cluster.New(nodes), naive: &naiveCluster{nodes: nodes}}
 }
 
-func (p *pair) take(node int, workload string, need resource.Amount) {
+func (p *clusterPair) allocate(node int, workload string, need resource.Amount) {
 	p.fast.Allocate(node, workload, need)
 	p.naive.tasks = append(p.naive.tasks, placedTask{node, workload, need})
 }
 
-func (p *pair) give(i int) {
+func (p *clusterPair) release(i int) {
 	t := p.naive.tasks[i]
 	p.fast.Release(t.node, t.workload, t.need)
 	p.naive.tasks = append(p.naive.tasks[:i], p.naive.tasks[i+1:]...)
 }
 
 // churn releases some tasks at random.
-func (p *pair) churn(rt *rapid.T) {
+func (p *clusterPair) churn(rt *rapid.T) {
 	for range rapid.IntRange(0, 2).Draw(rt, "releases") {
 		if n := len(p.naive.tasks); n > 0 {
-			p.give(rapid.IntRange(0, n-1).Draw(rt, "release"))
+			p.release(rapid.IntRange(0, n-1).Draw(rt, "release"))
 		}
 	}
 }
 
 // check fails if the index differs from the plain list, or a worker is
 // oversold.
-func (p *pair) check(rt *rapid.T) {
+func (p *clusterPair) check(rt *rapid.T) {
 	for i := range p.naive.nodes {
 		free := p.naive.free(i)
 		if p.fast.Node(i).Free != free {
@@ -99,7 +99,7 @@
 
 // compareNode demands that both place or neither, and that the choice is as
 // good as the naive one; of equally good workers either may be chosen.
-func compareNode(rt *rapid.T, p *pair, req policy.Request, got policy.Decision, want int, rank func(node int) [4]int64) {
+func compareNode(rt *rapid.T, p *clusterPair, req policy.Request, got policy.Decision, want int, rank func(node int) [4]int64) {
 	if got.Placed() != (want >= 0) {
 		rt.Fatalf("placed %v (%s), naive chose %d", got.Placed(), got.Reason, want)
 	}
@@ -109,7 +109,7 @@
 	if chosen := got.Nodes[0]; rank(chosen) != rank(want) {
 		rt.Fatalf("chose %d of rank %v, naive chose %d of rank %v", chosen, rank(chosen), want, rank(want))
 	}
-	p.take(got.Nodes[0], req.Workload, req.Need)
+	p.allocate(got.Nodes[0], req.Workload, req.Need)
 }
 
 // TestDifferentialGang: a gang is placed exactly when it fits, all tasks or
@@ -127,7 +127,7 @@
 				rt.Fatalf("%d of %d tasks placed", len(got.Nodes), req.Tasks)
 			}
 			for _, node := range got.Nodes {
-				p.take(node, req.Workload, req.Need)
+				p.allocate(node, req.Workload, req.Need)
 			}
 			p.churn(rt)
 			p.check(rt)
--- a/internal/placement/explain/explain.go
+++ b/internal/placement/explain/explain.go
@@ -20,7 +20,7 @@
 		if need.Fits(n.Capacity) {
 			return "", false
 		}
-		if lack := lackShare(need, n.Capacity); nearest < 0 || lack < least {
+		if lack := shortfallShare(need, n.Capacity); nearest < 0 || lack < least {
 			nearest, least = i, lack
 		}
 	}
@@ -50,8 +50,8 @@
 	return fmt.Sprintf("all %d tasks must run at once, but the workers have only %d places for a task of %s", tasks, places, need), true
 }
 
-// lackShare adds up what is missing as a share of what is needed.
-func lackShare(need, have resource.Amount) float64 {
+// shortfallShare adds up what is missing as a share of what is needed.
+func shortfallShare(need, have resource.Amount) float64 {
 	short := need.Sub(have)
 	return part(short.MilliCPU, need.MilliCPU) + part(short.MemoryMiB, need.MemoryMiB) + part(short.Accelerators, need.Accelerators)
 }
--- a/internal/placement/gang/gang.go
+++ b/internal/placement/gang/gang.go
@@ -14,18 +14,18 @@
 // Policy implements policy.Policy.
 type Policy struct{}
 
-// seat is a worker that can hold some tasks of the gang.
-type seat struct {
+// nodeSlots is a worker that can hold some tasks of the gang.
+type nodeSlots struct {
 	node  int
 	count int64
 	score int64
 }
 
-// bench is a rack with its seats.
-type bench struct {
+// rackSlots is a rack with its seats.
+type rackSlots struct {
 	rack  int
 	total int64
-	seats []seat
+	nodes []nodeSlots
 }
 
 // Place chooses a worker for each task, or none at all. If one rack can hold
@@ -33,23 +33,23 @@
 // fills the largest racks first, so that the gang spans the fewest.
 func (Policy) Place(c *cluster.Cluster, req policy.Request) policy.Decision {
 	want := int64(req.Tasks)
-	var benches []bench
+	var racks []rackSlots
 	var total int64
 	for r := range c.Racks() {
-		b := benchOf(c, req, r)
+		b := slotsInRack(c, req, r)
 		if b.total > 0 {
-			benches = append(benches, b)
+			racks = append(racks, b)
 			total += b.total
 		}
 	}
 	if total < want {
 		return policy.Decision{Reason: reason(total)}
 	}
-	if i := tightest(benches, want); i >= 0 {
-		benches = benches[i : i+1]
+	if i := tightest(racks, want); i >= 0 {
+		racks = racks[i : i+1]
 	}
-	slices.SortStableFunc(benches, func(a, b bench) int { return cmp.Compare(b.total, a.total) })
-	return policy.Decision{Nodes: fill(benches, req.Tasks), Reason: policy.Found}
+	slices.SortStableFunc(racks, func(a, b rackSlots) int { return cmp.Compare(b.total, a.total) })
+	return policy.Decision{Nodes: fill(racks, req.Tasks), Reason: policy.Found}
 }
 
 func reason(total int64) policy.Reason {
@@ -59,8 +59,8 @@
 	return policy.NotEnoughForGang
 }
 
-func benchOf(c *cluster.Cluster, req policy.Request, r int) bench {
-	b := bench{rack: r}
+func slotsInRack(c *cluster.Cluster, req policy.Request, r int) rackSlots {
+	b := rackSlots{rack: r}
 	c.EachFitInRack(r, req.Need, func(i int, n *cluster.Node) {
 		if req.Avoid != nil && req.Avoid(n.ID) {
 			return
@@ -71,7 +71,7 @@
 		}
 		count := req.Need.CountIn(req.Usable(n.Free, n.FreeForLong), limit)
 		if count > 0 {
-			b.seats = append(b.seats, seat{node: i, count: count, score: batch.Score(n, req.Need)})
+			b.nodes = append(b.nodes, nodeSlots{node: i, count: count, score: batch.Score(n, req.Need)})
 			b.total += count
 		}
 	})
@@ -80,21 +80,21 @@
 
 // tightest returns the rack that holds the gang with the least to spare, or
 // -1 if none holds it whole.
-func tightest(benches []bench, want int64) int {
+func tightest(racks []rackSlots, want int64) int {
 	best := -1
-	for i, b := range benches {
-		if b.total >= want && (best < 0 || b.total < benches[best].total) {
+	for i, b := range racks {
+		if b.total >= want && (best < 0 || b.total < racks[best].total) {
 			best = i
 		}
 	}
 	return best
 }
 
-func fill(benches []bench, tasks int) []int {
+func fill(racks []rackSlots, tasks int) []int {
 	nodes := make([]int, 0, tasks)
-	for _, b := range benches {
-		slices.SortStableFunc(b.seats, func(x, y seat) int { return cmp.Compare(x.score, y.score) })
-		for _, s := range b.seats {
+	for _, b := range racks {
+		slices.SortStableFunc(b.nodes, func(x, y nodeSlots) int { return cmp.Compare(x.score, y.score) })
+		for _, s := range b.nodes {
 			for range s.count {
 				if len(nodes) == tasks {
 					return nodes
--- a/internal/placement/naive_test.go
+++ b/internal/placement/naive_test.go
@@ -41,7 +41,7 @@
 	return count
 }
 
-func (c *naiveCluster) feasible(need resource.Amount) []int {
+func (c *naiveCluster) candidates(need resource.Amount) []int {
 	var list []int
 	for i := range c.nodes {
 		if !c.nodes[i].Unschedulable && need.Fits(c.free(i)) {
@@ -60,7 +60,7 @@
 func naiveBest(c *naiveCluster, req policy.Request, rankOf func(*naiveCluster, policy.Request, int) [4]int64) int {
 	best := -1
 	var lowest [4]int64
-	for _, i := range c.feasible(req.Need) {
+	for _, i := range c.candidates(req.Need) {
 		rank := rankOf(c, req, i)
 		if best < 0 || lessRank(rank, lowest) {
 			best, lowest = i, rank
@@ -126,7 +126,7 @@
 func naiveGang(c *naiveCluster, req policy.Request) bool {
 	trial := naiveCluster{nodes: c.nodes, tasks: append([]placedTask(nil), c.tasks...)}
 	for range req.Tasks {
-		fits := trial.feasible(req.Need)
+		fits := trial.candidates(req.Need)
 		if len(fits) == 0 {
 			return false
 		}
--- a/internal/placement/order/order.go
+++ b/internal/placement/order/order.go
@@ -8,8 +8,8 @@
 	"gentianstand/internal/resource"
 )
 
-// dueSoon is how close a due time must be to go before fairness.
-const dueSoon = 10 * time.Minute
+// dueWindow is how close a due time must be to go before fairness.
+const dueWindow = 10 * time.Minute
 
 // Sort orders items: the urgent first; then services, whose replicas must not
 // be squeezed onto what a batch run leaves; then work that would miss its
@@ -18,10 +18,10 @@
 // so what they leave goes to the others.
 func Sort(items []Item, shares map[string]Share, total resource.Amount, now time.Time) {
 	dominant := make(map[string]float64, len(shares))
-	over := make(map[string]bool, len(shares))
+	overQuota := make(map[string]bool, len(shares))
 	for team, s := range shares {
 		dominant[team] = s.DominantShare(total)
-		over[team] = s.OverQuota()
+		overQuota[team] = s.OverQuota()
 	}
 	slices.SortStableFunc(items, func(a, b Item) int {
 		if c := cmp.Compare(a.Rank, b.Rank); c != 0 {
@@ -33,10 +33,10 @@
 		if c := compareDue(a, b, now); c != 0 {
 			return c
 		}
-		if c := compareBool(over[a.Team], over[b.Team]); c != 0 {
+		if c := compareBool(overQuota[a.Team], overQuota[b.Team]); c != 0 {
 			return c
 		}
-		if c := compareShare(dominant[a.Team], dominant[b.Team], over[a.Team]); c != 0 {
+		if c := compareShare(dominant[a.Team], dominant[b.Team], overQuota[a.Team]); c != 0 {
 			return c
 		}
 		if c := a.ReadySince.Compare(b.ReadySince); c != 0 {
@@ -55,7 +55,7 @@
 }
 
 func isSoon(i Item, now time.Time) bool {
-	return !i.LatestStart.IsZero() && i.LatestStart.Sub(now) <= dueSoon
+	return !i.LatestStart.IsZero() && i.LatestStart.Sub(now) <= dueWindow
 }
 
 func compareBool(a, b bool) int {
--- a/internal/placement/preempt/preempt.go
+++ b/internal/placement/preempt/preempt.go
@@ -55,7 +55,7 @@
 	if !need.Fits(free) {
 		return nil, 0, false
 	}
-	set = spare(free, need, set)
+	set = dropUnneeded(free, need, set)
 	var loss int64
 	for _, v := range set {
 		loss += v.loss()
@@ -63,7 +63,7 @@
 	return set, loss, true
 }
 
-func spare(free, need resource.Amount, set []Victim) []Victim {
+func dropUnneeded(free, need resource.Amount, set []Victim) []Victim {
 	var kept []Victim
 	for i := len(set) - 1; i >= 0; i-- {
 		without := free.Sub(set[i].Need)
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -32,8 +32,8 @@
 // exceeds the cap alone may start when nothing else of the workspace runs: it would wait
 // forever otherwise.
 func (a *Account) Startable(need resource.Amount, most int) int {
-	n := int(need.CountIn(a.room(), int64(most)))
-	if n == 0 && most > 0 && a.idle() && !need.Fits(unlimited(a.Cap)) {
+	n := int(need.CountIn(a.headroom(), int64(most)))
+	if n == 0 && most > 0 && a.idle() && !need.Fits(effectiveCap(a.Cap)) {
 		return 1
 	}
 	return n
@@ -41,20 +41,20 @@
 
 // FitsCap reports whether a gang of some need in all fits under the cap when nothing else of
 // the workspace runs.
-func (a *Account) FitsCap(need resource.Amount) bool { return need.Fits(unlimited(a.Cap)) }
+func (a *Account) FitsCap(need resource.Amount) bool { return need.Fits(effectiveCap(a.Cap)) }
 
-func (a *Account) room() resource.Amount {
-	return unlimited(a.Cap).Sub(a.Used).Sub(a.Unconfirmed)
+func (a *Account) headroom() resource.Amount {
+	return effectiveCap(a.Cap).Sub(a.Used).Sub(a.Unconfirmed)
 }
 
 func (a *Account) idle() bool { return a.Used.IsZero() && a.Unconfirmed.IsZero() }
 
-// unlimited returns a cap with a bound that nothing reaches in place of no limit.
-func unlimited(limit resource.Amount) resource.Amount {
-	return resource.Amount{MilliCPU: bound(limit.MilliCPU), MemoryMiB: bound(limit.MemoryMiB), Accelerators: bound(limit.Accelerators)}
+// effectiveCap returns a cap with a bound that nothing reaches in place of no limit.
+func effectiveCap(limit resource.Amount) resource.Amount {
+	return resource.Amount{MilliCPU: boundOrMax(limit.MilliCPU), MemoryMiB: boundOrMax(limit.MemoryMiB), Accelerators: boundOrMax(limit.Accelerators)}
 }
 
-func bound(limit int64) int64 {
+func boundOrMax(limit int64) int64 {
 	if limit <= 0 {
 		return math.MaxInt64 / 2
 	}
--- a/internal/routing/grant.go
+++ b/internal/routing/grant.go
@@ -15,15 +15,15 @@
 	Epoch     uint64
 	GrantedAt time.Time
 
-	pool      *pool
-	upstream  *upstream
-	answering atomic.Bool
-	done      atomic.Bool
-	// finished is when the worker first said that the request has ended, in
+	pool            *pool
+	upstream        *upstream
+	responseStarted atomic.Bool
+	done            atomic.Bool
+	// finishedAt is when the worker first said that the request has ended, in
 	// nanoseconds since 1970; 0 if it has not.
-	finished atomic.Int64
-	cancel   context.CancelCauseFunc
-	ctx      context.Context
+	finishedAt atomic.Int64
+	cancel     context.CancelCauseFunc
+	ctx        context.Context
 }
 
 // Context ends when the request should be given up because of the upstream:
@@ -32,7 +32,7 @@
 
 // ResponseStarted notes that the upstream's answer has begun; from now on the
 // request is never taken for one on a silent connection.
-func (g *Grant) ResponseStarted() { g.answering.Store(true) }
+func (g *Grant) ResponseStarted() { g.responseStarted.Store(true) }
 
 // Done returns the slot. Only the first call counts.
 func (g *Grant) Done(result Result, now time.Time) {
@@ -40,14 +40,14 @@
 		return
 	}
 	g.cancel(nil)
-	g.upstream.giveBack(g, result, now)
-	g.pool.router.freed(g.upstream, now)
+	g.upstream.release(g, result, now)
+	g.pool.router.slotFreed(g.upstream, now)
 }
 
 // finishedFor returns how long the worker has called the request finished.
 func (g *Grant) finishedFor(now time.Time) time.Duration {
-	if g.finished.CompareAndSwap(0, now.UnixNano()) {
+	if g.finishedAt.CompareAndSwap(0, now.UnixNano()) {
 		return 0
 	}
-	return now.Sub(time.Unix(0, g.finished.Load()))
+	return now.Sub(time.Unix(0, g.finishedAt.Load()))
 }
--- a/internal/routing/pool.go
+++ b/internal/routing/pool.go
@@ -13,16 +13,16 @@
 	router  *Router
 	service string
 
-	mu        sync.Mutex
-	upstreams []*upstream
-	queue     queue
-	order     uint64
-	latency   time.Duration
-	budget    float64
+	mu          sync.Mutex
+	upstreams   []*upstream
+	queue       queue
+	sequence    uint64
+	meanLatency time.Duration
+	retryBudget float64
 }
 
 func newPool(r *Router, service string) *pool {
-	return &pool{router: r, service: service, latency: firstLatency, budget: retryBurst}
+	return &pool{router: r, service: service, meanLatency: initialLatency, retryBudget: retryBurst}
 }
 
 // tryAcquire takes a slot if one is free and nobody waits for it.
@@ -36,32 +36,32 @@
 // queue is full or the wait is expected to outlast the deadline: a caller that
 // waits for a refusal has waited for nothing.
 func (p *pool) acquire(ctx context.Context, g *Grant, req Request, now time.Time) error {
-	w, err := p.enter(g, req, now)
+	w, err := p.enqueue(g, req, now)
 	if err != nil || w == nil {
 		return err
 	}
 	timer := time.NewTimer(req.Deadline.Sub(now))
 	defer timer.Stop()
 	select {
-	case err := <-w.answer:
+	case err := <-w.result:
 		return err
 	case <-timer.C:
-		return p.leave(w, fault.New(fault.DeadlineExceeded, "no slot of service %s became free in time", p.service))
+		return p.cancelWait(w, fault.New(fault.DeadlineExceeded, "no slot of service %s became free in time", p.service))
 	case <-ctx.Done():
-		return p.leave(w, fault.New(fault.DeadlineExceeded, "the caller went away while waiting: %w", ctx.Err()))
+		return p.cancelWait(w, fault.New(fault.DeadlineExceeded, "the caller went away while waiting: %w", ctx.Err()))
 	}
 }
 
-// enter returns nil if the slot was taken, or the waiter to wait for.
-func (p *pool) enter(g *Grant, req Request, now time.Time) (*waiter, error) {
+// enqueue returns nil if the slot was taken, or the waiter to wait for.
+func (p *pool) enqueue(g *Grant, req Request, now time.Time) (*waiter, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.budget = min(p.budget+retryRatio, retryBurst)
+	p.retryBudget = min(p.retryBudget+retryRatio, retryBurst)
 	if p.queue.len() == 0 && p.pickLocked(g, now) {
 		return nil, nil
 	}
-	p.order++
-	w := &waiter{grant: g, rank: req.Rank, deadline: req.Deadline, order: p.order, answer: make(chan error, 1)}
+	p.sequence++
+	w := &waiter{grant: g, rank: req.Rank, deadline: req.Deadline, sequence: p.sequence, result: make(chan error, 1)}
 	if wait := p.expectedWaitLocked(w); now.Add(wait).After(req.Deadline) {
 		return nil, p.overloaded(wait)
 	}
@@ -79,19 +79,19 @@
 		return false
 	}
 	p.queue.remove(last)
-	last.answer <- p.overloaded(p.expectedWaitLocked(last))
+	last.result <- p.overloaded(p.expectedWaitLocked(last))
 	return true
 }
 
-// leave gives up waiting. If the slot was granted at the same moment, it is
+// cancelWait gives up waiting. If the slot was granted at the same moment, it is
 // kept and the caller goes on.
-func (p *pool) leave(w *waiter, err error) error {
+func (p *pool) cancelWait(w *waiter, err error) error {
 	p.mu.Lock()
 	removed := p.queue.remove(w)
 	wait := p.expectedWaitLocked(w)
 	p.mu.Unlock()
 	if !removed {
-		return <-w.answer
+		return <-w.result
 	}
 	return fault.From(err).WithRetryAfter(max(wait, time.Second))
 }
@@ -116,7 +116,7 @@
 		}
 		g.GrantedAt, g.pool, g.upstream = now, p, best
 		// Another service's pool may have taken the slot meanwhile.
-		if best.take(g) {
+		if best.tryTake(g) {
 			return true
 		}
 	}
@@ -161,16 +161,16 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for w := p.queue.head(); w != nil; w = p.queue.head() {
-		if now.Add(p.latency / 2).After(w.deadline) {
+		if now.Add(p.meanLatency / 2).After(w.deadline) {
 			p.queue.remove(w)
-			w.answer <- fault.New(fault.DeadlineExceeded, "a slot of service %s came too late", p.service)
+			w.result <- fault.New(fault.DeadlineExceeded, "a slot of service %s came too late", p.service)
 			continue
 		}
 		if !p.pickLocked(w.grant, now) {
 			return
 		}
 		p.queue.remove(w)
-		w.answer <- nil
+		w.result <- nil
 	}
 }
 
@@ -183,10 +183,10 @@
 		}
 	}
 	slots := max(p.slotsLocked(), 1)
-	return p.latency * time.Duration(ahead) / time.Duration(slots)
+	return p.meanLatency * time.Duration(ahead) / time.Duration(slots)
 }
 
-func (p *pool) queueBoundLocked() int { return max(queuePerSlot*p.slotsLocked(), minQueue) }
+func (p *pool) queueBoundLocked() int { return max(queuePerSlot*p.slotsLocked(), minQueueLength) }
 
 func (p *pool) slotsLocked() int {
 	slots := 0
@@ -200,19 +200,19 @@
 	return slots
 }
 
-func (p *pool) learn(sample time.Duration) {
+func (p *pool) observeLatency(sample time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.latency += time.Duration(latencyWeight * float64(sample-p.latency))
+	p.meanLatency += time.Duration(latencyWeight * float64(sample-p.meanLatency))
 }
 
 // mayRetry takes one retry from the budget if there is one left.
 func (p *pool) mayRetry() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.budget < 1 {
+	if p.retryBudget < 1 {
 		return false
 	}
-	p.budget--
+	p.retryBudget--
 	return true
 }
--- a/internal/routing/queue_test.go
+++ b/internal/routing/queue_test.go
@@ -60,7 +60,7 @@
 }
 
 // Failure: callers wait for a refusal.
-func TestHopelessIsRefusedAtOnce(t *testing.T) {
+func TestRequestWithoutChanceIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		defer time.Sleep(time.Second) // lets waiters return their slots
 		r := oneWorker(1)
@@ -85,8 +85,8 @@
 		defer time.Sleep(time.Second) // lets waiters return their slots
 		r := oneWorker(1)
 		held, _ := r.Acquire(context.Background(), "s", request("held", 1, time.Hour), time.Now())
-		order := make(chan string, minQueue+2)
-		for i := range minQueue {
+		order := make(chan string, minQueueLength+2)
+		for i := range minQueueLength {
 			acquire(r, order, fmt.Sprintf("low%d", i), 2, time.Hour)
 		}
 		acquire(r, order, "one-more", 2, time.Hour)
@@ -94,14 +94,14 @@
 			t.Errorf("a full queue answered %s", got)
 		}
 		acquire(r, order, "urgent", 0, time.Hour)
-		if got := <-order; got != fmt.Sprintf("low%d overloaded", minQueue-1) {
+		if got := <-order; got != fmt.Sprintf("low%d overloaded", minQueueLength-1) {
 			t.Errorf("for an urgent request %s was refused", got)
 		}
 		held.Done(Answered, time.Now())
 		if got := <-order; got != "urgent" {
 			t.Errorf("the slot went to %s", got)
 		}
-		for range minQueue - 1 {
+		for range minQueueLength - 1 {
 			<-order
 		}
 	})
@@ -171,9 +171,9 @@
 	}
 }
 
-// TestDoubtfulRequests: a revoked request ends as never arrived, a finished one
+// TestUnansweredRequests: a revoked request ends as never arrived, a finished one
 // only after its answer had time to come, a running one never.
-func TestDoubtfulRequests(t *testing.T) {
+func TestUnansweredRequests(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := oneWorker(8)
 	r.SetWorker(WorkerInfo{ID: "w", Slots: 8, Services: []string{"s"}, Open: true}, now)
--- a/internal/routing/removed_worker.go
+++ b/internal/routing/removed_worker.go
@@ -19,7 +19,7 @@
 
 // Unanswered returns the ids of those granted before since that show no sign of
 // an answer.
-func (r *RemovedWorker) Unanswered(since time.Time) []string { return r.upstream.doubtful(since) }
+func (r *RemovedWorker) Unanswered(since time.Time) []string { return r.upstream.unanswered(since) }
 
 // Resolve ends a doubtful request by the worker's word on it; see
 // Router.Resolve.
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -39,7 +39,7 @@
 		r.relinkLocked(u, info.Services)
 	}
 	r.mu.Unlock()
-	r.freed(u, now)
+	r.slotFreed(u, now)
 }
 
 // CloseWorker takes a worker out until the owner says more of it, because it refused
@@ -145,7 +145,9 @@
 func (r *Router) MayRetry(service string) bool { return r.pool(service).mayRetry() }
 
 // ObserveLatency notes how long an answered request of the service took.
-func (r *Router) ObserveLatency(service string, took time.Duration) { r.pool(service).learn(took) }
+func (r *Router) ObserveLatency(service string, took time.Duration) {
+	r.pool(service).observeLatency(took)
+}
 
 // Slots returns the free slots and all slots of each service here.
 func (r *Router) Slots() map[string]Slots {
@@ -169,7 +171,7 @@
 	if !ok {
 		return nil
 	}
-	return u.doubtful(since)
+	return u.unanswered(since)
 }
 
 // Resolve ends a doubtful request by the worker's word on it. One that is
@@ -185,8 +187,8 @@
 	u.resolve(request, state, now)
 }
 
-// freed lets the services of a worker use a slot that became free.
-func (r *Router) freed(u *upstream, now time.Time) {
+// slotFreed lets the services of a worker use a slot that became free.
+func (r *Router) slotFreed(u *upstream, now time.Time) {
 	u.mu.Lock()
 	services := u.info.Services
 	u.mu.Unlock()
--- a/internal/routing/slot_model_test.go
+++ b/internal/routing/slot_model_test.go
@@ -7,15 +7,15 @@
 	"pgregory.net/rapid"
 )
 
-// naiveSite counts slots in one flat list of requests in progress.
-type naiveSite struct {
+// slotModel counts slots in one flat list of requests in progress.
+type slotModel struct {
 	slots    map[string]int
 	services map[string][]string
 	open     map[string]bool
 	requests map[string]string
 }
 
-func (s *naiveSite) inUse(worker string) int {
+func (s *slotModel) inUse(worker string) int {
 	n := 0
 	for _, w := range s.requests {
 		if w == worker {
@@ -25,7 +25,7 @@
 	return n
 }
 
-func (s *naiveSite) free(service string) int {
+func (s *slotModel) free(service string) int {
 	n := 0
 	for worker, services := range s.services {
 		for _, name := range services {
@@ -46,7 +46,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		now := time.Unix(1000, 0)
 		r := NewRouter()
-		naive := &naiveSite{slots: map[string]int{}, services: map[string][]string{}, open: map[string]bool{}, requests: map[string]string{}}
+		naive := &slotModel{slots: map[string]int{}, services: map[string][]string{}, open: map[string]bool{}, requests: map[string]string{}}
 		grants := map[string]*Grant{}
 		rt.Repeat(map[string]func(*rapid.T){
 			"set": func(rt *rapid.T) {
--- a/internal/routing/upstream.go
+++ b/internal/routing/upstream.go
@@ -10,18 +10,18 @@
 // upstream is one worker as requests see it. Its lock is taken after a pool's
 // and never the other way round.
 type upstream struct {
-	mu       sync.Mutex
-	info     WorkerInfo
-	inFlight map[string]*Grant
-	latency  time.Duration
-	failures int
-	ejected  time.Time
-	backoff  time.Duration
-	probing  bool
+	mu           sync.Mutex
+	info         WorkerInfo
+	inFlight     map[string]*Grant
+	latency      time.Duration
+	failures     int
+	ejectedUntil time.Time
+	backoff      time.Duration
+	probing      bool
 }
 
 func newUpstream(info WorkerInfo) *upstream {
-	return &upstream{info: info, inFlight: map[string]*Grant{}, latency: firstLatency}
+	return &upstream{info: info, inFlight: map[string]*Grant{}, latency: initialLatency}
 }
 
 // free returns the slots that can be given now; the pool may pass over an
@@ -40,11 +40,11 @@
 }
 
 func (u *upstream) ejectedLocked(now time.Time) bool {
-	return now.Before(u.ejected) || (u.backoff > 0 && u.probing)
+	return now.Before(u.ejectedUntil) || (u.backoff > 0 && u.probing)
 }
 
-// take gives a slot to g if there still is one.
-func (u *upstream) take(g *Grant) bool {
+// tryTake gives a slot to g if there still is one.
+func (u *upstream) tryTake(g *Grant) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.freeLocked() == 0 {
@@ -56,16 +56,16 @@
 	return true
 }
 
-// giveBack returns the slot of g and learns from how it went.
-func (u *upstream) giveBack(g *Grant, result Result, now time.Time) {
+// release returns the slot of g and learns from how it went.
+func (u *upstream) release(g *Grant, result Result, now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	delete(u.inFlight, g.ID)
 	u.probing = false
 	switch result {
 	case Answered:
-		u.failures, u.backoff, u.ejected = 0, 0, time.Time{}
-		u.learn(now.Sub(g.GrantedAt))
+		u.failures, u.backoff, u.ejectedUntil = 0, 0, time.Time{}
+		u.observeLatency(now.Sub(g.GrantedAt))
 	case Failed:
 		u.failures++
 		if u.failures >= ejectAfter || u.backoff > 0 {
@@ -74,25 +74,25 @@
 	}
 }
 
-func (u *upstream) learn(sample time.Duration) {
+func (u *upstream) observeLatency(sample time.Duration) {
 	u.latency += time.Duration(latencyWeight * float64(sample-u.latency))
 }
 
 // eject keeps a failing upstream out, longer each time. A worker that fails
 // fast is always free, so without this it would attract all requests.
 func (u *upstream) eject(now time.Time) {
-	u.backoff = min(max(2*u.backoff, ejectFirst), ejectMost)
-	u.ejected = now.Add(u.backoff)
+	u.backoff = min(max(2*u.backoff, minEjection), maxEjection)
+	u.ejectedUntil = now.Add(u.backoff)
 }
 
-// doubtful returns the ids of requests granted before since that have shown
+// unanswered returns the ids of requests granted before since that have shown
 // no sign of an answer.
-func (u *upstream) doubtful(since time.Time) []string {
+func (u *upstream) unanswered(since time.Time) []string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	var ids []string
 	for id, g := range u.inFlight {
-		if g.GrantedAt.Before(since) && !g.answering.Load() {
+		if g.GrantedAt.Before(since) && !g.responseStarted.Load() {
 			ids = append(ids, id)
 		}
 	}
@@ -107,7 +107,7 @@
 
 func (u *upstream) resolve(request string, state worker.RequestState, now time.Time) {
 	g := u.grant(request)
-	if g == nil || g.answering.Load() {
+	if g == nil || g.responseStarted.Load() {
 		return
 	}
 	switch {
--- a/internal/routing/waiter.go
+++ b/internal/routing/waiter.go
@@ -7,9 +7,9 @@
 	grant    *Grant
 	rank     int
 	deadline time.Time
-	order    uint64
-	// answer gets the grant's error, or nil when the slot is taken.
-	answer chan error
+	sequence uint64
+	// result gets the grant's error, or nil when the slot is taken.
+	result chan error
 }
 
 // before orders the queue: the more urgent first, then the longer waiting.
@@ -17,5 +17,5 @@
 	if w.rank != o.rank {
 		return w.rank < o.rank
 	}
-	return w.order < o.order
+	return w.sequence < o.sequence
 }
--- a/internal/traffic/counter.go
+++ b/internal/traffic/counter.go
@@ -37,14 +37,14 @@
 		if err != nil {
 			return nil, err
 		}
-		return c.conn(conn), nil
+		return c.wrap(conn), nil
 	}
 }
 
 // WrapListener returns a listener whose connections are counted.
 func (c *Counter) WrapListener(l net.Listener) net.Listener { return &listener{l, c} }
 
-func (c *Counter) conn(conn net.Conn) net.Conn {
+func (c *Counter) wrap(conn net.Conn) net.Conn {
 	c.connections.Inc()
 	return &countedConn{conn, c}
 }
--- a/internal/traffic/counter_test.go
+++ b/internal/traffic/counter_test.go
@@ -48,12 +48,12 @@
 
 func TestLogLinesTellWhatWasAdded(t *testing.T) {
 	last := map[string]uint64{}
-	since(last)
+	countsSince(last)
 	CounterFor(Store).in.Add(7)
-	if got := since(last); got["store_in"] != uint64(7) || len(got) != 1 {
+	if got := countsSince(last); got["store_in"] != uint64(7) || len(got) != 1 {
 		t.Errorf("%v, want 7 bytes from the store and nothing else", got)
 	}
-	if got := since(last); len(got) != 0 {
+	if got := countsSince(last); len(got) != 0 {
 		t.Errorf("%v when nothing was added", got)
 	}
 }
--- a/internal/traffic/listener.go
+++ b/internal/traffic/listener.go
@@ -14,5 +14,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return l.counter.conn(conn), nil
+	return l.counter.wrap(conn), nil
 }
--- a/internal/traffic/log.go
+++ b/internal/traffic/log.go
@@ -22,13 +22,13 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			log.WithFields(since(last)).Info("traffic")
+			log.WithFields(countsSince(last)).Info("traffic")
 		}
 	}
 }
 
-// since returns by how much each counter is higher than in last, and updates last.
-func since(last map[string]uint64) logrus.Fields {
+// countsSince returns by how much each counter is higher than in last, and updates last.
+func countsSince(last map[string]uint64) logrus.Fields {
 	fields := logrus.Fields{}
 	for _, p := range Purposes {
 		c := CounterFor(p)
