--- a/internal/fairness/token_bucket.go
+++ b/internal/fairness/token_bucket.go
@@ -1,22 +1,24 @@
-// Package fairness tells which of the jobs of a workspace are within its share. It is pure.
+// Package fairness decides which jobs of a workspace are within its fair share. It performs no
+// I/O.
 //
-// Weights are shares when there is not enough for all: a workspace that sends many times its
-// usual must not make the others wait. Its jobs beyond its share are done when there is room.
+// Shares apply under contention: a workspace that submits many times its usual load must not
+// delay the others. Its jobs beyond the share run when capacity is left.
 package fairness
 
 import "time"
 
-// TokenBucket measures the jobs of one workspace against its share of jobs a second. The zero
-// value is that of a workspace that has sent nothing.
+// TokenBucket measures the jobs of one workspace against its share in jobs per second. The zero
+// value is ready to use, for a workspace that has not submitted any job.
 type TokenBucket struct {
 	tokens     float64
 	refilledAt time.Time
 }
 
-// Take takes in a job that was accepted at a time and reports whether it is within a share
-// of rate jobs a second, of which those of the last second may come at once. A share of 0 is
-// no limit. Jobs have to come in the order of their times; one that does not counts as of the
-// time of the one before.
+// Take records a job that was accepted at the given time and reports whether it is within a
+// share of rate jobs per second. The bucket holds the tokens of 1 second, at least 1 token, so
+// that many jobs may arrive at once. A rate of 0 means no limit. Calls must be in order of
+// time; a job with an earlier time than its predecessor counts as accepted at the predecessor's
+// time.
 func (b *TokenBucket) Take(rate float64, at time.Time) bool {
 	if rate <= 0 {
 		return true
--- a/internal/fairness/token_bucket_test.go
+++ b/internal/fairness/token_bucket_test.go
@@ -10,7 +10,7 @@
 	for _, test := range []struct {
 		name string
 		rate float64
-		// at are the times of jobs in milliseconds.
+		// at holds the times of the jobs in milliseconds.
 		at   []int
 		want []bool
 	}{
@@ -18,7 +18,7 @@
 		{"one a second", 1, []int{0, 10, 990, 1000, 1500, 2000}, []bool{true, false, false, true, false, true}},
 		{"three at once", 3, []int{0, 0, 0, 0, 334}, []bool{true, true, true, false, true}},
 		{"half a job a second", 0.5, []int{0, 1000, 2000}, []bool{true, false, true}},
-		{"nothing is saved for later", 2, []int{0, 60000, 60000, 60000}, []bool{true, true, true, false}},
+		{"tokens of more than one second are not kept", 2, []int{0, 60000, 60000, 60000}, []bool{true, true, true, false}},
 		{"out of order", 1, []int{1000, 0, 1500, 2000}, []bool{true, false, false, true}},
 	} {
 		var b TokenBucket
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -7,30 +7,32 @@
 	"gentianstand/internal/resource"
 )
 
-// Account is what one workspace has running, and what it may have.
+// Account holds the resource usage of one workspace on all workers, and its limits.
 type Account struct {
 	Workspace string
-	// Used is what its runs occupy, those included that may still be starting or stopping.
+	// Used is the amount that the workspace's runs occupy, including runs that may still be
+	// starting or stopping.
 	Used resource.Amount
-	// Unconfirmed is what may run besides on workers that have not been heard yet.
+	// Unconfirmed is the additional amount that may be in use on workers that have not reported
+	// yet.
 	Unconfirmed resource.Amount
-	// Cap bounds the sum; 0 in a dimension is no limit.
+	// Cap bounds the sum of Used and Unconfirmed; 0 in a dimension means no limit.
 	Cap resource.Amount
-	// Weight is its share when there is not enough for all, in jobs a second.
+	// Weight is the workspace's share under contention, in jobs per second.
 	Weight float64
-	// Bucket measures its jobs against that.
+	// Bucket measures the workspace's jobs against Weight.
 	Bucket fairness.TokenBucket
 }
 
-// Allocate adds what a run occupies.
+// Allocate adds the resources of a run to Used.
 func (a *Account) Allocate(need resource.Amount) { a.Used = a.Used.Add(need) }
 
-// Release takes it off again.
+// Release subtracts the resources of a run from Used.
 func (a *Account) Release(need resource.Amount) { a.Used = a.Used.Sub(need) }
 
-// Startable returns how many tasks of some need may start now, at most most. A task that
-// exceeds the cap alone may start when nothing else of the workspace runs: it would wait
-// forever otherwise.
+// Startable returns how many tasks with the given need may start now, at most most. A task that
+// exceeds the cap on its own may start while nothing else of the workspace runs; otherwise it
+// would wait forever.
 func (a *Account) Startable(need resource.Amount, most int) int {
 	n := int(need.CountIn(a.headroom(), int64(most)))
 	if n == 0 && most > 0 && a.idle() && !need.Fits(effectiveCap(a.Cap)) {
@@ -39,7 +41,7 @@
 	return n
 }
 
-// FitsCap reports whether a gang of some need in all fits under the cap when nothing else of
+// FitsCap reports whether need, the total of a gang, fits under the cap while nothing else of
 // the workspace runs.
 func (a *Account) FitsCap(need resource.Amount) bool { return need.Fits(effectiveCap(a.Cap)) }
 
@@ -49,7 +51,7 @@
 
 func (a *Account) idle() bool { return a.Used.IsZero() && a.Unconfirmed.IsZero() }
 
-// effectiveCap returns a cap with a bound that nothing reaches in place of no limit.
+// effectiveCap returns limit with each 0 (no limit) replaced by a bound that is never reached.
 func effectiveCap(limit resource.Amount) resource.Amount {
 	return resource.Amount{MilliCPU: boundOrMax(limit.MilliCPU), MemoryMiB: boundOrMax(limit.MemoryMiB), Accelerators: boundOrMax(limit.Accelerators)}
 }
--- a/internal/quota/account_test.go
+++ b/internal/quota/account_test.go
@@ -18,10 +18,10 @@
 		want    int
 	}{
 		{"no cap", Account{Used: resource.Amount{MilliCPU: 1 << 40}}, one, 7, 7},
-		{"memory binds", Account{Cap: limit}, one, 7, 3},
+		{"memory is the limit", Account{Cap: limit}, one, 7, 3},
 		{"some is used", Account{Cap: limit, Used: one}, one, 7, 2},
-		{"some may run unseen", Account{Cap: limit, Unconfirmed: one.Times(3)}, one, 7, 0},
-		{"used and unseen", Account{Cap: limit, Used: one, Unconfirmed: one}, one, 7, 1},
+		{"some may run unconfirmed", Account{Cap: limit, Unconfirmed: one.Times(3)}, one, 7, 0},
+		{"used and unconfirmed", Account{Cap: limit, Used: one, Unconfirmed: one}, one, 7, 1},
 		{"fewer are wanted", Account{Cap: limit}, one, 2, 2},
 		{"the cap was lowered below what runs", Account{Cap: limit, Used: one.Times(9)}, one, 7, 0},
 		{"accelerators without a limit", Account{Cap: limit}, resource.Amount{Accelerators: 50}, 7, 7},
@@ -31,13 +31,13 @@
 		{"none is wanted", Account{Cap: limit}, one, 0, 0},
 	} {
 		if got := test.account.Startable(test.need, test.most); got != test.want {
-			t.Errorf("%s: %d, want %d", test.name, got, test.want)
+			t.Errorf("%s: %d tasks may start, want %d", test.name, got, test.want)
 		}
 	}
 }
 
-// Failure: an older configuration raises a cap again, or the cap of a workspace that is
-// gone holds its jobs back.
+// An older configuration must not override the caps of a newer one, and the cap of a removed
+// workspace must not block its remaining jobs.
 func TestLedgerTakesTheNewestCaps(t *testing.T) {
 	l := NewLedger()
 	config := func(version uint64, workspaces ...catalog.Workspace) *catalog.Catalog {
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -1,5 +1,6 @@
-// Package quota keeps the books of what workspaces have running on all workers together,
-// beside those of what each worker runs. It is pure; its owner locks it.
+// Package quota tracks the resource usage of each workspace across all workers, in addition to
+// the usage tracked per worker. It performs no I/O and no locking; callers must serialize
+// access.
 package quota
 
 import (
@@ -9,18 +10,18 @@
 
 // Ledger holds the accounts of all workspaces.
 type Ledger struct {
-	// version is that of the configuration that the caps are from.
+	// version is the version of the configuration that the caps come from.
 	version  uint64
 	accounts map[string]*Account
 }
 
-// NewLedger returns a ledger that knows no configuration yet.
+// NewLedger returns a ledger without accounts and without a configuration.
 func NewLedger() *Ledger { return &Ledger{accounts: map[string]*Account{}} }
 
-// Version returns the version of the configuration in use.
+// Version returns the version of the configuration that the caps come from.
 func (l *Ledger) Version() uint64 { return l.version }
 
-// Account returns the account of a workspace.
+// Account returns the account of a workspace and creates it if it does not exist.
 func (l *Ledger) Account(workspace string) *Account {
 	a := l.accounts[workspace]
 	if a == nil {
@@ -30,12 +31,11 @@
 	return a
 }
 
-// Accounts returns all accounts by the names of their workspaces. The map must not be
-// changed.
+// Accounts returns all accounts by workspace name. Callers must not modify the map.
 func (l *Ledger) Accounts() map[string]*Account { return l.accounts }
 
-// Configure takes the caps from a newer configuration. A workspace that it does not name has
-// no cap: jobs that were accepted from it go on.
+// Configure applies the caps and weights of c if c is newer than the configuration in use. A
+// workspace that c does not list has no cap, so that its accepted jobs can finish.
 func (l *Ledger) Configure(c *catalog.Catalog) {
 	if c == nil || c.Version <= l.version {
 		return
