--- a/internal/access/call.go
+++ b/internal/access/call.go
@@ -2,12 +2,12 @@
 
 import "gentianstand/internal/steady"
 
-// Call is what decides whether a call is served.
+// Call holds the properties of a request that decide whether it is served.
 type Call struct {
 	Host string
 	Path string
 	// Key is the API key, or empty.
 	Key string
-	// ArrivedAt is when the call was read.
+	// ArrivedAt is when the request was read.
 	ArrivedAt steady.Instant
 }
--- a/internal/access/caller.go
+++ b/internal/access/caller.go
@@ -1,15 +1,16 @@
 package access
 
-// Caller is who a call comes from.
+// Caller identifies the origin of a call.
 type Caller struct {
-	// Workspace has the key of the call; it is empty where no key was needed.
+	// Workspace is the workspace that owns the call's API key; it is empty if no key was
+	// required.
 	Workspace string
-	// Anonymous says that the queue is open without a key.
+	// Anonymous means that the queue accepts calls without a key.
 	Anonymous bool
 }
 
-// MaySee reports whether the caller may see and cancel a job of a workspace. A job without
-// one was handed in without a key.
+// MaySee reports whether the caller may see and cancel a job of the given workspace. A job
+// without a workspace was submitted without a key.
 func (c Caller) MaySee(workspace string) bool {
 	return c.Anonymous || workspace == "" || workspace == c.Workspace
 }
--- a/internal/access/confirmer.go
+++ b/internal/access/confirmer.go
@@ -2,9 +2,9 @@
 
 import "context"
 
-// Confirmer brings the view of the configuration up to date.
+// Confirmer updates this instance's view of the configuration.
 type Confirmer interface {
-	// Confirm returns an error if neither the store nor another instance could tell which
-	// configuration is the newest.
+	// Confirm checks that the view is the newest configuration or replaces it. It returns an
+	// error if neither the store nor another instance could name the newest configuration.
 	Confirm(ctx context.Context) error
 }
--- a/internal/access/doc.go
+++ b/internal/access/doc.go
@@ -1,7 +1,8 @@
-// Package access decides which calls of callers are served: whether there is such a queue,
-// and whether the key that a call carries opens it.
+// Package access decides which calls are served: whether a queue matches the call, and whether
+// the API key of the call gives access to that queue.
 //
-// A key that was taken away must stop working although an instance has lost touch with the
-// store. So a Gate serves keyed calls only while its view of the configuration was confirmed
-// lately, and refuses them for now when neither the store nor another instance confirms it.
+// A revoked key must be refused even by an instance that has lost contact with the store. A
+// Gate therefore serves calls with keys only while its view of the configuration was confirmed
+// recently. If neither the store nor another instance confirms the view, the Gate refuses such
+// calls with a temporary error.
 package access
--- a/internal/access/gate.go
+++ b/internal/access/gate.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// confirmTimeout bounds the wait of a call for a confirmation: the time in which the store
-	// or another instance answers while either is well.
+	// confirmTimeout bounds how long a call waits for a confirmation. The store or another
+	// instance answers within this time if either is healthy.
 	confirmTimeout = 600 * time.Millisecond
-	// unconfirmedRetryAfter tells callers when to come back to an instance that cannot tell
-	// whether their key is valid; another instance may serve them at once.
+	// unconfirmedRetryAfter is the retry delay for callers of an instance that cannot decide
+	// whether their key is valid. Another instance may serve them immediately.
 	unconfirmedRetryAfter = time.Second
 )
 
@@ -26,24 +26,24 @@
 	policy    Policy
 	current   *catalog.Current
 	confirmer Confirmer
-	// confirming shares a confirmation among the calls that need one.
+	// confirming lets concurrent calls share one confirmation.
 	confirming singleflight.Group
 	metrics    *Metrics
 	log        logrus.FieldLogger
-	// now may be replaced by tests.
+	// now is the clock; tests replace it.
 	now func() steady.Instant
 }
 
-// NewGate returns a gate before the configuration in force.
+// NewGate returns a Gate that decides calls by the configuration in current.
 func NewGate(p Policy, current *catalog.Current, c Confirmer, m *Metrics, log logrus.FieldLogger) *Gate {
 	return &Gate{policy: p, current: current, confirmer: c, metrics: m, log: log, now: steady.Now}
 }
 
-// Now returns the instant for a call that was just read.
+// Now returns the current instant, for Call.ArrivedAt.
 func (g *Gate) Now() steady.Instant { return g.now() }
 
 // Admit returns how a call is served, or an error of kind UnknownPath, UnknownKey or
-// PlatformUnavailable. In either case nothing was done for the call.
+// PlatformUnavailable. In both cases no work has been done for the call.
 func (g *Gate) Admit(ctx context.Context, call Call) (Grant, error) {
 	grant, verdict := g.policy.decide(g.current.View(), call, g.now())
 	if verdict == outdated {
@@ -53,12 +53,12 @@
 	return grant, g.errorFor(verdict)
 }
 
-// confirm waits for a confirmation that began after now, or a moment before.
+// confirm waits for a confirmation that starts now or is already in progress.
 func (g *Gate) confirm(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	done := g.confirming.DoChan("", func() (any, error) {
-		// Others may wait for it when this caller has gone.
+		// Other calls may wait for this confirmation after the caller has disconnected.
 		shared, cancel := context.WithTimeout(context.Background(), confirmTimeout)
 		defer cancel()
 		err := g.confirmer.Confirm(shared)
--- a/internal/access/gate_test.go
+++ b/internal/access/gate_test.go
@@ -15,7 +15,7 @@
 	"gentianstand/internal/steady"
 )
 
-// scriptedConfirmer does what a test says.
+// scriptedConfirmer runs the function that a test sets.
 type scriptedConfirmer struct {
 	confirm func(context.Context) error
 	asked   int
@@ -26,7 +26,7 @@
 	return s.confirm(ctx)
 }
 
-// newTestGate is a gate whose clock stands at an hour, before a view of some age.
+// newTestGate returns a gate whose clock is fixed at 1 hour and whose view has the given age.
 func newTestGate(age time.Duration, c *scriptedConfirmer) (*Gate, *catalog.Current, *logtest.Hook) {
 	log, hook := logtest.NewNullLogger()
 	current := &catalog.Current{}
@@ -41,7 +41,8 @@
 	return g.Admit(ctx, Call{Host: "desk.example", Path: "/closed/1", Key: key, ArrivedAt: g.Now()})
 }
 
-// Failure: a key that was added a moment ago is refused for good.
+// A key that was added a moment ago must not be rejected permanently: the configuration is
+// confirmed first.
 func TestUnknownKeyIsLookedUpBeforeItIsRefused(t *testing.T) {
 	var g *Gate
 	var current *catalog.Current
@@ -56,29 +57,29 @@
 		t.Errorf("new key: %+v, %v", grant.Caller, err)
 	}
 	if _, err := g.admitKey(t.Context(), northKey); !fault.Is(err, fault.UnknownKey) || c.asked != 1 {
-		t.Errorf("removed key: %v after %d questions, want unknown_key after 1", err, c.asked)
+		t.Errorf("removed key: %v after %d confirmations, want unknown_key after 1", err, c.asked)
 	}
 }
 
-// Failure: a removed key goes on working on an instance that has lost touch.
+// An instance that has lost contact with the store must not accept a removed key.
 func TestKeysAreRefusedTemporarilyWithoutConfirmation(t *testing.T) {
-	c := &scriptedConfirmer{confirm: func(context.Context) error { return errors.New("nobody") }}
+	c := &scriptedConfirmer{confirm: func(context.Context) error { return errors.New("no confirmation available") }}
 	g, _, hook := newTestGate(4*time.Second, c)
 	_, err := g.admitKey(t.Context(), northKey)
 	if !fault.Is(err, fault.PlatformUnavailable) || fault.From(err).Answer().RetryAfter <= 0 || fault.From(err).Answer().Outcome != fault.DidNotRun {
-		t.Errorf("got %v, want a refusal for now that says that nothing ran", err)
+		t.Errorf("got %v, want a temporary refusal with outcome did_not_run", err)
 	}
 	if _, err := g.admitKey(t.Context(), "other"); !fault.Is(err, fault.PlatformUnavailable) {
-		t.Errorf("unknown key: %v, want a refusal for now", err)
+		t.Errorf("unknown key: %v, want a temporary refusal", err)
 	}
 	for _, e := range hook.AllEntries() {
 		if line, _ := e.String(); strings.Contains(line, northKey) {
-			t.Errorf("the log holds a key: %s", line)
+			t.Errorf("the log contains a key: %s", line)
 		}
 	}
 }
 
-// Failure: callers wait until their deadline for an answer that cannot come.
+// A caller must not wait until its deadline for a confirmation that cannot be obtained.
 func TestConfirmationTimesOut(t *testing.T) {
 	c := &scriptedConfirmer{confirm: func(ctx context.Context) error {
 		<-ctx.Done()
@@ -88,6 +89,6 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := g.admitKey(ctx, northKey); !fault.Is(err, fault.PlatformUnavailable) {
-		t.Errorf("got %v", err)
+		t.Errorf("got %v, want platform_unavailable", err)
 	}
 }
--- a/internal/access/grant.go
+++ b/internal/access/grant.go
@@ -2,12 +2,12 @@
 
 import "gentianstand/internal/catalog"
 
-// Grant says how a call is served.
+// Grant describes how an allowed call is served.
 type Grant struct {
 	Queue *catalog.Queue
-	// PathSuffix is what follows the queue's prefix in the path.
+	// PathSuffix is the part of the path after the queue's prefix.
 	PathSuffix string
 	Caller     Caller
-	// Catalog is the one that the decision was made from.
+	// Catalog is the configuration that the decision is based on.
 	Catalog *catalog.Catalog
 }
--- a/internal/access/metrics.go
+++ b/internal/access/metrics.go
@@ -2,11 +2,12 @@
 
 import "github.com/VictoriaMetrics/metrics"
 
-// Metrics count the calls that were refused before anything was done for them.
+// Metrics counts the calls that were refused before any work was done for them.
 type Metrics struct {
-	// UnknownKeys carried no key, or one that no workspace has.
+	// UnknownKeys counts calls without a key or with a key that no workspace has.
 	UnknownKeys *metrics.Counter
-	// Unconfirmed could not be decided on, because the configuration was not confirmed.
+	// Unconfirmed counts calls that could not be decided because the configuration was not
+	// confirmed.
 	Unconfirmed *metrics.Counter
 }
 
--- a/internal/access/model_test.go
+++ b/internal/access/model_test.go
@@ -14,15 +14,15 @@
 const (
 	modelInstances = 2
 	modelRevoke    = 5 * time.Second
-	// modelRejectAfter is how long after it was added a key must not be refused for good.
+	// modelRejectAfter is how long after it was added a key must not be rejected permanently.
 	modelRejectAfter = time.Second
 )
 
-// modelKeys are the keys that configurations hold or lack; the last one stands for a call
-// without a key, and is in none.
+// modelKeys are the keys that configurations may contain. The last one represents a call
+// without a key; no configuration contains it.
 var modelKeys = []string{"k0", "k1", ""}
 
-// modelInstance is one instance with a clock of its own.
+// modelInstance is an instance with its own clock.
 type modelInstance struct {
 	current *catalog.Current
 	offset  time.Duration
@@ -30,7 +30,7 @@
 	queries []*modelQuery
 }
 
-// modelQuery is a question under way, to the store or to another instance.
+// modelQuery is an outstanding query to the store or to another instance.
 type modelQuery struct {
 	asked    steady.Instant
 	answered bool
@@ -41,7 +41,7 @@
 // modelVersion is one version of the configuration and when it was acknowledged.
 type modelVersion struct {
 	keys []string
-	// public says that the queue needs no key.
+	// public means that the queue needs no key.
 	public bool
 	at     time.Duration
 }
@@ -49,7 +49,7 @@
 // opens reports whether a call with a key is allowed.
 func (v *modelVersion) opens(key string) bool { return v.public || slices.Contains(v.keys, key) }
 
-// accessModel plays a store, instances that read it and ask one another, and calls.
+// accessModel simulates a store, instances that read it and query each other, and calls.
 type accessModel struct {
 	now       time.Duration
 	versions  []modelVersion
@@ -70,7 +70,7 @@
 		Queues: []catalog.Queue{{Name: "q", Host: "h", PathPrefix: "/", Public: version.public}}})
 }
 
-// validSince reports whether a key was valid at some moment from a time on.
+// validSince reports whether a key was valid at any time at or after from.
 func (m *accessModel) validSince(key string, from time.Duration) bool {
 	for n, v := range m.versions {
 		endsBefore := n+1 < len(m.versions) && m.versions[n+1].at < from
@@ -81,7 +81,7 @@
 	return false
 }
 
-// call has a key tried at an instance.
+// call makes a call with a key at an instance and checks the verdict.
 func (m *accessModel) call(t *rapid.T, i *modelInstance, key string) {
 	call := Call{Host: "h", Path: "/1", Key: key, ArrivedAt: m.clock(i)}
 	policy := Policy{KeysNeeded: true, RevokedWithin: modelRevoke}
@@ -91,29 +91,29 @@
 	}
 	newest := m.versions[len(m.versions)-1]
 	if got == unknownKey && newest.opens(key) && m.now-newest.at > modelRejectAfter {
-		t.Fatalf("%q is refused for good at %v; versions %+v", key, m.now, m.versions)
+		t.Fatalf("%q is rejected permanently at %v; versions %+v", key, m.now, m.versions)
 	}
 }
 
-// pick draws an instance.
+// pick draws a random instance.
 func (m *accessModel) pick(t *rapid.T) *modelInstance {
 	return rapid.SampledFrom(m.instances).Draw(t, "instance")
 }
 
-// change puts a configuration with some of the keys into force.
+// change puts a configuration with some of the keys into effect.
 func (m *accessModel) change(t *rapid.T) {
 	all := modelKeys[:len(modelKeys)-1]
 	kept := rapid.SliceOfNDistinct(rapid.SampledFrom(all), 0, len(all), rapid.ID[string]).Draw(t, "keys")
 	m.versions = append(m.versions, modelVersion{kept, rapid.Bool().Draw(t, "public"), m.now})
 }
 
-// ask sends a question.
+// ask sends a query from a random instance.
 func (m *accessModel) ask(t *rapid.T) {
 	i := m.pick(t)
 	i.queries = append(i.queries, &modelQuery{asked: m.clock(i)})
 }
 
-// unanswered returns the oldest question of an instance without an answer, or nil.
+// unanswered returns the oldest query of an instance without an answer, or nil.
 func (i *modelInstance) unanswered() *modelQuery {
 	at := slices.IndexFunc(i.queries, func(r *modelQuery) bool { return !r.answered })
 	if at < 0 {
@@ -122,14 +122,14 @@
 	return i.queries[at]
 }
 
-// answerFromStore has the store answer a question.
+// answerFromStore lets the store answer a query.
 func (m *accessModel) answerFromStore(t *rapid.T) {
 	if r := m.pick(t).unanswered(); r != nil {
 		r.answered, r.found = true, m.newest()
 	}
 }
 
-// answerFromInstance has an instance answer another one's question.
+// answerFromInstance lets an instance answer a query of another one.
 func (m *accessModel) answerFromInstance(t *rapid.T) {
 	i, peer := m.pick(t), m.pick(t)
 	view := peer.current.View()
@@ -140,7 +140,7 @@
 	r.answered, r.found, r.age = true, view.Catalog, view.Age(m.clock(peer))
 }
 
-// deliverAnswer has an instance take an answer in.
+// deliverAnswer delivers an answer to the instance that sent the query.
 func (m *accessModel) deliverAnswer(t *rapid.T) {
 	i := m.pick(t)
 	at := slices.IndexFunc(i.queries, func(r *modelQuery) bool { return r.answered })
@@ -153,13 +153,13 @@
 	i.current.Confirm(r.asked.Add(-r.age))
 }
 
-// restart has an instance forget everything.
+// restart restarts an instance, which loses its state.
 func (m *accessModel) restart(t *rapid.T) {
 	i := m.pick(t)
 	i.current, i.queries = &catalog.Current{}, nil
 }
 
-// callAll has all keys tried at all instances.
+// callAll makes a call with every key at every instance.
 func (m *accessModel) callAll(t *rapid.T) {
 	for _, i := range m.instances {
 		for _, key := range modelKeys {
@@ -177,8 +177,9 @@
 	return m
 }
 
-// Failure: a key opens a queue later than the time after which it must not, on an instance
-// whose reads are delayed, that hears from other instances, starts again or drifts.
+// A removed key must not open a queue after the revocation limit, even on an instance whose
+// reads are delayed, that gets its view from other instances, restarts, or has a drifting
+// clock.
 func TestModelOfRevocation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newAccessModel(t)
--- a/internal/access/policy.go
+++ b/internal/access/policy.go
@@ -8,26 +8,25 @@
 )
 
 const (
-	// maxViewAgeShare of the time after which a removed key must not work is how long a view
-	// serves after it was confirmed; the rest is for clocks that drift and for feeds that
-	// hear of a change late.
+	// maxViewAgeShare is the part of Policy.RevokedWithin for which a view may be used after it
+	// was confirmed. The rest allows for clock drift and for change feeds that deliver late.
 	maxViewAgeShare = 0.7
-	// maxRejectAge is how old a view may be that refuses a key for good: a caller whose key
-	// was added a moment ago must not be told that there is none.
+	// maxRejectAge is the maximum age of a view that may reject a key permanently. A caller
+	// whose key was added a moment ago must not get the answer that the key is unknown.
 	maxRejectAge = 250 * time.Millisecond
 )
 
-// Policy is what a deployment demands of calls.
+// Policy holds the access rules of a deployment.
 type Policy struct {
-	// KeysNeeded says that queues which are not public need a key.
+	// KeysNeeded means that queues that are not public require an API key.
 	KeysNeeded bool
-	// RevokedWithin is the time after which a removed key must not work on any instance,
-	// in touch with the store or not; 0 is no such time.
+	// RevokedWithin is the time after which every instance must refuse a removed key, even an
+	// instance that cannot reach the store; 0 means no such limit.
 	RevokedWithin time.Duration
 }
 
-// MaxViewAge returns how long a view serves calls with keys after it was confirmed; 0 is for as
-// long as there is no newer one.
+// MaxViewAge returns how long after its confirmation a view may decide calls with keys; 0 means
+// until a newer view replaces it.
 func (p Policy) MaxViewAge() time.Duration {
 	if !p.KeysNeeded {
 		return 0
@@ -35,7 +34,8 @@
 	return time.Duration(maxViewAgeShare * float64(p.RevokedWithin))
 }
 
-// decide says what a view means for a call at an instant after the call was read.
+// decide evaluates a call against a view of the configuration. now is an instant after the call
+// was read.
 func (p Policy) decide(view catalog.View, call Call, now steady.Instant) (Grant, verdict) {
 	if view.Catalog == nil {
 		return Grant{}, noCatalog
--- a/internal/access/verdict.go
+++ b/internal/access/verdict.go
@@ -1,17 +1,17 @@
 package access
 
-// verdict is what a view of the configuration says of a call.
+// verdict is the result of evaluating a call against a view of the configuration.
 type verdict int
 
 const (
-	// allowed means that the call is allowed.
+	// allowed means that the call is served.
 	allowed verdict = iota
-	// noCatalog means that no configuration is known.
+	// noCatalog means that this instance has no configuration yet.
 	noCatalog
-	// noQueue means that no queue has this host and path.
+	// noQueue means that no queue matches the host and the path.
 	noQueue
 	// unknownKey means that no workspace has the key.
 	unknownKey
-	// outdated means that the view may be too old to tell.
+	// outdated means that the view may be too old to decide.
 	outdated
 )
