--- a/internal/admission/backlog.go
+++ b/internal/admission/backlog.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Backlog is how long the accepted work of a service's queues takes that goes before new
-// work of one priority, or beside it, with all workers. There is none where workers have
-// room.
+// Backlog is the estimated time that all workers need for the accepted work of a service's
+// queues that runs before, or along with, new work of one priority. There is no backlog while
+// workers have free capacity.
 type Backlog struct {
 	Service  string
 	Priority int
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -8,35 +8,37 @@
 )
 
 const (
-	// lateFactor times its objective is how long a job may take to be taken in. Twice
-	// that late, its end is of little use to most callers; and work beyond it waits until
-	// the load is over, as work that is in time goes first.
+	// A job is refused if its expected wait exceeds lateFactor times its objective. At twice
+	// that wait, the result is of little use to most callers. Work beyond the limit would wait
+	// until the load is over, because work that still meets its objective runs first.
 	lateFactor = 1.5
-	// backlogTTL is how long a backlog is believed. An instance that has heard nothing for
-	// longer takes a job in, and learns the backlog from the answer.
+	// backlogTTL is how long a received backlog is used. An instance without a recent backlog
+	// accepts the job and receives the current backlog in the owner's response.
 	backlogTTL = 2 * time.Second
-	// minRetryAfter and latestReturn bound when a refused caller is to come back: no
-	// backlog changes much within the one, and no forecast holds beyond the other.
+	// minRetryAfter and maxRetryAfter bound the retry delay of a refused caller: no backlog
+	// changes much within minRetryAfter, and no forecast holds beyond maxRetryAfter.
 	minRetryAfter = time.Second
 	maxRetryAfter = 10 * time.Second
 )
 
-// Controller is the newest backlog that an instance was told. It is safe for concurrent use.
+// Controller holds the newest backlogs that an instance has received and decides which jobs are
+// refused. It is safe for concurrent use.
 type Controller struct {
 	mu        sync.Mutex
 	backlogs  []Backlog
 	updatedAt time.Time
 }
 
-// Update takes in the backlogs of a moment.
+// Update replaces the backlogs with those reported at now.
 func (c *Controller) Update(backlogs []Backlog, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.backlogs, c.updatedAt = backlogs, now
 }
 
-// Wait returns how long work of a service and priority that is accepted now would wait
-// at most, as far as known. Meanwhile the workers went on.
+// Wait returns the longest known wait for work of a service and priority that is accepted now,
+// or 0 if no recent backlog is known. The age of the backlog is subtracted, because the workers
+// have made progress since.
 func (c *Controller) Wait(service string, priority int, now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,10 +55,11 @@
 	return wait
 }
 
-// ShouldRefuse reports whether a job should be refused, and when its caller should come back.
-// Refused are jobs that would take longer than lateFactor allows: their ends would be of
-// no use, and their callers would not know. That is the less urgent queues first, and of
-// each queue the shortest jobs. What lasts, or is for later, has no such time.
+// ShouldRefuse reports whether a job should be refused and, if so, after which delay its caller
+// should retry. A job is refused if it would be later than lateFactor allows: its result would
+// be of no use, and its caller would not know in advance. This affects the less urgent queues
+// first, and in each queue the shortest jobs. Long-running and scheduled jobs have no such
+// limit.
 func (c *Controller) ShouldRefuse(r *job.Record, now time.Time) (retryAfter time.Duration, refuse bool) {
 	if r.Schedule != nil || r.Lasts() {
 		return 0, false
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -7,7 +7,8 @@
 	"gentianstand/internal/job"
 )
 
-// lookup has an objective of 2 s: half a second of work, stretched by 3, and a target.
+// lookup returns a job with an objective of 2 s: 500 ms of work times a stretch of 3, plus a
+// target of 500 ms.
 func lookup(priority int) *job.Record {
 	return &job.Record{Service: "desk", Priority: priority, Stretch: 3, Target: 500 * time.Millisecond,
 		Steps: []job.Step{{Count: 4, Estimate: 500 * time.Millisecond}}}
@@ -26,38 +27,39 @@
 		name  string
 		job   *job.Record
 		wait  time.Duration
-		after time.Duration // 0: taken in
+		after time.Duration // 0: accepted
 	}{
 		{"nothing waits", lookup(2), 0, 0},
 		{"a little late", lookup(2), 3 * time.Second, 0},
 		{"late", lookup(2), 5 * time.Second, 2 * time.Second},
 		{"just too late", lookup(2), 3*time.Second + 1, minRetryAfter},
-		{"hopeless", lookup(2), time.Minute, maxRetryAfter},
+		{"far too late", lookup(2), time.Minute, maxRetryAfter},
 		{"of a more urgent queue", lookup(0), time.Minute, 0},
 		{"of another service", elsewhere, time.Minute, 0},
-		{"one that lasts", lasting, time.Minute, 0},
-		{"one for later", later, time.Minute, 0},
-		{"one with more time", long, 40 * time.Second, 0},
+		{"long-running", lasting, time.Minute, 0},
+		{"scheduled", later, time.Minute, 0},
+		{"longer objective", long, 40 * time.Second, 0},
 	} {
 		var c Controller
 		c.Update([]Backlog{{Service: "desk", Priority: 2, Wait: test.wait}, {Service: "desk", Priority: 0, Wait: 0}}, now)
 		after, refuse := c.ShouldRefuse(test.job, now)
 		if after != test.after || refuse != (test.after > 0) {
-			t.Errorf("%s: refused %v, to come back after %v, want %v", test.name, refuse, after, test.after)
+			t.Errorf("%s: refused %v with a retry delay of %v, want %v", test.name, refuse, after, test.after)
 		}
 	}
 }
 
-// Failure: an instance refuses everything although workers are idle.
+// An instance that receives no more backlogs must not keep refusing jobs while workers are
+// idle.
 func TestExpiredBacklogIsIgnored(t *testing.T) {
 	now := time.Now()
 	var c Controller
 	c.Update([]Backlog{{Service: "desk", Priority: 0, Wait: time.Minute}}, now)
 	if _, refuse := c.ShouldRefuse(lookup(0), now.Add(backlogTTL)); !refuse {
-		t.Errorf("taken in %v after the news", backlogTTL)
+		t.Errorf("accepted %v after the backlog was received", backlogTTL)
 	}
 	if _, refuse := c.ShouldRefuse(lookup(0), now.Add(backlogTTL+1)); refuse {
-		t.Errorf("refused more than %v after the news", backlogTTL)
+		t.Errorf("refused more than %v after the backlog was received", backlogTTL)
 	}
 }
 
--- a/internal/admission/doc.go
+++ b/internal/admission/doc.go
@@ -1,7 +1,7 @@
-// Package admission decides whether a job is taken in when workers are full.
+// Package admission decides whether a new job is accepted while workers are at capacity.
 //
-// The owner of the cell works out how long the work that was accepted will take
-// (Backlog), and tells it with the answers to news of jobs. Each instance keeps the
-// newest in a Book and refuses a job that would be far too late, before it is stored: its
-// caller is told at once, and when to come back.
+// The owner of the cell estimates how long the accepted work will take (Backlog) and reports
+// the estimate in its responses to notifications of jobs. Each instance keeps the newest
+// estimate in a Controller and refuses a job that would be far too late, before it is stored.
+// The caller gets an immediate answer with a retry delay.
 package admission
--- a/internal/intake/admit.go
+++ b/internal/intake/admit.go
@@ -12,10 +12,10 @@
 	"gentianstand/internal/job"
 )
 
-// admit returns an error of kind Overloaded if a job could not be done in a time in which
-// its end is of use. A refusal says that the job never runs, so the store is asked first
-// whether an earlier attempt was stored; if it does not answer, the job is passed on to
-// where that is dealt with.
+// admit returns an error of kind Overloaded if the job could not finish in time for its result
+// to be useful. A refusal means that the job never runs, so the store is queried first for an
+// earlier attempt of the same job. If the store does not answer, the job is admitted and the
+// submission handles the store failure.
 func (i *Intake) admit(ctx context.Context, r *job.Record) error {
 	retryAfter, refuse := i.admission.ShouldRefuse(r, time.Now())
 	if !refuse {
@@ -28,7 +28,7 @@
 	return fault.New(fault.Overloaded, "queue %s: the work before this job takes longer than its end is of use", r.Queue).WithRetryAfter(retryAfter)
 }
 
-// UpdateBacklogs takes in the owner's newest backlogs.
+// UpdateBacklogs records the owner's newest backlogs.
 func (i *Intake) UpdateBacklogs(backlogs []admission.Backlog) {
 	i.admission.Update(backlogs, time.Now())
 }
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -1,6 +1,6 @@
-// Package intake takes jobs in from callers at any instance: it stores a
-// submission or a cancellation itself and tells the cell's owner, and asks the
-// owner, or else the store, for the state of a job. It knows no wire.
+// Package intake accepts jobs from callers at any instance. It stores submissions and
+// cancellations and notifies the owner of the cell. It gets the state of a job from the owner
+// or, if that fails, from the store. It does not depend on the wire protocol.
 package intake
 
 import (
@@ -24,30 +24,31 @@
 )
 
 const (
-	// queryTimeout bounds a question to the owner; the store is asked after it.
+	// queryTimeout bounds a query to the owner; after it, the store is queried.
 	queryTimeout = 500 * time.Millisecond
-	// notifyTimeout bounds news to the owner. News that is lost reaches it through
-	// the store within a second.
+	// notifyTimeout bounds a notification to the owner. If a notification is lost, the owner
+	// finds the change in the store within 1 second.
 	notifyTimeout = time.Second
-	// replyMargin is kept of a caller's deadline for the way of the answer.
+	// replyMargin is the part of a caller's deadline that is reserved for sending the response.
 	replyMargin = 250 * time.Millisecond
-	// outageRetryAfter tells callers when to come back in an outage, and
-	// longOutageRetryAfter when it has lasted for longOutage. A caller has few attempts, and
-	// must not use them up in one outage. The adapter adds jitter.
+	// outageRetryAfter is the retry delay for callers during an outage, and
+	// longOutageRetryAfter the delay once the outage has lasted for longOutage. A caller has
+	// few attempts and must not use them all up in one outage. The adapter adds jitter.
 	outageRetryAfter     = time.Second
 	longOutageRetryAfter = 2 * time.Second
 	longOutage           = 2500 * time.Millisecond
-	// maxOwnerCalls is how many questions to the owner, and how many pieces of news, an
-	// instance has under way at most: as many as it keeps connections.
+	// maxOwnerCalls is how many queries, and how many notifications, an instance may have
+	// outstanding at the owner. It equals the number of connections that an instance keeps.
 	maxOwnerCalls = 4
-	// waitingCountTTL is how old a count of waiting jobs may be.
+	// waitingCountTTL is how long a cached count of waiting jobs may be used.
 	waitingCountTTL = 1500 * time.Millisecond
 )
 
-// errOutage says that the store serves no instance that this one can reach.
+// errOutage means that neither this instance nor any instance that it can reach has access to
+// the store.
 var errOutage = fmt.Errorf("%w: it serves no instance now", store.ErrUnavailable)
 
-// Intake serves callers' jobs.
+// Intake accepts, cancels and reports jobs of callers.
 type Intake struct {
 	jobs      *celljobs.Jobs
 	store     *store.Watched
@@ -57,12 +58,12 @@
 	metrics   *Metrics
 	log       logrus.FieldLogger
 	waiting   waitingCounts
-	// queries and notifications bound what this instance has under way at the owner.
+	// queries and notifications limit the concurrent calls of this instance to the owner.
 	queries, notifications *semaphore
 	admission              admission.Controller
 }
 
-// New returns an intake.
+// New returns an Intake.
 func New(jobs *celljobs.Jobs, s *store.Watched, o Ownership, f *cellpeer.StoreFinder, c *cellpeer.Clients, m *Metrics, log logrus.FieldLogger) *Intake {
 	return &Intake{jobs: jobs, store: s, ownership: o, clients: c, finder: f, metrics: m, log: log,
 		queries: newSemaphore(maxOwnerCalls), notifications: newSemaphore(maxOwnerCalls),
@@ -70,8 +71,9 @@
 }
 
 // Submit accepts a job: it is stored when Submit returns nil. An error of kind
-// PlatformUnavailable says that it was not accepted and never runs, one of kind
-// OutcomeUnknown that the caller has to ask again.
+// PlatformUnavailable means that the job was not accepted and never runs. An error of kind
+// OutcomeUnknown means that it may have been accepted; the caller has to repeat the request to
+// find out.
 func (i *Intake) Submit(ctx context.Context, r *job.Record) error {
 	began := time.Now()
 	if err := r.Check(); err != nil {
@@ -96,19 +98,19 @@
 	i.metrics.Submitted.Inc()
 	i.log.WithFields(logrus.Fields{"job": r.ID, "queue": r.Queue, "workspace": r.Workspace, "took_ms": time.Since(began).Milliseconds()}).Info("job_accepted")
 	if created {
-		// A job that was there already was told to the owner of that time. Told
-		// again, it would look new to the owner of now.
+		// For a job that already existed, the owner at that time was notified. A second
+		// notification would make it look new to the current owner.
 		i.notifySubmitted(r)
 	}
 	return nil
 }
 
-// create stores a record here, or through an instance that reaches the store.
-// created says that this call, and nothing before it, stored the record.
+// create stores a record directly, or through another instance that can reach the store.
+// created reports whether this call, and no earlier attempt, stored the record.
 func (i *Intake) create(ctx context.Context, r *job.Record) (created bool, err error) {
-	// Nothing is sent to a store that is known to be lost: then the caller may be
-	// told that the job will never run, and may try again. After an attempt without
-	// an answer it could not.
+	// No write is sent to a store that is known to be unreachable. The caller can then be
+	// informed that the job never runs, and may retry. After a write without an answer this
+	// would not be known.
 	err = errOutage
 	if i.store.Reachable() {
 		created, err = i.jobs.Create(ctx, r)
@@ -122,7 +124,7 @@
 	}
 	created, peerErr := i.createViaPeer(ctx, peer, r)
 	if peerErr != nil && errors.Is(err, store.ErrUnknown) {
-		// Whatever the peer says, the attempt made here may have taken effect.
+		// Whatever the peer's result, the write from this instance may have taken effect.
 		return false, err
 	}
 	return created, peerErr
@@ -144,7 +146,7 @@
 	return reply.Created, nil
 }
 
-// notifySubmitted tells the owner of a stored job without delaying the caller.
+// notifySubmitted notifies the owner of a stored job without delaying the caller.
 func (i *Intake) notifySubmitted(r *job.Record) {
 	if i.ownership.Submitted(r) {
 		i.UpdateBacklogs(i.ownership.Backlogs())
@@ -164,7 +166,7 @@
 	})
 }
 
-// notifyOwner brings news to the owner once. It may fail: the owner reads the store.
+// notifyOwner calls the owner once. It may fail, because the owner also reads the store.
 func (i *Intake) notifyOwner(id string, call func(context.Context, cellpb.Cells) (bool, error)) {
 	address, self := i.ownership.Owner()
 	if address == "" || self {
@@ -182,8 +184,8 @@
 	}
 }
 
-// Cancel ends a job and reports whether the caller has it. It is stored when Cancel
-// returns without an error.
+// Cancel cancels a job and reports whether the caller has such a job. The cancellation is
+// stored when Cancel returns without an error.
 func (i *Intake) Cancel(ctx context.Context, by access.Caller, id string) (bool, error) {
 	status, _ := i.queryOwner(ctx, id)
 	if !by.MaySee(status.Workspace) {
@@ -218,8 +220,8 @@
 	return i.jobs.Cancel(ctx, by, id, known)
 }
 
-// State returns a job's state; known is false only if the store has no such
-// job of the caller. The owner is asked first, because it knows the newest state.
+// State returns the state of a job. known is false only if the store has no such job of the
+// caller. The owner is queried first, because it has the newest state.
 func (i *Intake) State(ctx context.Context, by access.Caller, id string) (state job.State, known bool, err error) {
 	status, ok := i.queryOwner(ctx, id)
 	if !ok || status.State == "" {
@@ -237,8 +239,8 @@
 	return status.State, true, nil
 }
 
-// queryOwner asks the cell's owner for a job's status; its state is empty if the owner
-// does not know the job, and ok is false if no owner answered.
+// queryOwner asks the owner of the cell for the status of a job. The status has an empty state
+// if the owner does not know the job; ok is false if no owner answered.
 func (i *Intake) queryOwner(ctx context.Context, id string) (status job.Status, ok bool) {
 	if status, ok := i.ownership.Status(id); ok {
 		return status, true
@@ -262,7 +264,7 @@
 	return job.Status{State: job.State(reply.State), Workspace: reply.Workspace}, reply.Owner
 }
 
-// faultFromStore turns a failure of the store into the answer for the caller.
+// faultFromStore converts a store failure into the error for the caller.
 func (i *Intake) faultFromStore(err error) error {
 	if errors.Is(err, store.ErrUnavailable) {
 		after := outageRetryAfter
@@ -274,8 +276,8 @@
 	return fault.New(fault.OutcomeUnknown, "the store did not answer in time: %w", err).WithRetryAfter(outageRetryAfter)
 }
 
-// ReplyDeadline returns when an answer must be ready for a caller that waits for
-// limit from now.
+// ReplyDeadline returns when a response must be ready for a caller that waits for limit from
+// now.
 func ReplyDeadline(now time.Time, limit time.Duration) time.Time {
 	return now.Add(max(limit-replyMargin, limit/2))
 }
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -23,7 +23,7 @@
 	"gentianstand/platform/standin"
 )
 
-// testInstance is one instance with its own way to the store.
+// testInstance is an instance with its own connection to the store.
 type testInstance struct {
 	intake *intake.Intake
 	jobs   *celljobs.Jobs
@@ -31,7 +31,7 @@
 	proxy  *standin.Proxy
 }
 
-// noOwner is an instance that knows no owner.
+// noOwner is the Ownership of an instance that knows no owner.
 type noOwner struct{ store *store.Watched }
 
 func (o noOwner) Ping(*cellpb.PingRequest) *cellpb.PingReply {
@@ -45,7 +45,7 @@
 func (noOwner) Waiting(string) (int, bool)                    { return 0, false }
 func (noOwner) Owner() (string, bool)                         { return "", false }
 
-// newInstances returns instances over one store that know one another.
+// newInstances returns instances that share one store and have discovered each other.
 func newInstances(t *testing.T, names ...string) []*testInstance {
 	t.Helper()
 	backing := httptest.NewServer(standin.NewStore())
@@ -66,7 +66,7 @@
 			return all
 		}
 	}
-	t.Fatal("the instances do not know one another")
+	t.Fatal("the instances did not discover each other")
 	return nil
 }
 
@@ -101,7 +101,7 @@
 	return e, directory
 }
 
-// loseStore has the store loseStore an instance, and waits until it has noticed.
+// loseStore makes the store refuse an instance and waits until the instance has detected it.
 func (e *testInstance) loseStore(t *testing.T) {
 	t.Helper()
 	e.proxy.Refuse(true)
@@ -132,7 +132,8 @@
 	return known
 }
 
-// Failure: callers in one zone are refused while the others are served.
+// An instance that cannot reach the store must store the job through another instance.
+// Otherwise callers in one zone are refused while others are served.
 func TestJobIsStoredThroughAnotherInstance(t *testing.T) {
 	all := newInstances(t, "edge-0", "edge-1", "edge-2")
 	all[0].loseStore(t)
@@ -144,7 +145,8 @@
 	}
 }
 
-// Failure: callers wait for nothing in an outage, or a job that was refused runs.
+// While no instance can reach the store, a job must be refused with a retry delay, and a
+// refused job must never run.
 func TestOutageForAllIsRefusedAndNothingIsStored(t *testing.T) {
 	all := newInstances(t, "edge-0", "edge-1")
 	for _, e := range all {
@@ -152,7 +154,7 @@
 	}
 	err := all[0].submit(t, "00000000000000bb")
 	if !fault.Is(err, fault.PlatformUnavailable) || fault.From(err).Answer().RetryAfter <= 0 {
-		t.Errorf("got %v, want a refusal with when to come back", err)
+		t.Errorf("got %v, want a refusal with a retry delay", err)
 	}
 	for _, e := range all {
 		e.proxy.Heal()
@@ -165,8 +167,9 @@
 	}
 }
 
-// Failure: callers get an open outcome (504) although most instances have the store.
-func TestOpenOutcomeIsSettledThroughAnotherInstance(t *testing.T) {
+// A write without an answer must be resolved through another instance. Otherwise callers get an
+// unknown outcome (504) although most instances can reach the store.
+func TestUnknownOutcomeIsResolvedThroughAnotherInstance(t *testing.T) {
 	all := newInstances(t, "edge-0", "edge-1")
 	all[0].proxy.Cut(false, true)
 	if err := all[0].submit(t, "00000000000000cc"); err != nil {
@@ -177,7 +180,7 @@
 	}
 }
 
-// Failure: a caller was told that its job never runs, and it ran.
+// The repetition of a stored job must not be refused: a refusal means that the job never runs.
 func TestRepeatOfAStoredJobIsNotRefused(t *testing.T) {
 	e := newInstances(t, "edge-0")[0]
 	if err := e.submit(t, "00000000000000dd"); err != nil {
@@ -189,7 +192,7 @@
 	}
 	err := e.submit(t, "00000000000000ee")
 	if !fault.Is(err, fault.Overloaded) || fault.From(err).Answer().RetryAfter <= 0 {
-		t.Errorf("a new job beside a backlog: %v, want a refusal with when to come back", err)
+		t.Errorf("a new job beside a backlog: %v, want a refusal with a retry delay", err)
 	}
 	if e.jobKnown(t, "00000000000000ee") {
 		t.Error("the refused job is stored")
--- a/internal/intake/metrics.go
+++ b/internal/intake/metrics.go
@@ -2,12 +2,12 @@
 
 import "github.com/VictoriaMetrics/metrics"
 
-// Metrics are the counters and histograms of serving callers.
+// Metrics holds the counters and histograms of job submission.
 type Metrics struct {
 	Submitted     *metrics.Counter
 	SubmitErrors  *metrics.Counter
 	SubmitSeconds *metrics.Histogram
-	// Refused are jobs that were not taken in because workers were full.
+	// Refused counts jobs that were refused because workers were at capacity.
 	Refused *metrics.Counter
 }
 
--- a/internal/intake/ownership.go
+++ b/internal/intake/ownership.go
@@ -2,9 +2,9 @@
 
 import "gentianstand/internal/cellpeer"
 
-// Ownership is what intake asks about the owner of the cell.
+// Ownership is this instance's view of the cell's owner.
 type Ownership interface {
 	cellpeer.Owning
-	// Owner returns the owner's address; self says that it is this instance.
+	// Owner returns the owner's address; self reports whether this instance is the owner.
 	Owner() (address string, self bool)
 }
--- a/internal/intake/semaphore.go
+++ b/internal/intake/semaphore.go
@@ -1,14 +1,14 @@
 package intake
 
-// semaphore limits how many calls are under way. Without it, callers of an owner that answers
-// late would each open a connection and close it at their timeout, and fill its link.
-// Beyond the semaphore questions go to the store, and news reaches the owner with its next
-// read of the store.
+// semaphore limits the number of concurrent calls to the owner. Without it, each call to an
+// owner that responds late would open a connection, close it at its timeout, and together they
+// would fill the owner's link. Beyond the limit, queries go to the store, and the owner learns
+// of new jobs with its next read of the store.
 type semaphore struct{ slots chan struct{} }
 
 func newSemaphore(limit int) *semaphore { return &semaphore{make(chan struct{}, limit)} }
 
-// tryAcquire takes a place and reports whether there was one.
+// tryAcquire acquires a slot and reports whether one was free.
 func (s *semaphore) tryAcquire() bool {
 	select {
 	case s.slots <- struct{}{}:
@@ -18,5 +18,5 @@
 	}
 }
 
-// release gives a place back.
+// release frees a slot.
 func (s *semaphore) release() { <-s.slots }
--- a/internal/intake/semaphore_test.go
+++ b/internal/intake/semaphore_test.go
@@ -2,19 +2,19 @@
 
 import "testing"
 
-// Failure: an owner that answers late gets a hundred new connections a second.
+// Without the limit, an owner that responds late gets 100 new connections per second.
 func TestOwnerCallsAreBounded(t *testing.T) {
 	s := newSemaphore(2)
 	for n := range 2 {
 		if !s.tryAcquire() {
-			t.Fatalf("there is no place for call %d of two", n+1)
+			t.Fatalf("no slot for call %d of 2", n+1)
 		}
 	}
 	if s.tryAcquire() {
-		t.Error("there is a place for a third")
+		t.Error("a third call got a slot")
 	}
 	s.release()
 	if !s.tryAcquire() {
-		t.Error("a place that was given back is not free")
+		t.Error("a released slot is not free")
 	}
 }
--- a/internal/intake/waiting.go
+++ b/internal/intake/waiting.go
@@ -9,13 +9,13 @@
 	"gentianstand/internal/fault"
 )
 
-// waitingCount is a count and when the owner gave it.
+// waitingCount is the number of waiting jobs of a queue and when the owner reported it.
 type waitingCount struct {
 	jobs int
 	at   time.Time
 }
 
-// waitingCounts remembers the last count of each queue.
+// waitingCounts caches the last count of each queue.
 type waitingCounts struct {
 	mu      sync.Mutex
 	byQueue map[string]waitingCount
@@ -34,8 +34,8 @@
 	w.byQueue[queue] = waitingCount{jobs, now}
 }
 
-// Waiting returns how many jobs of a queue wait. If the owner does not answer,
-// a count that is not too old stands in.
+// Waiting returns the number of waiting jobs in a queue. If the owner does not answer, a cached
+// count no older than waitingCountTTL is returned.
 func (i *Intake) Waiting(ctx context.Context, queue string) (int, error) {
 	if jobs, ok := i.ownership.Waiting(queue); ok {
 		return jobs, nil
