--- a/internal/routing/doc.go
+++ b/internal/routing/doc.go
@@ -1,7 +1,7 @@
-// Package routing hands the slots of this instance's own workers to requests.
+// Package routing assigns requests to slots of the workers that this instance owns.
 //
-// Each worker has one owner, and only the owner sends it requests, so slots
-// are counted exactly and never oversold. A Router has one pool for each
-// service; a pool picks the upstream, or queues the request with a bound and
-// a deadline. What cannot be met in time is refused at once.
+// Each worker has one owner, and only the owner sends it requests, so slots are counted exactly
+// and never overcommitted. A Router has one pool for each service. A pool picks an upstream for
+// a request, or puts the request into a bounded queue until its deadline. A request that cannot
+// get a slot in time is refused immediately.
 package routing
--- a/internal/routing/errors.go
+++ b/internal/routing/errors.go
@@ -2,10 +2,10 @@
 
 import "errors"
 
-// ErrNeverArrived says that the worker has not seen the request and will
-// refuse it from now on: it did not run. The connection had gone silent.
+// ErrNeverArrived means that the worker has not received the request and will refuse it from
+// now on, so the request did not run. The connection had stopped delivering data.
 var ErrNeverArrived = errors.New("the request never arrived at the worker")
 
-// ErrAnswerLost says that the worker has finished the request, but the answer
-// did not come through: it ran.
+// ErrAnswerLost means that the worker has finished the request but its answer did not arrive,
+// so the request ran.
 var ErrAnswerLost = errors.New("the answer of the worker was lost")
--- a/internal/routing/grant.go
+++ b/internal/routing/grant.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Grant is a slot on a worker, held by one request until Done.
+// Grant is a slot on a worker, held by one request until Done is called.
 type Grant struct {
-	// ID is the id of this attempt at the worker.
+	// ID identifies this attempt at the worker.
 	ID        string
 	Worker    string
 	Address   string
@@ -19,22 +19,22 @@
 	upstream        *upstream
 	responseStarted atomic.Bool
 	done            atomic.Bool
-	// finishedAt is when the worker first said that the request has ended, in
-	// nanoseconds since 1970; 0 if it has not.
+	// finishedAt is when the worker first reported that the request has ended, in Unix
+	// nanoseconds; 0 if it has not.
 	finishedAt atomic.Int64
 	cancel     context.CancelCauseFunc
 	ctx        context.Context
 }
 
-// Context ends when the request should be given up because of the upstream:
-// its cause is ErrNeverArrived or ErrAnswerLost.
+// Context is cancelled when the request should be abandoned because of the upstream; its cause
+// is then ErrNeverArrived or ErrAnswerLost.
 func (g *Grant) Context() context.Context { return g.ctx }
 
-// ResponseStarted notes that the upstream's answer has begun; from now on the
-// request is never taken for one on a silent connection.
+// ResponseStarted records that the upstream's response has started. From then on the request is
+// no longer treated as unanswered.
 func (g *Grant) ResponseStarted() { g.responseStarted.Store(true) }
 
-// Done returns the slot. Only the first call counts.
+// Done releases the slot. Only the first call has an effect.
 func (g *Grant) Done(result Result, now time.Time) {
 	if g.done.Swap(true) {
 		return
@@ -44,7 +44,7 @@
 	g.pool.router.slotFreed(g.upstream, now)
 }
 
-// finishedFor returns how long the worker has called the request finished.
+// finishedFor returns how long ago the worker first reported the request as finished.
 func (g *Grant) finishedFor(now time.Time) time.Duration {
 	if g.finishedAt.CompareAndSwap(0, now.UnixNano()) {
 		return 0
--- a/internal/routing/limits.go
+++ b/internal/routing/limits.go
@@ -4,22 +4,24 @@
 
 // The limits of queues, retries and ejection.
 const (
-	// queuePerSlot bounds the queue of a pool to a multiple of its slots.
+	// queuePerSlot bounds the queue of a pool to this multiple of its slots.
 	queuePerSlot = 4
-	// minQueueLength is the bound of a pool with few slots or none.
+	// minQueueLength is the queue bound of a pool with few slots or none.
 	minQueueLength = 16
-	// retryRatio is how many retries each request allows for, and
-	// retryBurst how many may be saved up.
+	// retryRatio is the number of retries that each request adds to the retry budget, and
+	// retryBurst the maximum of the budget.
 	retryRatio = 0.1
 	retryBurst = 10
-	// ejectAfter consecutive failures an upstream gets nothing for a while.
+	// ejectAfter is the number of consecutive failures after which an upstream is ejected: it
+	// gets no requests for a time that doubles from minEjection to maxEjection.
 	ejectAfter  = 3
 	minEjection = time.Second
 	maxEjection = 30 * time.Second
-	// latencyWeight is the weight of a new sample in the moving average.
+	// latencyWeight is the weight of a new sample in the moving average of latencies.
 	latencyWeight = 0.2
-	// answerGrace is how long the answer of a finished request may take.
+	// answerGrace is how long the answer to a request may take after the worker has reported
+	// the request as finished.
 	answerGrace = 1500 * time.Millisecond
-	// initialLatency stands in until there is a sample.
+	// initialLatency is the assumed latency until there is a sample.
 	initialLatency = 20 * time.Millisecond
 )
--- a/internal/routing/pool.go
+++ b/internal/routing/pool.go
@@ -8,7 +8,7 @@
 	"gentianstand/internal/fault"
 )
 
-// pool is the upstreams and the queue of one service.
+// pool holds the upstreams and the wait queue of one service.
 type pool struct {
 	router  *Router
 	service string
@@ -25,16 +25,15 @@
 	return &pool{router: r, service: service, meanLatency: initialLatency, retryBudget: retryBurst}
 }
 
-// tryAcquire takes a slot if one is free and nobody waits for it.
+// tryAcquire takes a slot if one is free and no request is waiting.
 func (p *pool) tryAcquire(g *Grant, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.queue.len() == 0 && p.pickLocked(g, now)
 }
 
-// acquire takes a slot or waits for one. It returns an error at once when the
-// queue is full or the wait is expected to outlast the deadline: a caller that
-// waits for a refusal has waited for nothing.
+// acquire takes a slot or waits for one. It returns an error immediately if the queue is full
+// or the expected wait exceeds the deadline, so that no caller waits only to be refused.
 func (p *pool) acquire(ctx context.Context, g *Grant, req Request, now time.Time) error {
 	w, err := p.enqueue(g, req, now)
 	if err != nil || w == nil {
@@ -52,7 +51,7 @@
 	}
 }
 
-// enqueue returns nil if the slot was taken, or the waiter to wait for.
+// enqueue takes a free slot and returns nil, or queues the request and returns its waiter.
 func (p *pool) enqueue(g *Grant, req Request, now time.Time) (*waiter, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -72,7 +71,7 @@
 	return w, nil
 }
 
-// evictLocked refuses the last waiter in favour of a more urgent one.
+// evictLocked refuses the last waiter if w is more urgent, to make space in the queue.
 func (p *pool) evictLocked(w *waiter) bool {
 	last := p.queue.last()
 	if last == nil || last.rank <= w.rank {
@@ -83,8 +82,8 @@
 	return true
 }
 
-// cancelWait gives up waiting. If the slot was granted at the same moment, it is
-// kept and the caller goes on.
+// cancelWait removes a waiter from the queue and returns err with a retry delay. If a slot was
+// granted at the same time, the slot is kept and the request continues.
 func (p *pool) cancelWait(w *waiter, err error) error {
 	p.mu.Lock()
 	removed := p.queue.remove(w)
@@ -101,9 +100,9 @@
 		WithRetryAfter(max(wait, time.Second))
 }
 
-// pickLocked takes a slot for g on the cheapest upstream. Ejected upstreams
-// are passed over unless that would leave out more than half of them: then
-// the fault is more likely here or in between, and all are tried.
+// pickLocked takes a slot for g on the upstream with the lowest cost. Ejected upstreams are
+// skipped unless they are more than half of all upstreams. In that case the fault is more
+// likely in this instance or in the network, and all upstreams are tried.
 func (p *pool) pickLocked(g *Grant, now time.Time) bool {
 	skip := p.ejectedLocked(now)
 	if 2*len(skip) > len(p.upstreams) {
@@ -115,7 +114,7 @@
 			return false
 		}
 		g.GrantedAt, g.pool, g.upstream = now, p, best
-		// Another service's pool may have taken the slot meanwhile.
+		// The pool of another service may have taken the slot in the meantime.
 		if best.tryTake(g) {
 			return true
 		}
@@ -154,9 +153,9 @@
 	return best
 }
 
-// dispatch gives free slots to waiters, the most urgent first. A waiter whose
-// deadline leaves no time for the work itself is refused instead: serving it
-// would cost a slot and help nobody.
+// dispatch grants free slots to waiters, the most urgent first. A waiter whose deadline leaves
+// no time for the work itself is refused, because serving it would use a slot without a useful
+// result.
 func (p *pool) dispatch(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -174,7 +173,7 @@
 	}
 }
 
-// expectedWaitLocked estimates how long w would wait for its turn.
+// expectedWaitLocked estimates how long w would wait for a slot.
 func (p *pool) expectedWaitLocked(w *waiter) time.Duration {
 	ahead := 1
 	for _, other := range p.queue.items {
@@ -206,7 +205,7 @@
 	p.meanLatency += time.Duration(latencyWeight * float64(sample-p.meanLatency))
 }
 
-// mayRetry takes one retry from the budget if there is one left.
+// mayRetry takes a retry from the budget and reports whether one was left.
 func (p *pool) mayRetry() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/routing/queue.go
+++ b/internal/routing/queue.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// queue holds waiters in the order in which they are served.
+// queue holds waiters in the order in which they get slots.
 type queue struct {
 	items []*waiter
 }
@@ -26,7 +26,7 @@
 	return q.items[0]
 }
 
-// last returns the waiter that is served last.
+// last returns the waiter at the end of the queue, or nil.
 func (q *queue) last() *waiter {
 	if len(q.items) == 0 {
 		return nil
@@ -34,7 +34,7 @@
 	return q.items[len(q.items)-1]
 }
 
-// remove takes w out and reports whether it was there.
+// remove removes w and reports whether it was in the queue.
 func (q *queue) remove(w *waiter) bool {
 	i := slices.Index(q.items, w)
 	if i < 0 {
--- a/internal/routing/queue_test.go
+++ b/internal/routing/queue_test.go
@@ -21,7 +21,8 @@
 	return Request{ID: id, Rank: rank, Deadline: time.Now().Add(timeout)}
 }
 
-// acquire waits for a slot in the background and notes the result by id.
+// acquire waits for a slot in the background and sends the request's id, with the error kind if
+// it failed, to order.
 func acquire(r *Router, order chan string, id string, rank int, timeout time.Duration) {
 	go func() {
 		g, err := r.Acquire(context.Background(), "s", request(id, rank, timeout), time.Now())
@@ -36,11 +37,11 @@
 	synctest.Wait()
 }
 
-// TestUrgentFirst: a freed slot goes to the most urgent waiter, and among
-// equals to the one that has waited longest.
+// TestUrgentFirst checks that a freed slot goes to the most urgent waiter, and among equally
+// urgent ones to the one that has waited longest.
 func TestUrgentFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		defer time.Sleep(time.Second) // lets waiters return their slots
+		defer time.Sleep(time.Second) // waiters release their slots
 		r := oneWorker(1)
 		held, _ := r.Acquire(context.Background(), "s", request("held", 1, time.Minute), time.Now())
 		order := make(chan string, 4)
@@ -59,15 +60,15 @@
 	})
 }
 
-// Failure: callers wait for a refusal.
+// A request that cannot get a slot before its deadline must be refused without waiting.
 func TestRequestWithoutChanceIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		defer time.Sleep(time.Second) // lets waiters return their slots
+		defer time.Sleep(time.Second) // waiters release their slots
 		r := oneWorker(1)
 		r.ObserveLatency("s", 10*time.Second)
 		held, _ := r.Acquire(context.Background(), "s", request("held", 1, time.Minute), time.Now())
 		started := time.Now()
-		_, err := r.Acquire(context.Background(), "s", request("hopeless", 1, time.Second), time.Now())
+		_, err := r.Acquire(context.Background(), "s", request("too-late", 1, time.Second), time.Now())
 		f := fault.From(err)
 		if f.Kind != fault.Overloaded || f.Answer().Outcome != fault.DidNotRun || f.Answer().RetryAfter < time.Second {
 			t.Errorf("got %+v", f)
@@ -79,10 +80,10 @@
 	})
 }
 
-// Failure: urgent requests are refused while others wait.
+// A full queue must refuse its least urgent waiter instead of a more urgent new request.
 func TestFullQueueShedsLeastUrgent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		defer time.Sleep(time.Second) // lets waiters return their slots
+		defer time.Sleep(time.Second) // waiters release their slots
 		r := oneWorker(1)
 		held, _ := r.Acquire(context.Background(), "s", request("held", 1, time.Hour), time.Now())
 		order := make(chan string, minQueueLength+2)
@@ -91,7 +92,7 @@
 		}
 		acquire(r, order, "one-more", 2, time.Hour)
 		if got := <-order; got != "one-more overloaded" {
-			t.Errorf("a full queue answered %s", got)
+			t.Errorf("a full queue refused %s", got)
 		}
 		acquire(r, order, "urgent", 0, time.Hour)
 		if got := <-order; got != fmt.Sprintf("low%d overloaded", minQueueLength-1) {
@@ -107,11 +108,11 @@
 	})
 }
 
-// TestDeadlineInQueue: a waiter whose deadline passes is answered then, and the
-// slot goes to the next.
+// TestDeadlineInQueue checks that a waiter is refused when its deadline passes and that the
+// slot goes to the next waiter.
 func TestDeadlineInQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		defer time.Sleep(time.Second) // lets waiters return their slots
+		defer time.Sleep(time.Second) // waiters release their slots
 		r := oneWorker(1)
 		held, _ := r.Acquire(context.Background(), "s", request("held", 1, time.Hour), time.Now())
 		order := make(chan string, 2)
@@ -128,7 +129,8 @@
 	})
 }
 
-// Failure: all requests fail although one worker of three is bad.
+// One failing worker of 3 must not attract all requests: it fails fast, so it always has free
+// slots.
 func TestFailingUpstreamIsEjected(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := NewRouter()
@@ -151,8 +153,8 @@
 	}
 }
 
-// TestRetryBudget: retries are at most a tenth of requests, beyond a small
-// burst, so that they never multiply an overload.
+// TestRetryBudget checks that retries are at most a tenth of the requests plus a small burst,
+// so that they cannot multiply an overload.
 func TestRetryBudget(t *testing.T) {
 	r := oneWorker(1000)
 	retries := 0
@@ -171,8 +173,9 @@
 	}
 }
 
-// TestUnansweredRequests: a revoked request ends as never arrived, a finished one
-// only after its answer had time to come, a running one never.
+// TestUnansweredRequests checks that a revoked request ends with ErrNeverArrived, a finished
+// one with ErrAnswerLost only after its answer had time to arrive, and that a running one
+// continues.
 func TestUnansweredRequests(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := oneWorker(8)
@@ -186,7 +189,7 @@
 		r.Resolve("w", "finished", worker.RequestFinished, now.Add(tick))
 		r.Resolve("w", "running", worker.RequestRunning, now.Add(tick))
 		if tick == 2*time.Second && context.Cause(grants["finished"].Context()) != nil {
-			t.Error("an answer on its way was given up")
+			t.Error("the request was ended before its answer had time to arrive")
 		}
 	}
 	if cause := context.Cause(grants["revoked"].Context()); cause != ErrNeverArrived {
@@ -200,7 +203,8 @@
 	}
 }
 
-// Failure: a request fails although other workers are free.
+// A worker that refuses requests of an epoch must not get more of them while other workers are
+// free.
 func TestRefusingWorkerIsClosed(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := NewRouter()
@@ -217,6 +221,6 @@
 	r.SetWorker(WorkerInfo{ID: "taken", Epoch: 2, Slots: 4, Services: []string{"s"}, Open: true}, now)
 	r.CloseWorker("taken", 1)
 	if g := r.TryAcquire(context.Background(), "s", Request{ID: "again", Deadline: now.Add(time.Second)}, now); g == nil || g.Worker != "taken" {
-		t.Errorf("after it was claimed anew: %+v", g)
+		t.Errorf("after it was claimed again: %+v", g)
 	}
 }
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Request is what a pool needs to know of a request.
+// Request holds the properties of a request that matter for routing.
 type Request struct {
-	// ID is unique for each attempt.
+	// ID identifies the attempt; each attempt has its own.
 	ID string
-	// Rank is 0 for the most urgent.
+	// Rank is the urgency; 0 is the most urgent.
 	Rank int
-	// Deadline is when the caller stops waiting; never zero.
+	// Deadline is when the caller stops waiting. It is never zero.
 	Deadline time.Time
 }
--- a/internal/routing/result.go
+++ b/internal/routing/result.go
@@ -1,15 +1,14 @@
 package routing
 
-// Result is how a granted request went, for the upstream's standing.
+// Result is the outcome of a granted request, used to detect failing upstreams.
 type Result int
 
-// The results.
+// The results of a granted request.
 const (
-	// Answered means that the upstream gave an answer, of whatever status.
+	// Answered means that the upstream responded, with any status.
 	Answered Result = iota
-	// Failed means that it failed to answer.
+	// Failed means that the upstream failed to respond.
 	Failed
-	// Abandoned means that the caller went away; it says nothing about the
-	// upstream.
+	// Abandoned means that the caller disconnected; it has no bearing on the upstream.
 	Abandoned
 )
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -10,8 +10,8 @@
 	"gentianstand/internal/worker"
 )
 
-// Router routes requests to the workers that this instance owns. It is safe
-// for concurrent use; each pool and each upstream has its own lock.
+// Router assigns requests to the workers that this instance owns. It is safe for concurrent
+// use; each pool and each upstream has its own lock.
 type Router struct {
 	mu        sync.RWMutex
 	pools     map[string]*pool
@@ -23,7 +23,7 @@
 	return &Router{pools: map[string]*pool{}, upstreams: map[string]*upstream{}}
 }
 
-// SetWorker adds a worker or replaces what is known of it.
+// SetWorker adds a worker or replaces its state.
 func (r *Router) SetWorker(info WorkerInfo, now time.Time) {
 	r.mu.Lock()
 	u, ok := r.upstreams[info.ID]
@@ -42,9 +42,9 @@
 	r.slotFreed(u, now)
 }
 
-// CloseWorker takes a worker out until the owner says more of it, because it refused
-// a request under the epoch. Otherwise it would be chosen again at once: a
-// worker that refuses is always free.
+// CloseWorker stops routing to a worker that refused a request of the given epoch, until the
+// owner provides a new state with SetWorker. Without this, the worker would be chosen again
+// immediately, because a worker that refuses requests always has free slots.
 func (r *Router) CloseWorker(id string, epoch uint64) {
 	r.mu.RLock()
 	u, ok := r.upstreams[id]
@@ -59,8 +59,8 @@
 	}
 }
 
-// RemoveWorker forgets a worker. Requests in progress there go on to their end; they
-// are returned, nil if there are none.
+// RemoveWorker removes a worker. Requests in progress there continue; they are returned as a
+// RemovedWorker, or nil if there are none.
 func (r *Router) RemoveWorker(id string) *RemovedWorker {
 	r.mu.Lock()
 	u, ok := r.upstreams[id]
@@ -111,7 +111,7 @@
 	return r.poolLocked(service)
 }
 
-// TryAcquire takes a slot for the service if one is free now, else nil.
+// TryAcquire takes a slot for the service, or returns nil if none is free.
 func (r *Router) TryAcquire(ctx context.Context, service string, req Request, now time.Time) *Grant {
 	g := newGrant(ctx, req)
 	if !r.pool(service).tryAcquire(g, now) {
@@ -121,8 +121,8 @@
 	return g
 }
 
-// Acquire takes a slot for the service, waiting in the queue if need be. The
-// error is a fault.Error; it comes at once when waiting would be in vain.
+// Acquire takes a slot for the service and waits in the queue if none is free. The error is a
+// *fault.Error; it is returned immediately if no slot can be expected before the deadline.
 func (r *Router) Acquire(ctx context.Context, service string, req Request, now time.Time) (*Grant, error) {
 	if !now.Before(req.Deadline) {
 		return nil, fault.New(fault.DeadlineExceeded, "the deadline had passed on arrival")
@@ -141,15 +141,15 @@
 	return g
 }
 
-// MayRetry takes one retry from the service's budget if there is one left.
+// MayRetry takes a retry from the budget of the service and reports whether one was left.
 func (r *Router) MayRetry(service string) bool { return r.pool(service).mayRetry() }
 
-// ObserveLatency notes how long an answered request of the service took.
+// ObserveLatency records the latency of an answered request of the service.
 func (r *Router) ObserveLatency(service string, took time.Duration) {
 	r.pool(service).observeLatency(took)
 }
 
-// Slots returns the free slots and all slots of each service here.
+// Slots returns the number of free slots and of all slots for each service at this instance.
 func (r *Router) Slots() map[string]Slots {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -162,8 +162,8 @@
 	return result
 }
 
-// Unanswered returns the ids of requests on a worker that were granted before
-// since and show no sign of an answer.
+// Unanswered returns the ids of requests on a worker that were granted before since and whose
+// response has not started.
 func (r *Router) Unanswered(id string, since time.Time) []string {
 	r.mu.RLock()
 	u, ok := r.upstreams[id]
@@ -174,9 +174,9 @@
 	return u.unanswered(since)
 }
 
-// Resolve ends a doubtful request by the worker's word on it. One that is
-// running is merely slow and is left alone. One that has finished gets a
-// little longer, because its answer may be on its way at this moment.
+// Resolve ends an unanswered request according to the state that the worker reports. A running
+// request is only slow and continues. A finished request gets a grace period, because its
+// answer may still be in transit.
 func (r *Router) Resolve(workerID, request string, state worker.RequestState, now time.Time) {
 	r.mu.RLock()
 	u, ok := r.upstreams[workerID]
@@ -187,7 +187,7 @@
 	u.resolve(request, state, now)
 }
 
-// slotFreed lets the services of a worker use a slot that became free.
+// slotFreed lets the waiters of the worker's services use a slot that became free.
 func (r *Router) slotFreed(u *upstream, now time.Time) {
 	u.mu.Lock()
 	services := u.info.Services
--- a/internal/routing/slot_model_test.go
+++ b/internal/routing/slot_model_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// slotModel counts slots in one flat list of requests in progress.
+// slotModel counts slots with a flat list of the requests in progress.
 type slotModel struct {
 	slots    map[string]int
 	services map[string][]string
@@ -37,16 +37,16 @@
 	return n
 }
 
-// TestDifferentialSlots: whatever comes and goes, a slot is given exactly when
-// the flat list has one free, on an open worker with a replica, and never more
-// than a worker has.
+// TestDifferentialSlots checks the Router against slotModel: a slot is granted exactly when the
+// model has one free, on an open worker with a replica of the service, and never beyond a
+// worker's slots.
 func TestDifferentialSlots(t *testing.T) {
 	workers := []string{"w0", "w1", "w2"}
 	services := []string{"a", "b"}
 	rapid.Check(t, func(rt *rapid.T) {
 		now := time.Unix(1000, 0)
 		r := NewRouter()
-		naive := &slotModel{slots: map[string]int{}, services: map[string][]string{}, open: map[string]bool{}, requests: map[string]string{}}
+		model := &slotModel{slots: map[string]int{}, services: map[string][]string{}, open: map[string]bool{}, requests: map[string]string{}}
 		grants := map[string]*Grant{}
 		rt.Repeat(map[string]func(*rapid.T){
 			"set": func(rt *rapid.T) {
@@ -58,20 +58,20 @@
 					}
 				}
 				r.SetWorker(info, now)
-				naive.slots[id], naive.services[id], naive.open[id] = info.Slots, info.Services, info.Open
+				model.slots[id], model.services[id], model.open[id] = info.Slots, info.Services, info.Open
 			},
 			"acquire": func(rt *rapid.T) {
 				service := rapid.SampledFrom(services).Draw(rt, "service")
 				id := rapid.StringMatching(`[a-z]{12}`).Draw(rt, "id")
-				free := naive.free(service)
+				free := model.free(service)
 				g := r.TryAcquire(rt.Context(), service, Request{ID: id, Deadline: now.Add(time.Second)}, now)
 				if (g != nil) != (free > 0) {
-					rt.Fatalf("granted %v, the list has %d free", g != nil, free)
+					rt.Fatalf("granted %v, the model has %d free", g != nil, free)
 				}
 				if g != nil {
-					grants[id], naive.requests[id] = g, g.Worker
-					if naive.inUse(g.Worker) > naive.slots[g.Worker] || !naive.open[g.Worker] {
-						rt.Fatalf("worker %s is oversold or closed", g.Worker)
+					grants[id], model.requests[id] = g, g.Worker
+					if model.inUse(g.Worker) > model.slots[g.Worker] || !model.open[g.Worker] {
+						rt.Fatalf("worker %s is overcommitted or closed", g.Worker)
 					}
 				}
 			},
@@ -80,14 +80,14 @@
 					g.Done(rapid.SampledFrom([]Result{Answered, Abandoned}).Draw(rt, "result"), now)
 					g.Done(Answered, now)
 					delete(grants, id)
-					delete(naive.requests, id)
+					delete(model.requests, id)
 					break
 				}
 			},
 			"": func(rt *rapid.T) {
 				for _, name := range services {
-					if got, want := r.Slots()[name].Free, naive.free(name); got != want {
-						rt.Fatalf("service %s: %d free, the list has %d", name, got, want)
+					if got, want := r.Slots()[name].Free, model.free(name); got != want {
+						rt.Fatalf("service %s: %d free, the model has %d", name, got, want)
 					}
 				}
 			},
--- a/internal/routing/slots.go
+++ b/internal/routing/slots.go
@@ -1,6 +1,6 @@
 package routing
 
-// Slots counts the slots of a service at one instance.
+// Slots is the number of slots of a service at one instance.
 type Slots struct {
 	Free  int
 	Total int
--- a/internal/routing/upstream.go
+++ b/internal/routing/upstream.go
@@ -7,8 +7,8 @@
 	"gentianstand/internal/worker"
 )
 
-// upstream is one worker as requests see it. Its lock is taken after a pool's
-// and never the other way round.
+// upstream is a worker as a target of requests. Lock order: the lock of a pool is acquired
+// before the lock of an upstream, never after it.
 type upstream struct {
 	mu           sync.Mutex
 	info         WorkerInfo
@@ -24,8 +24,8 @@
 	return &upstream{info: info, inFlight: map[string]*Grant{}, latency: initialLatency}
 }
 
-// free returns the slots that can be given now; the pool may pass over an
-// ejected upstream.
+// freeLocked returns the number of slots that can be granted now. It ignores ejection, which
+// the pool handles.
 func (u *upstream) freeLocked() int {
 	if !u.info.Open {
 		return 0
@@ -33,7 +33,7 @@
 	return max(u.info.Slots-u.info.OlderRequests-len(u.inFlight), 0)
 }
 
-// cost is lower for an upstream that is expected to answer sooner.
+// costLocked returns a cost that is lower for an upstream that is expected to answer sooner.
 func (u *upstream) costLocked() float64 {
 	load := float64(len(u.inFlight)+u.info.OlderRequests+1) / float64(max(u.info.Slots, 1))
 	return float64(u.latency) * load
@@ -43,7 +43,7 @@
 	return now.Before(u.ejectedUntil) || (u.backoff > 0 && u.probing)
 }
 
-// tryTake gives a slot to g if there still is one.
+// tryTake grants a slot to g and reports whether one was free.
 func (u *upstream) tryTake(g *Grant) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -56,7 +56,7 @@
 	return true
 }
 
-// release returns the slot of g and learns from how it went.
+// release returns the slot of g and updates latency and ejection from the result.
 func (u *upstream) release(g *Grant, result Result, now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -78,15 +78,15 @@
 	u.latency += time.Duration(latencyWeight * float64(sample-u.latency))
 }
 
-// eject keeps a failing upstream out, longer each time. A worker that fails
-// fast is always free, so without this it would attract all requests.
+// eject excludes a failing upstream, each time for longer. A worker that fails fast always has
+// free slots, so it would otherwise attract all requests.
 func (u *upstream) eject(now time.Time) {
 	u.backoff = min(max(2*u.backoff, minEjection), maxEjection)
 	u.ejectedUntil = now.Add(u.backoff)
 }
 
-// unanswered returns the ids of requests granted before since that have shown
-// no sign of an answer.
+// unanswered returns the ids of requests that were granted before since and whose response has
+// not started.
 func (u *upstream) unanswered(since time.Time) []string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/routing/worker_info.go
+++ b/internal/routing/worker_info.go
@@ -1,16 +1,16 @@
 package routing
 
-// WorkerInfo is what the owner knows of a worker that matters to requests.
+// WorkerInfo is the state of a worker that the owner provides for routing.
 type WorkerInfo struct {
 	ID      string
 	Address string
-	// Epoch goes with each request; the worker refuses a lower one.
+	// Epoch is sent with each request; the worker refuses requests with a lower epoch.
 	Epoch uint64
 	Slots int
-	// OlderRequests counts slots held by requests of earlier owners.
+	// OlderRequests is the number of slots held by requests of earlier owners.
 	OlderRequests int
-	// Services are those with a running replica, sorted.
+	// Services lists the services with a running replica, sorted by name.
 	Services []string
-	// Open says that the worker may get new requests.
+	// Open reports whether the worker may get new requests.
 	Open bool
 }
