--- a/internal/placement/batch/batch.go
+++ b/internal/placement/batch/batch.go
@@ -1,5 +1,5 @@
-// Package batch places single tasks tightly, so that large holes stay whole
-// for work that needs them.
+// Package batch places single tasks by best fit, so that large free areas remain for work that
+// needs them.
 package batch
 
 import (
@@ -8,18 +8,18 @@
 	"gentianstand/internal/resource"
 )
 
-// scale makes fractions of a worker integers, so that equal scores are equal.
+// scale converts fractions of a worker to integers, so that equal scores compare as equal.
 const scale = 1 << 16
 
-// acceleratorPenalty keeps tasks without accelerators off workers that have
-// some, as long as there is room elsewhere.
+// acceleratorPenalty keeps tasks without accelerators off workers that have accelerators, as
+// long as other workers have free capacity.
 const acceleratorPenalty = 8 * scale
 
 // Policy is best fit over all dimensions. It implements policy.Policy.
 type Policy struct{}
 
-// Place chooses the worker that the task leaves most tightly filled; of equal
-// ones the first.
+// Place chooses the worker that the task leaves with the least free capacity; among equal
+// workers the first.
 func (Policy) Place(c *cluster.Cluster, req policy.Request) policy.Decision {
 	best := -1
 	var lowest int64
@@ -38,9 +38,9 @@
 	return policy.Decision{Nodes: []int{best}, Reason: policy.Found}
 }
 
-// Score is lower for a worker that need fits more tightly. It adds up what
-// stays free as a share of the worker, and how uneven that is: processors
-// left without memory, or the reverse, can hold nothing.
+// Score returns a score that is lower for a worker that need fits more tightly. It is the sum
+// of the free shares after the placement and their imbalance: free processors without free
+// memory, or the reverse, cannot be used.
 func Score(n *cluster.Node, need resource.Amount) int64 {
 	left := n.Free.Sub(need)
 	cpu := share(left.MilliCPU, n.Capacity.MilliCPU)
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -15,7 +15,7 @@
 	"gentianstand/internal/spec"
 )
 
-// clusterSize is a cluster to measure on.
+// clusterSize is the size of a cluster to measure.
 type clusterSize struct {
 	name                    string
 	workers, perRack, tasks int
@@ -26,7 +26,7 @@
 	{"target", 610, 8, 14_000},
 }
 
-// newLoadedPair returns a cluster with tasks on it and its naive twin.
+// newLoadedPair returns a cluster with tasks on it and its naive counterpart.
 func newLoadedPair(s clusterSize) *clusterPair {
 	nodes := newNodes(s.workers, s.perRack, 4, resource.Amount{MilliCPU: 16_000, MemoryMiB: 32 << 10}, 8)
 	p := &clusterPair{fast: cluster.New(nodes), naive: &naiveCluster{nodes: nodes}}
@@ -49,8 +49,8 @@
 	return req
 }
 
-// BenchmarkPlace measures one decision of each policy, and its naive version
-// beside it. p99-ns is the 99th percentile of a single decision.
+// BenchmarkPlace measures single decisions of each policy and of its naive version. p99-ns is
+// the 99th percentile of a decision.
 func BenchmarkPlace(b *testing.B) {
 	policies := []struct {
 		name  string
@@ -99,9 +99,9 @@
 	b.ReportMetric(float64(len(took))/b.Elapsed().Seconds(), "placements/s")
 }
 
-// BenchmarkPacking fills an empty cluster with a heavy-tailed stream and
-// reports how many workers were needed, against the lower bound that the sums
-// of the needs give, and against first fit and least loaded.
+// BenchmarkPacking fills an empty cluster with heavy-tailed needs and reports the number of
+// workers used relative to the lower bound from the sum of the needs, and the same for first
+// fit and least loaded.
 func BenchmarkPacking(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(s.name, func(b *testing.B) {
--- a/internal/placement/cluster/cluster.go
+++ b/internal/placement/cluster/cluster.go
@@ -2,7 +2,7 @@
 
 import "gentianstand/internal/resource"
 
-// Cluster is a set of workers. It is not safe for concurrent use.
+// Cluster is an indexed set of workers. It is not safe for concurrent use.
 type Cluster struct {
 	nodes  []Node
 	racks  []group
@@ -13,12 +13,12 @@
 	counts map[string]*Counts
 }
 
-// group is a rack (members are nodes) or a zone (members are racks).
+// group is a rack, whose members are nodes, or a zone, whose members are racks.
 type group struct {
 	name    string
 	members []int
 	zone    int
-	// maxFree is the largest free amount in each dimension of any open member.
+	// maxFree is the largest free amount in each dimension over all schedulable members.
 	maxFree resource.Amount
 }
 
@@ -69,7 +69,7 @@
 	return i, ok
 }
 
-// Allocate gives need on worker i to a task of workload.
+// Allocate assigns need on worker i to a task of workload.
 func (c *Cluster) Allocate(i int, workload string, need resource.Amount) {
 	n := &c.nodes[i]
 	n.Free = n.Free.Sub(need)
@@ -78,8 +78,8 @@
 	c.reindexNode(n)
 }
 
-// AllocateUnindexed is Take for filling a new cluster: Refresh must follow before the next
-// placement.
+// AllocateUnindexed is Allocate without an update of the index, for filling a new cluster.
+// Reindex must be called before the next placement.
 func (c *Cluster) AllocateUnindexed(i int, workload string, need resource.Amount) {
 	n := &c.nodes[i]
 	n.Free = n.Free.Sub(need)
@@ -87,7 +87,7 @@
 	c.Counts(workload).add(n, i, 1)
 }
 
-// Reindex brings the index up to date after Load.
+// Reindex rebuilds the index after calls of AllocateUnindexed.
 func (c *Cluster) Reindex() {
 	for r := range c.racks {
 		c.reindexRack(r)
@@ -97,7 +97,7 @@
 	}
 }
 
-// Release returns need on worker i from a task of workload.
+// Release frees need on worker i that a task of workload held.
 func (c *Cluster) Release(i int, workload string, need resource.Amount) {
 	n := &c.nodes[i]
 	n.Free = n.Free.Add(need)
@@ -106,21 +106,21 @@
 	c.reindexNode(n)
 }
 
-// Reserve reserves need on worker i for later: long tasks may not take it.
+// Reserve reserves need on worker i for later, so that long tasks cannot use it.
 func (c *Cluster) Reserve(i int, need resource.Amount) {
 	c.nodes[i].FreeForLong = c.nodes[i].FreeForLong.Sub(need)
 }
 
-// SetFreeForLong sets what long tasks may take on worker i.
-func (c *Cluster) SetFreeForLong(i int, late resource.Amount) { c.nodes[i].FreeForLong = late }
+// SetFreeForLong sets the amount that long tasks may use on worker i.
+func (c *Cluster) SetFreeForLong(i int, free resource.Amount) { c.nodes[i].FreeForLong = free }
 
-// SetUnschedulable opens or closes worker i.
-func (c *Cluster) SetUnschedulable(i int, closed bool) {
-	c.nodes[i].Unschedulable = closed
+// SetUnschedulable sets whether worker i gets no new tasks.
+func (c *Cluster) SetUnschedulable(i int, unschedulable bool) {
+	c.nodes[i].Unschedulable = unschedulable
 	c.reindexNode(&c.nodes[i])
 }
 
-// Counts returns where tasks of a workload stand.
+// Counts returns the number of tasks of a workload per zone, rack and worker.
 func (c *Cluster) Counts(workload string) *Counts {
 	counts, ok := c.counts[workload]
 	if !ok {
@@ -130,8 +130,8 @@
 	return counts
 }
 
-// EachFit calls visit for every open worker with need free, skipping racks and
-// zones in which none has.
+// EachFit calls visit for every schedulable worker on which need is free. It skips racks and
+// zones without such a worker.
 func (c *Cluster) EachFit(need resource.Amount, visit func(i int, n *Node)) {
 	for z := range c.zones {
 		if !need.Fits(c.zones[z].maxFree) {
@@ -143,7 +143,7 @@
 	}
 }
 
-// EachFitInRack is EachFit for one rack.
+// EachFitInRack is EachFit restricted to one rack.
 func (c *Cluster) EachFitInRack(rack int, need resource.Amount, visit func(i int, n *Node)) {
 	g := &c.racks[rack]
 	if !need.Fits(g.maxFree) {
@@ -157,7 +157,8 @@
 	}
 }
 
-// RackMayFit reports whether some worker of a rack may have need free.
+// RackMayFit reports whether need may be free on some worker of a rack. It compares with the
+// index only.
 func (c *Cluster) RackMayFit(rack int, need resource.Amount) bool {
 	return need.Fits(c.racks[rack].maxFree)
 }
--- a/internal/placement/cluster/counts.go
+++ b/internal/placement/cluster/counts.go
@@ -1,7 +1,6 @@
 package cluster
 
-// Counts is how many tasks of one workload stand in each zone, rack and
-// worker.
+// Counts is the number of tasks of one workload in each zone, rack and worker.
 type Counts struct {
 	zone []int
 	rack []int
--- a/internal/placement/cluster/doc.go
+++ b/internal/placement/cluster/doc.go
@@ -1,7 +1,7 @@
-// Package cluster is the snapshot that placement decides on: workers with what
-// they have free, grouped into racks and availability zones, and how many
-// tasks of each workload stand where.
+// Package cluster provides the snapshot that placement decides on: the workers and their free
+// resources, grouped into racks and availability zones, and the number of tasks of each
+// workload per zone, rack and worker.
 //
-// It is an index, not only a list: each rack and zone knows the most that any
-// of its workers has free, so whole racks are passed over in one comparison.
+// Each rack and zone keeps the maximum that any of its workers has free, so that one comparison
+// can rule out a whole rack.
 package cluster
--- a/internal/placement/cluster/node.go
+++ b/internal/placement/cluster/node.go
@@ -2,21 +2,21 @@
 
 import "gentianstand/internal/resource"
 
-// Node is one worker in a Cluster.
+// Node is a worker in a Cluster.
 type Node struct {
 	ID       string
 	Region   string
 	Zone     string
 	Rack     string
 	Capacity resource.Amount
-	// Free is what is not taken now.
+	// Free is the amount that is not allocated now.
 	Free resource.Amount
-	// FreeForLong is what a task may take that will still run when a reservation
-	// begins. It equals Free where nothing is reserved.
+	// FreeForLong is the amount available to a task that will still be running when a
+	// reservation begins. It equals Free if nothing is reserved.
 	FreeForLong resource.Amount
-	// Unschedulable workers get nothing new.
+	// Unschedulable workers get no new tasks.
 	Unschedulable bool
-	// OnProbation workers are on probation: they get one task at a time.
+	// OnProbation workers get one task at a time.
 	OnProbation bool
 
 	rack int
--- a/internal/placement/differential_test.go
+++ b/internal/placement/differential_test.go
@@ -1,5 +1,5 @@
-// Package placement_test compares the placement policies with naive versions
-// of themselves, and measures both.
+// Package placement_test compares the placement policies with naive versions and benchmarks
+// both.
 package placement_test
 
 import (
@@ -17,7 +17,7 @@
 	"gentianstand/internal/spec"
 )
 
-// clusterPair is a cluster and its naive twin, changed together.
+// clusterPair is a cluster and its naive counterpart, which get the same changes.
 type clusterPair struct {
 	fast  *cluster.Cluster
 	naive *naiveCluster
@@ -44,7 +44,7 @@
 	p.naive.tasks = append(p.naive.tasks[:i], p.naive.tasks[i+1:]...)
 }
 
-// churn releases some tasks at random.
+// churn releases random tasks.
 func (p *clusterPair) churn(rt *rapid.T) {
 	for range rapid.IntRange(0, 2).Draw(rt, "releases") {
 		if n := len(p.naive.tasks); n > 0 {
@@ -53,16 +53,15 @@
 	}
 }
 
-// check fails if the index differs from the plain list, or a worker is
-// oversold.
+// check fails if the index differs from the flat list or a worker is overcommitted.
 func (p *clusterPair) check(rt *rapid.T) {
 	for i := range p.naive.nodes {
 		free := p.naive.free(i)
 		if p.fast.Node(i).Free != free {
-			rt.Fatalf("worker %d: index says %s free, the tasks say %s", i, p.fast.Node(i).Free, free)
+			rt.Fatalf("worker %d: %s free in the index, %s free by the list of tasks", i, p.fast.Node(i).Free, free)
 		}
 		if !(resource.Amount{}).Fits(free) {
-			rt.Fatalf("worker %d is oversold: %s free", i, free)
+			rt.Fatalf("worker %d is overcommitted: %s free", i, free)
 		}
 	}
 }
@@ -97,8 +96,9 @@
 	})
 }
 
-// compareNode demands that both place or neither, and that the choice is as
-// good as the naive one; of equally good workers either may be chosen.
+// compareNode checks that both versions place the task or neither does, and that the chosen
+// worker has the same rank as the naive choice. Among workers of equal rank either may be
+// chosen.
 func compareNode(rt *rapid.T, p *clusterPair, req policy.Request, got policy.Decision, want int, rank func(node int) [4]int64) {
 	if got.Placed() != (want >= 0) {
 		rt.Fatalf("placed %v (%s), naive chose %d", got.Placed(), got.Reason, want)
@@ -112,8 +112,8 @@
 	p.allocate(got.Nodes[0], req.Workload, req.Need)
 }
 
-// TestDifferentialGang: a gang is placed exactly when it fits, all tasks or
-// none, and never oversells.
+// TestDifferentialGang checks that a gang is placed exactly when it fits, with all of its tasks
+// or none, and that no worker is overcommitted.
 func TestDifferentialGang(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		p := drawPair(rt)
@@ -135,9 +135,9 @@
 	})
 }
 
-// TestRackLossIsSurvived: with as many racks as replicas, no rack holds two
-// more replicas than another while both have room, so the loss of one takes
-// the least possible.
+// TestRackLossIsSurvived checks that replicas are spread evenly: while all racks have free
+// capacity, no rack holds 2 more replicas than another, so that the loss of a rack affects as
+// few as possible.
 func TestRackLossIsSurvived(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		nodes := newNodes(32, 4, 4, resource.Amount{MilliCPU: 16_000, MemoryMiB: 16 << 10}, 0)
--- a/internal/placement/draw_test.go
+++ b/internal/placement/draw_test.go
@@ -10,8 +10,8 @@
 	"gentianstand/internal/resource"
 )
 
-// newNodes returns workers in racks of perRack, spread over zones; every
-// eighth rack has accelerators.
+// newNodes returns workers in racks of perRack that are spread over zones. Every 8th rack has
+// accelerators.
 func newNodes(workers, perRack, zones int, capacity resource.Amount, accelerators int64) []cluster.Node {
 	nodes := make([]cluster.Node, workers)
 	for i := range nodes {
@@ -28,7 +28,7 @@
 	return nodes
 }
 
-// drawNeed draws a need of a task in round amounts.
+// drawNeed draws the need of a task in round amounts.
 func drawNeed(rt *rapid.T) resource.Amount {
 	return resource.Amount{
 		MilliCPU:     int64(rapid.IntRange(1, 16).Draw(rt, "cpu")) * 500,
--- a/internal/placement/explain/explain.go
+++ b/internal/placement/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain tells why work can never run: which worker comes nearest to
-// holding a task, and what it lacks.
+// Package explain describes why work can never run: which worker comes closest to holding a
+// task, and what it lacks.
 package explain
 
 import (
@@ -9,9 +9,9 @@
 	"gentianstand/internal/resource"
 )
 
-// NeverFits reports whether no worker could hold need even when empty, and if so
-// names the nearest worker and what is missing there. With no workers at all
-// it reports false: nothing is known yet.
+// NeverFits reports whether no worker could hold need even if it were empty. If so, it describes
+// the closest worker and the missing amount. It reports false for a cluster without workers,
+// because nothing is known yet.
 func NeverFits(c *cluster.Cluster, need resource.Amount) (string, bool) {
 	nearest := -1
 	var least float64
@@ -31,8 +31,8 @@
 	return fmt.Sprintf("no worker can hold a task of %s; the nearest, %s, lacks %s", need, n.ID, missing(need, n.Capacity)), true
 }
 
-// GangNeverFits reports the same for a gang: whether all workers together, when
-// empty, have too few places for its tasks.
+// GangNeverFits is NeverFits for a gang: it also reports true if all workers together, when
+// empty, have too little capacity for all of its tasks.
 func GangNeverFits(c *cluster.Cluster, need resource.Amount, tasks int) (string, bool) {
 	if c.Len() == 0 {
 		return "", false
@@ -50,7 +50,7 @@
 	return fmt.Sprintf("all %d tasks must run at once, but the workers have only %d places for a task of %s", tasks, places, need), true
 }
 
-// shortfallShare adds up what is missing as a share of what is needed.
+// shortfallShare returns the sum over all dimensions of the missing share of what is needed.
 func shortfallShare(need, have resource.Amount) float64 {
 	short := need.Sub(have)
 	return part(short.MilliCPU, need.MilliCPU) + part(short.MemoryMiB, need.MemoryMiB) + part(short.Accelerators, need.Accelerators)
--- a/internal/placement/gang/gang.go
+++ b/internal/placement/gang/gang.go
@@ -1,5 +1,5 @@
-// Package gang places jobs that need all their tasks at once: all or none, on
-// as few racks as possible.
+// Package gang places jobs whose tasks must all start together: all tasks or none, on as few
+// racks as possible.
 package gang
 
 import (
@@ -14,23 +14,23 @@
 // Policy implements policy.Policy.
 type Policy struct{}
 
-// nodeSlots is a worker that can hold some tasks of the gang.
+// nodeSlots is a worker and the number of tasks of the gang that it can hold.
 type nodeSlots struct {
 	node  int
 	count int64
 	score int64
 }
 
-// rackSlots is a rack with its seats.
+// rackSlots is a rack and its workers that can hold tasks of the gang.
 type rackSlots struct {
 	rack  int
 	total int64
 	nodes []nodeSlots
 }
 
-// Place chooses a worker for each task, or none at all. If one rack can hold
-// the whole gang it takes the one with the least room to spare; otherwise it
-// fills the largest racks first, so that the gang spans the fewest.
+// Place chooses a worker for each task, or none at all. If one rack can hold the whole gang,
+// the rack with the least capacity to spare is used. Otherwise the largest racks are filled
+// first, so that the gang spans the fewest racks.
 func (Policy) Place(c *cluster.Cluster, req policy.Request) policy.Decision {
 	want := int64(req.Tasks)
 	var racks []rackSlots
@@ -78,8 +78,8 @@
 	return b
 }
 
-// tightest returns the rack that holds the gang with the least to spare, or
-// -1 if none holds it whole.
+// tightest returns the rack that holds the gang with the least to spare, or -1 if no single
+// rack can hold it.
 func tightest(racks []rackSlots, want int64) int {
 	best := -1
 	for i, b := range racks {
--- a/internal/placement/naive_test.go
+++ b/internal/placement/naive_test.go
@@ -7,15 +7,15 @@
 	"gentianstand/internal/spec"
 )
 
-// placedTask is a task as the naive versions keep it: in one flat list.
+// placedTask is a task in the flat list of a naiveCluster.
 type placedTask struct {
 	node     int
 	workload string
 	need     resource.Amount
 }
 
-// naiveCluster is plain, slow and obviously right: what is free is worked out
-// from the list of all tasks each time it is asked for.
+// naiveCluster is a simple, slow reference implementation: it computes the free amounts from
+// the list of all tasks on every query.
 type naiveCluster struct {
 	nodes []cluster.Node
 	tasks []placedTask
@@ -51,12 +51,12 @@
 	return list
 }
 
-// naiveBatch is the tightest fit over a plain list.
+// naiveBatch is the batch policy as a scan of all workers.
 func naiveBatch(c *naiveCluster, req policy.Request) int {
 	return naiveBest(c, req, batchRank)
 }
 
-// naiveBest returns the feasible worker of the lowest rank.
+// naiveBest returns the candidate with the lowest rank, or -1.
 func naiveBest(c *naiveCluster, req policy.Request, rankOf func(*naiveCluster, policy.Request, int) [4]int64) int {
 	best := -1
 	var lowest [4]int64
@@ -73,7 +73,7 @@
 	return [4]int64{3: naiveScore(c.nodes[i].Capacity, c.free(i).Sub(req.Need), req.Need)}
 }
 
-// naiveScore spells out what stays free: processors, memory, their unevenness,
+// naiveScore is batch.Score computed directly: free processors, free memory, their imbalance,
 // and accelerators.
 func naiveScore(capacity, left, need resource.Amount) int64 {
 	cpu := left.MilliCPU * 65536 / capacity.MilliCPU
@@ -92,7 +92,7 @@
 	return score
 }
 
-// naiveService counts replicas anew for each candidate.
+// naiveService is the service policy; it counts the replicas for each candidate.
 func naiveService(c *naiveCluster, req policy.Request) int {
 	return naiveBest(c, req, serviceRank)
 }
@@ -121,8 +121,8 @@
 	return false
 }
 
-// naiveGang tells whether a gang fits by placing its tasks one by one, first
-// fit: for equal tasks that is exact.
+// naiveGang reports whether a gang fits. It places the tasks one by one with first fit, which
+// is exact for equal tasks.
 func naiveGang(c *naiveCluster, req policy.Request) bool {
 	trial := naiveCluster{nodes: c.nodes, tasks: append([]placedTask(nil), c.tasks...)}
 	for range req.Tasks {
--- a/internal/placement/order/item.go
+++ b/internal/placement/order/item.go
@@ -1,21 +1,21 @@
-// Package order decides whose work is placed first.
+// Package order sorts pending work by the order in which it is placed.
 package order
 
 import "time"
 
-// Item is pending work of one run.
+// Item is the pending work of one run.
 type Item struct {
 	Run  string
 	Team string
-	// Rank is the urgency, 0 first.
+	// Rank is the urgency; 0 is the most urgent.
 	Rank int
-	// LatestStart is when the run must have been started to finish by its deadline;
-	// zero if it has none.
+	// LatestStart is the latest start with which the run finishes by its deadline; zero if it
+	// has no deadline.
 	LatestStart time.Time
 	// ReadySince is when the work became ready.
 	ReadySince time.Time
-	// Service says that the tasks answer requests; people wait for them.
+	// Service means that the tasks answer requests, for which people wait.
 	Service bool
-	// Gang says that the tasks must start together.
+	// Gang means that the tasks must start together.
 	Gang bool
 }
--- a/internal/placement/order/order.go
+++ b/internal/placement/order/order.go
@@ -8,14 +8,13 @@
 	"gentianstand/internal/resource"
 )
 
-// dueWindow is how close a due time must be to go before fairness.
+// dueWindow is how close the latest start must be for work to be ordered before fairness.
 const dueWindow = 10 * time.Minute
 
-// Sort orders items: the urgent first; then services, whose replicas must not
-// be squeezed onto what a batch run leaves; then work that would miss its
-// deadline; then teams within their quota before borrowers; then the team with the
-// smallest share; then the longest waiting. Teams without work take nothing,
-// so what they leave goes to the others.
+// Sort orders items by these criteria: urgency; services first, so that their replicas are not
+// limited to what a batch run leaves; work that would miss its deadline; teams within their
+// quota before teams that borrow; among borrowing teams the one with the smallest share; the
+// longest wait. A team without work takes nothing, so its share is available to the others.
 func Sort(items []Item, shares map[string]Share, total resource.Amount, now time.Time) {
 	dominant := make(map[string]float64, len(shares))
 	overQuota := make(map[string]bool, len(shares))
@@ -69,8 +68,8 @@
 	}
 }
 
-// compareShare orders borrowers by what they use. Teams within their quota are
-// entitled to what they ask for, so among them the longest waiting goes first.
+// compareShare orders borrowing teams by their share. Teams within their quota are entitled to
+// what they request, so among them the longest waiting goes first.
 func compareShare(a, b float64, borrowing bool) int {
 	if !borrowing {
 		return 0
--- a/internal/placement/policy/decision.go
+++ b/internal/placement/policy/decision.go
@@ -1,7 +1,6 @@
 package policy
 
-// Decision is a policy's answer: a worker for each task, or none with the
-// reason.
+// Decision is the result of a policy: a worker for each task, or the reason why there is none.
 type Decision struct {
 	// Nodes are indices into the cluster, one for each task.
 	Nodes  []int
--- a/internal/placement/policy/request.go
+++ b/internal/placement/policy/request.go
@@ -5,26 +5,26 @@
 	"gentianstand/internal/spec"
 )
 
-// Request asks for workers for tasks of one workload.
+// Request describes tasks of one workload that need workers.
 type Request struct {
 	Workload string
 	Need     resource.Amount
-	// Tasks is how many tasks to place; policies other than gang place one.
+	// Tasks is the number of tasks to place. Only the gang policy places more than one.
 	Tasks  int
 	Spread spec.Spread
-	// Long says that the tasks may still run when a reservation begins.
+	// Long means that the tasks may still run when a reservation begins.
 	Long bool
-	// Avoid, if not nil, tells workers that must not be chosen.
+	// Avoid, if not nil, reports whether a worker must not be chosen.
 	Avoid func(id string) bool
 }
 
-// Usable returns what of a worker's free and late amounts the request may use.
-func (r Request) Usable(free, late resource.Amount) resource.Amount {
+// Usable returns the part of a worker's Free and FreeForLong amounts that the request may use.
+func (r Request) Usable(free, freeForLong resource.Amount) resource.Amount {
 	if r.Long {
 		return resource.Amount{
-			MilliCPU:     min(free.MilliCPU, late.MilliCPU),
-			MemoryMiB:    min(free.MemoryMiB, late.MemoryMiB),
-			Accelerators: min(free.Accelerators, late.Accelerators),
+			MilliCPU:     min(free.MilliCPU, freeForLong.MilliCPU),
+			MemoryMiB:    min(free.MemoryMiB, freeForLong.MemoryMiB),
+			Accelerators: min(free.Accelerators, freeForLong.Accelerators),
 		}
 	}
 	return free
--- a/internal/placement/preempt/preempt.go
+++ b/internal/placement/preempt/preempt.go
@@ -8,9 +8,8 @@
 	"gentianstand/internal/resource"
 )
 
-// Choose returns the tasks to stop so that need fits on one worker, and that
-// worker: those that lose the least. It returns -1 if no set of allowed
-// victims makes room.
+// Choose returns a worker and the tasks to stop there so that need fits, with the least loss of
+// work. It returns -1 if no set of allowed victims frees enough.
 func Choose(c *cluster.Cluster, need resource.Amount, rank int, team string, victims []Victim) (int, []Victim) {
 	byNode := map[int][]Victim{}
 	for _, v := range victims {
@@ -40,8 +39,8 @@
 	return !v.Protected || v.Team == team
 }
 
-// cheapest takes victims by ascending loss until need fits, then gives back
-// those that turn out not to be needed, dearest first.
+// cheapest selects victims by ascending loss until need fits. It then drops victims that are
+// not needed, those with the highest loss first.
 func cheapest(free, need resource.Amount, victims []Victim) ([]Victim, int64, bool) {
 	slices.SortStableFunc(victims, func(a, b Victim) int { return cmp.Compare(a.loss(), b.loss()) })
 	var set []Victim
--- a/internal/placement/preempt/victim.go
+++ b/internal/placement/preempt/victim.go
@@ -1,4 +1,4 @@
-// Package preempt chooses which running tasks give way to urgent work.
+// Package preempt chooses the running tasks that are stopped for urgent work.
 package preempt
 
 import (
@@ -13,22 +13,23 @@
 	Ref  worker.TaskRef
 	Node int
 	Need resource.Amount
-	// Rank is the task's urgency; only a higher number gives way.
+	// Rank is the task's urgency. Only tasks with a higher number than the new work may be
+	// stopped.
 	Rank int
 	// SinceCheckpoint is how long the task has run since its last checkpoint.
 	SinceCheckpoint time.Duration
-	// Borrowed says that the task uses what its team has borrowed.
+	// Borrowed means that the task runs on resources beyond its team's quota.
 	Borrowed bool
-	// Protected tasks never give way to another team.
+	// Protected tasks are never stopped for another team.
 	Protected bool
 	Team      string
-	// Repeatable tasks can be run again after a stop; others are never
-	// chosen, because stopping them would lose their work for good.
+	// Repeatable tasks can run again after they were stopped. Other tasks are never chosen,
+	// because stopping them would lose their work permanently.
 	Repeatable bool
 }
 
-// loss is what stopping the task throws away: core-seconds, less for what was
-// only borrowed.
+// loss is the work that stopping the task would lose, in milli-core-milliseconds. Borrowed
+// resources count a quarter.
 func (v Victim) loss() int64 {
 	cores := v.Need.MilliCPU + 1
 	loss := cores * (v.SinceCheckpoint.Milliseconds() + 1)
--- a/internal/placement/service/service.go
+++ b/internal/placement/service/service.go
@@ -1,5 +1,5 @@
-// Package service places replicas of services apart from one another, so that
-// the loss of a rack or an availability zone takes as few as possible.
+// Package service spreads the replicas of a service, so that the loss of a rack or an
+// availability zone affects as few of them as possible.
 package service
 
 import (
@@ -12,7 +12,7 @@
 // Policy implements policy.Policy.
 type Policy struct{}
 
-// rank orders workers for a replica; the lower is better, field by field.
+// rank orders workers for a replica. Lower is better; earlier fields take precedence.
 type rank struct {
 	zone, rack, node int
 	score            int64
@@ -31,9 +31,9 @@
 	}
 }
 
-// Place chooses a worker where the levels of spreading hold the fewest
-// replicas; of equal ones the tightest fit, then the first. Racks that cannot
-// beat the best found so far are passed over whole.
+// Place chooses the worker in the zone, rack and node with the fewest replicas, as far as the
+// spread of the request demands; among equal workers the tightest fit, then the first. Racks
+// that cannot contain a better worker than the best found so far are skipped.
 func (Policy) Place(c *cluster.Cluster, req policy.Request) policy.Decision {
 	counts := c.Counts(req.Workload)
 	best := -1
@@ -64,7 +64,7 @@
 	return policy.Decision{Nodes: []int{best}, Reason: policy.Found}
 }
 
-// floorRank is the best rank that a worker of a rack can have.
+// floorRank returns the lowest rank that a worker of a rack can have.
 func floorRank(c *cluster.Cluster, counts *cluster.Counts, spread spec.Spread, r int) rank {
 	var floor rank
 	if spread == spec.SpreadZone {
