--- a/internal/advice/adviser.go
+++ b/internal/advice/adviser.go
@@ -1,5 +1,5 @@
-// Package advice declares the service that says which workers may run a stage.
-// It handles one call at a time for each calling instance, and is slow, so
+// Package advice declares the placement adviser, the service that decides which workers may run
+// a stage. The adviser handles one call at a time for each calling instance and is slow, so
 // calls are spread over all instances.
 package advice
 
@@ -8,12 +8,12 @@
 	"errors"
 )
 
-// ErrBusy says that too many calls of this instance wait already.
+// ErrBusy means that too many calls of this instance are already waiting.
 var ErrBusy = errors.New("the placement adviser has too many calls of this instance waiting")
 
-// Adviser is the placement adviser.
+// Adviser issues tickets for starting tasks on workers.
 type Adviser interface {
-	// Ask returns a ticket for each of the named workers that may run the
-	// stage. Which workers may never changes during the life of a stage.
+	// Ask returns a ticket for each of the given workers that may run the stage. The set of
+	// workers that may run a stage never changes during the lifetime of the stage.
 	Ask(ctx context.Context, stage string, workers []string) ([]Ticket, error)
 }
--- a/internal/fault/error.go
+++ b/internal/fault/error.go
@@ -1,5 +1,5 @@
-// Package fault holds the closed list of error kinds, the table from kind to
-// the answer a caller gets, and the error type that carries a kind.
+// Package fault defines the error kinds that callers can receive, the answer for each kind, and
+// the error type that carries a kind.
 package fault
 
 import (
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// Error is an error with a kind of the closed list.
+// Error is an error with one of the defined kinds.
 type Error struct {
 	Kind Kind
-	// Message is for people; it names the place and what is allowed.
+	// Message is for people; it names the location of the problem and what is allowed there.
 	Message string
-	// RetryAfter replaces the table's value when it is not zero.
+	// RetryAfter overrides the value of the table if it is not zero.
 	RetryAfter time.Duration
-	// Outcome replaces the table's value when it is not empty, for the case
-	// that more is known than the kind alone says.
+	// Outcome overrides the value of the table if it is not empty, for errors about which more
+	// is known than the kind alone implies.
 	Outcome Outcome
 	cause   error
 }
 
-// New returns an error of kind k with a formatted message. A %w verb keeps
-// its operand for errors.Is and errors.As.
+// New returns an error of kind k with a formatted message. The operand of a %w verb is kept for
+// errors.Is and errors.As.
 func New(k Kind, format string, args ...any) *Error {
 	wrapped := fmt.Errorf(format, args...)
 	return &Error{Kind: k, Message: wrapped.Error(), cause: errors.Unwrap(wrapped)}
@@ -34,21 +34,21 @@
 // Unwrap returns the wrapped cause, or nil.
 func (e *Error) Unwrap() error { return e.cause }
 
-// WithRetryAfter returns a copy of e that says when to come back.
+// WithRetryAfter returns a copy of e with the retry delay d.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
 }
 
-// WithOutcome returns a copy of e that states a known outcome.
+// WithOutcome returns a copy of e with the outcome o.
 func (e *Error) WithOutcome(o Outcome) *Error {
 	c := *e
 	c.Outcome = o
 	return &c
 }
 
-// Answer returns the table's answer with this error's own values put in.
+// Answer returns the answer of the table with the values that this error overrides.
 func (e *Error) Answer() Answer {
 	a := AnswerFor(e.Kind)
 	if e.RetryAfter > 0 {
@@ -60,7 +60,7 @@
 	return a
 }
 
-// From returns err as an *Error. An error without a kind becomes Internal.
+// From returns err as an *Error. An error without a kind becomes an Internal error.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
--- a/internal/fault/kind.go
+++ b/internal/fault/kind.go
@@ -1,10 +1,9 @@
 package fault
 
-// Kind names one entry of the closed list of error kinds. The list and the
-// answer that belongs to each kind stand in table.go.
+// Kind is one of the defined error kinds. The answer of each kind is in table.go.
 type Kind string
 
-// The closed list. Add a kind only together with its row in the table.
+// The error kinds. Each kind needs a row in the table of answers.
 const (
 	BadRequest          Kind = "bad_request"
 	Unauthorized        Kind = "unauthorized"
--- a/internal/fault/outcome.go
+++ b/internal/fault/outcome.go
@@ -1,10 +1,10 @@
 package fault
 
-// Outcome tells a caller whether its work was executed. It is never a guess:
-// DidNotRun and Ran are said only where they are known.
+// Outcome informs a caller whether its work was executed. DidNotRun and Ran are used only if
+// that is known for certain.
 type Outcome string
 
-// The outcomes an answer can state.
+// The outcomes of an answer.
 const (
 	DidNotRun  Outcome = "did_not_run"
 	Ran        Outcome = "ran"
--- a/internal/fault/table.go
+++ b/internal/fault/table.go
@@ -6,8 +6,7 @@
 	"time"
 )
 
-// answers is the one table from kind to answer. docs/ERRORS.md is checked
-// against it by a test.
+// answers maps each kind to its answer. A test checks docs/CALLERS.md against it.
 var answers = map[Kind]Answer{
 	BadRequest:          {http.StatusBadRequest, DidNotRun, 0, "The request is malformed; the message names the place."},
 	Unauthorized:        {http.StatusUnauthorized, DidNotRun, 0, "The operator token is missing or wrong."},
@@ -31,8 +30,8 @@
 	Internal:            {http.StatusInternalServerError, MayHaveRun, time.Second, "An unexpected error; the log line of the request id tells more."},
 }
 
-// AnswerFor returns the answer of a kind. An unknown kind is answered like
-// Internal, which claims nothing about the work.
+// AnswerFor returns the answer of a kind. An unknown kind gets the answer of Internal, which
+// makes no claim about the work.
 func AnswerFor(k Kind) Answer {
 	a, ok := answers[k]
 	if !ok {
@@ -41,7 +40,7 @@
 	return a
 }
 
-// Kinds returns the closed list in alphabetical order.
+// Kinds returns all kinds in alphabetical order.
 func Kinds() []Kind {
 	kinds := make([]Kind, 0, len(answers))
 	for k := range answers {
--- a/internal/fault/table_test.go
+++ b/internal/fault/table_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestErrorsArePublished: docs/CALLERS.md has exactly the rows of the table.
+// TestErrorsArePublished checks that docs/CALLERS.md has exactly the rows of the table.
 func TestErrorsArePublished(t *testing.T) {
 	page, err := os.ReadFile("../../docs/CALLERS.md")
 	if err != nil {
@@ -22,12 +22,12 @@
 	for _, k := range Kinds() {
 		row := publishedRow(k)
 		if !published[row] {
-			t.Errorf("docs/CALLERS.md lacks: %s", row)
+			t.Errorf("docs/CALLERS.md is missing this row: %s", row)
 		}
 		delete(published, row)
 	}
 	for row := range published {
-		t.Errorf("docs/CALLERS.md has a row that the table has not: %s", row)
+		t.Errorf("docs/CALLERS.md has a row that is not in the table: %s", row)
 	}
 }
 
@@ -40,8 +40,8 @@
 	return fmt.Sprintf("| `%s` | %d | `%s` | %s | %s |", k, a.Status, a.Outcome, after, a.Meaning)
 }
 
-// TestUnknownKindClaimsNothing: a kind outside the list is answered as one
-// after which the work may have run.
+// TestUnknownKindClaimsNothing checks that an undefined kind is answered with an outcome of
+// MayHaveRun.
 func TestUnknownKindClaimsNothing(t *testing.T) {
 	if a := AnswerFor("nonsense"); a.Outcome != MayHaveRun {
 		t.Errorf("got %+v", a)
--- a/internal/packed/text.go
+++ b/internal/packed/text.go
@@ -1,6 +1,6 @@
-// Package packed keeps texts of callers in a shorter form on their way through the
-// instances and the store. An owner on a narrow link hears each text twice, and passes it
-// to each relay that starts a task; packed they have half the length or less.
+// Package packed compresses texts of callers for transfer between instances and for the store.
+// An owner on a slow link receives each text twice and forwards it to each relay that starts a
+// task. Compression reduces a text to half its length or less.
 package packed
 
 import (
@@ -14,20 +14,20 @@
 )
 
 const (
-	// marker is the first byte of a packed text. A plain text that begins with it is
-	// packed in any case.
+	// marker is the first byte of a compressed text. A plain text that begins with this byte is
+	// always compressed.
 	marker = 0
-	// minBytes is the shortest text that is packed: below, there is little to gain.
+	// minBytes is the length from which texts are compressed; shorter texts gain little.
 	minBytes = 64
-	// maxUnpackedBytes bounds what a text may grow to when it is unpacked; more is not one of
-	// ours.
+	// maxUnpackedBytes bounds the size of a text after decompression. A larger text was not
+	// written by Pack.
 	maxUnpackedBytes = 1 << 20
 )
 
-// Text is a text as it is, or packed.
+// Text is a text in plain or compressed form.
 type Text string
 
-// writers are used again: each has about 1 MB of tables.
+// writers are pooled, because each has about 1 MB of tables.
 var writers = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(nil, flate.DefaultCompression)
 	if err != nil {
@@ -36,7 +36,8 @@
 	return w
 }}
 
-// Pack returns the packed form of a plain text, or the text itself if that is no longer.
+// Pack returns the compressed form of a plain text, or the text itself if compression does not
+// make it shorter.
 func Pack(plain string) Text {
 	forced := plain != "" && plain[0] == marker
 	if len(plain) < minBytes && !forced {
@@ -46,7 +47,7 @@
 	w := writers.Get().(*flate.Writer)
 	defer writers.Put(w)
 	w.Reset(out)
-	_, _ = w.Write([]byte(plain)) // a buffer takes everything
+	_, _ = w.Write([]byte(plain)) // a bytes.Buffer does not fail
 	_ = w.Close()
 	if out.Len() >= len(plain) && !forced {
 		return Text(plain)
@@ -63,19 +64,20 @@
 	defer r.Close()
 	plain, err := io.ReadAll(io.LimitReader(r, maxUnpackedBytes+1))
 	if err != nil {
-		return "", fmt.Errorf("packed text of %d bytes: %w", len(t), err)
+		return "", fmt.Errorf("decompress text of %d bytes: %w", len(t), err)
 	}
 	if len(plain) > maxUnpackedBytes {
-		return "", fmt.Errorf("packed text of %d bytes: more than %d when unpacked", len(t), maxUnpackedBytes)
+		return "", fmt.Errorf("decompress text of %d bytes: result exceeds %d bytes", len(t), maxUnpackedBytes)
 	}
 	return string(plain), nil
 }
 
-// MarshalCBOR implements cbor.Marshaler. Packed texts are no UTF-8, so it writes bytes.
+// MarshalCBOR implements cbor.Marshaler. Compressed texts are not valid UTF-8, so a byte string
+// is written.
 func (t Text) MarshalCBOR() ([]byte, error) { return cbor.Marshal([]byte(t)) }
 
-// UnmarshalCBOR implements cbor.Unmarshaler. It reads bytes, or a text of a record that
-// was written before texts were packed.
+// UnmarshalCBOR implements cbor.Unmarshaler. It reads a byte string, or a text string from a
+// record that was written before texts were compressed.
 func (t *Text) UnmarshalCBOR(data []byte) error {
 	var raw any
 	if err := cbor.Unmarshal(data, &raw); err != nil {
@@ -87,7 +89,7 @@
 	case string:
 		*t = Text(raw)
 	default:
-		return fmt.Errorf("a text is %T", raw)
+		return fmt.Errorf("decode text: unexpected CBOR type %T", raw)
 	}
 	return nil
 }
--- a/internal/packed/text_test.go
+++ b/internal/packed/text_test.go
@@ -30,7 +30,8 @@
 	})
 }
 
-// Load: texts of 1.2 KB of sixteen letters, as random as texts get. Limit: 0.6 of that.
+// A random text of 1,200 bytes over 16 letters, the least compressible text expected, must
+// shrink to at most 0.6 of its length.
 func TestLongTextsGetShorter(t *testing.T) {
 	var b strings.Builder
 	state := uint32(1)
--- a/internal/patience/adaptive_timeout.go
+++ b/internal/patience/adaptive_timeout.go
@@ -1,5 +1,4 @@
-// Package patience tells how long to wait for the answer to a call from how long
-// answers have lately taken.
+// Package patience computes timeouts for calls from the latencies of recent calls.
 package patience
 
 import (
@@ -7,7 +6,8 @@
 	"time"
 )
 
-// AdaptiveTimeout is safe for concurrent use.
+// AdaptiveTimeout derives the timeout of a call from a moving average of latencies. It is safe
+// for concurrent use.
 type AdaptiveTimeout struct {
 	settings Settings
 
@@ -15,13 +15,13 @@
 	average time.Duration
 }
 
-// New returns a Patience that knows of no answer yet.
+// New returns an AdaptiveTimeout without any observation.
 func New(s Settings) *AdaptiveTimeout { return &AdaptiveTimeout{settings: s} }
 
-// ObserveAnswer takes in how long an answer took.
+// ObserveAnswer records the latency of an answered call.
 func (t *AdaptiveTimeout) ObserveAnswer(took time.Duration) { t.observe(took, t.settings.AnswerWeight) }
 
-// ObserveTimeout takes in after which time a call was given up.
+// ObserveTimeout records a call that was abandoned without an answer after the given time.
 func (t *AdaptiveTimeout) ObserveTimeout(after time.Duration) {
 	t.observe(after, t.settings.TimeoutWeight)
 }
@@ -32,12 +32,13 @@
 	t.average += time.Duration(weight * float64(to-t.average))
 }
 
-// Limit returns how long to wait.
+// Limit returns the timeout for the next call.
 func (t *AdaptiveTimeout) Limit() time.Duration {
 	return t.LimitWith(t.settings.Factor, t.settings.Min)
 }
 
-// LimitWith returns factor times what answers usually take, at least least.
+// LimitWith returns the timeout with another factor and minimum than those of the settings:
+// factor times the average latency, at least least and at most Settings.Max.
 func (t *AdaptiveTimeout) LimitWith(factor float64, least time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/patience/settings.go
+++ b/internal/patience/settings.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Settings are the figures of a Patience.
+// Settings are the parameters of an AdaptiveTimeout.
 type Settings struct {
-	// Min and Max bound the wait.
+	// Min and Max bound the timeout.
 	Min, Max time.Duration
-	// Factor times the usual duration of an answer is waited.
+	// Factor is the timeout as a multiple of the average latency.
 	Factor float64
-	// AnswerWeight is the weight of the newest answer in the usual duration, from 0
-	// to 1; TimeoutWeight that of a call that was given up.
+	// AnswerWeight is the weight of a new latency in the average, from 0 to 1. TimeoutWeight is
+	// the weight of the duration of a call that timed out.
 	AnswerWeight, TimeoutWeight float64
 }
--- a/internal/resource/amount.go
+++ b/internal/resource/amount.go
@@ -1,17 +1,17 @@
-// Package resource holds amounts of processors, memory and accelerators as
-// integers, so that sums never drift.
+// Package resource represents amounts of processors, memory and accelerators as integers, so
+// that sums are exact.
 package resource
 
 import "fmt"
 
-// Amount is a quantity of the three things a worker can give. All fields are
-// whole units and may be negative only as a difference.
+// Amount is a quantity of the 3 resources of a worker. All fields are in whole units; they are
+// negative only in a difference.
 type Amount struct {
 	// MilliCPU is processor time in thousandths of a core.
 	MilliCPU int64 `json:"milli_cpu"`
 	// MemoryMiB is memory in mebibytes.
 	MemoryMiB int64 `json:"memory_mib"`
-	// Accelerators is a count of whole accelerators.
+	// Accelerators is the number of whole accelerators.
 	Accelerators int64 `json:"accelerators"`
 }
 
@@ -38,12 +38,12 @@
 // IsZero reports whether every dimension is zero.
 func (a Amount) IsZero() bool { return a == Amount{} }
 
-// Max returns the larger value of each dimension.
+// Max returns the larger value in each dimension.
 func (a Amount) Max(b Amount) Amount {
 	return Amount{max(a.MilliCPU, b.MilliCPU), max(a.MemoryMiB, b.MemoryMiB), max(a.Accelerators, b.Accelerators)}
 }
 
-// Min returns the smaller value of each dimension.
+// Min returns the smaller value in each dimension.
 func (a Amount) Min(b Amount) Amount {
 	return Amount{min(a.MilliCPU, b.MilliCPU), min(a.MemoryMiB, b.MemoryMiB), min(a.Accelerators, b.Accelerators)}
 }
--- a/internal/steady/instant.go
+++ b/internal/steady/instant.go
@@ -1,5 +1,5 @@
-// Package steady reads a clock that never steps back and that goes on while the machine is
-// suspended. time.Time carries a clock that stands still then.
+// Package steady provides a monotonic clock that includes the time during which the machine is
+// suspended. The monotonic clock of time.Time stops during a suspension.
 package steady
 
 import (
@@ -8,22 +8,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// Instant is the time since the machine started, suspensions included. Instants of
-// different machines have nothing to do with one another.
+// Instant is the time since the machine booted, including suspensions. Instants of different
+// machines are not comparable.
 type Instant time.Duration
 
-// Now returns the present instant.
+// Now returns the current instant.
 func Now() Instant {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		// The clock exists on every kernel that Go runs on.
+		// CLOCK_BOOTTIME exists on every kernel that Go supports.
 		panic("steady: " + err.Error())
 	}
 	return Instant(t.Nano())
 }
 
-// Sub returns how long i is after earlier.
+// Sub returns the duration from earlier to i.
 func (i Instant) Sub(earlier Instant) time.Duration { return time.Duration(i - earlier) }
 
-// Add returns the instant a while after i.
+// Add returns the instant d after i.
 func (i Instant) Add(d time.Duration) Instant { return i + Instant(d) }
--- a/internal/traffic/conn.go
+++ b/internal/traffic/conn.go
@@ -2,7 +2,7 @@
 
 import "net"
 
-// countedConn adds the bytes of a connection to a counter.
+// countedConn adds the bytes that a connection transfers to a counter.
 type countedConn struct {
 	net.Conn
 	counter *Counter
--- a/internal/traffic/counter.go
+++ b/internal/traffic/counter.go
@@ -8,11 +8,11 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Counter counts the connections of one purpose and their bytes, without the headers
-// of TCP and IP. It is safe for concurrent use.
+// Counter counts the connections of one purpose and their bytes, excluding TCP and IP headers.
+// It is safe for concurrent use.
 type Counter struct{ in, out, connections *metrics.Counter }
 
-// CounterFor returns the process's counter for a purpose.
+// CounterFor returns the process-wide counter of a purpose.
 func CounterFor(p Purpose) *Counter {
 	return &Counter{
 		in:          metrics.GetOrCreateCounter(fmt.Sprintf(`gentianstand_traffic_bytes_total{purpose=%q,way="in"}`, p)),
@@ -21,16 +21,16 @@
 	}
 }
 
-// In returns the bytes that came since the start of the process.
+// In returns the number of bytes received since the process started.
 func (c *Counter) In() uint64 { return c.in.Get() }
 
-// Out returns the bytes that were sent since the start of the process.
+// Out returns the number of bytes sent since the process started.
 func (c *Counter) Out() uint64 { return c.out.Get() }
 
-// Connections returns how many connections were opened since the start of the process.
+// Connections returns the number of connections opened since the process started.
 func (c *Counter) Connections() uint64 { return c.connections.Get() }
 
-// WrapDial returns dial with its connections counted.
+// WrapDial returns a DialFunc that counts the connections opened by dial.
 func (c *Counter) WrapDial(dial DialFunc) DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
@@ -41,7 +41,7 @@
 	}
 }
 
-// WrapListener returns a listener whose connections are counted.
+// WrapListener returns a listener that counts the connections accepted by l.
 func (c *Counter) WrapListener(l net.Listener) net.Listener { return &listener{l, c} }
 
 func (c *Counter) wrap(conn net.Conn) net.Conn {
--- a/internal/traffic/counter_test.go
+++ b/internal/traffic/counter_test.go
@@ -7,7 +7,8 @@
 )
 
 func TestBytesAndConnectionsAreCountedByPurpose(t *testing.T) {
-	// The counters are the process's: a name of its own has a second round begin at zero.
+	// The counters are global to the process. A random name lets a repeated run of the test
+	// start at zero.
 	purpose, other := Purpose(rand.Text()), Purpose(rand.Text())
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -39,10 +40,10 @@
 		t.Fatal(err)
 	}
 	if c := CounterFor(purpose); c.In() != 5 || c.Out() != 0 || c.Connections() != 1 {
-		t.Errorf("accepted: %d in, %d out, %d connections", c.In(), c.Out(), c.Connections())
+		t.Errorf("accepting side: %d in, %d out, %d connections", c.In(), c.Out(), c.Connections())
 	}
 	if c := CounterFor(other); c.In() != 0 || c.Out() != 5 || c.Connections() != 1 {
-		t.Errorf("dialed: %d in, %d out, %d connections", c.In(), c.Out(), c.Connections())
+		t.Errorf("dialing side: %d in, %d out, %d connections", c.In(), c.Out(), c.Connections())
 	}
 }
 
--- a/internal/traffic/dial_func.go
+++ b/internal/traffic/dial_func.go
@@ -5,5 +5,5 @@
 	"net"
 )
 
-// DialFunc opens a connection.
+// DialFunc opens a network connection.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
--- a/internal/traffic/doc.go
+++ b/internal/traffic/doc.go
@@ -1,4 +1,4 @@
-// Package traffic counts the bytes and connections of an instance by what they are
-// for, so that an operator sees what fills a small machine's link. The counters are
-// served on the metrics address; Log writes them now and then.
+// Package traffic counts the bytes and connections of an instance by purpose, so that an
+// operator can see what saturates the link of a small machine. The counters are served on the
+// metrics address, and Log writes them periodically.
 package traffic
--- a/internal/traffic/log.go
+++ b/internal/traffic/log.go
@@ -7,12 +7,13 @@
 	"github.com/sirupsen/logrus"
 )
 
-// logPeriod is how often the counters are written: often enough to place a full link in
-// an incident of ten seconds, and with hundreds of instances some dozens of lines a second.
+// logPeriod is the interval of the log lines. It is short enough to locate a saturated link in
+// an incident of 10 seconds; with hundreds of instances it produces some dozens of lines per
+// second.
 const logPeriod = 5 * time.Second
 
-// Log writes what was counted since the line before, until ctx ends. A purpose without
-// bytes is left out.
+// Log periodically logs the increase of each counter since the previous line, until ctx is
+// cancelled. Counters that did not change are omitted.
 func Log(ctx context.Context, log logrus.FieldLogger) {
 	ticker := time.NewTicker(logPeriod)
 	defer ticker.Stop()
@@ -27,7 +28,7 @@
 	}
 }
 
-// countsSince returns by how much each counter is higher than in last, and updates last.
+// countsSince returns the increase of each counter compared with last, and updates last.
 func countsSince(last map[string]uint64) logrus.Fields {
 	fields := logrus.Fields{}
 	for _, p := range Purposes {
