--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -8,9 +8,10 @@
 )
 
 const (
-	// A job is refused if its expected wait exceeds lateFactor times its objective. At twice
-	// that wait, the result is of little use to most callers. Work beyond the limit would wait
-	// until the load is over, because work that still meets its objective runs first.
+	// lateFactor times a job's objective is the longest expected wait with which the job is
+	// accepted. At twice that wait, the result is of little use to most callers. Work beyond
+	// the limit would wait until the load is over, because work that still meets its objective
+	// runs first.
 	lateFactor = 1.5
 	// backlogTTL is how long a received backlog is used. An instance without a recent backlog
 	// accepts the job and receives the current backlog in the owner's response.
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -16,9 +16,9 @@
 
 func TestJobsAreRefusedThatWouldBeLate(t *testing.T) {
 	now := time.Now()
-	lasting, later := lookup(2), lookup(2)
-	lasting.Steps[0].LongRunning = true
-	later.Schedule = &job.Schedule{Count: 1}
+	longRunning, scheduled := lookup(2), lookup(2)
+	longRunning.Steps[0].LongRunning = true
+	scheduled.Schedule = &job.Schedule{Count: 1}
 	elsewhere := lookup(2)
 	elsewhere.Service = "other"
 	long := lookup(2)
@@ -36,8 +36,8 @@
 		{"far too late", lookup(2), time.Minute, maxRetryAfter},
 		{"of a more urgent queue", lookup(0), time.Minute, 0},
 		{"of another service", elsewhere, time.Minute, 0},
-		{"long-running", lasting, time.Minute, 0},
-		{"scheduled", later, time.Minute, 0},
+		{"long-running", longRunning, time.Minute, 0},
+		{"scheduled", scheduled, time.Minute, 0},
 		{"longer objective", long, 40 * time.Second, 0},
 	} {
 		var c Controller
