--- a/internal/patience/adaptive_timeout.go
+++ b/internal/patience/adaptive_timeout.go
@@ -37,8 +37,8 @@
 	return t.LimitWith(t.settings.Factor, t.settings.Min)
 }
 
-// LimitWith returns the timeout with another factor and minimum than those of the settings:
-// factor times the average latency, at least least and at most Settings.Max.
+// LimitWith returns the timeout for a given factor and minimum in place of those in the
+// settings: factor times the average latency, at least least and at most Settings.Max.
 func (t *AdaptiveTimeout) LimitWith(factor float64, least time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
