--- a/internal/intake/semaphore.go
+++ b/internal/intake/semaphore.go
@@ -1,22 +1,22 @@
 package intake
 
-// bound limits how many calls are under way. Without it, callers of an owner that answers
-// late would each open a connection and close it at their timeout, and fill its link.
-// Beyond the bound questions go to the store, and news reaches the owner with its next
-// read of the store.
-type bound struct{ places chan struct{} }
+// semaphore limits the number of concurrent calls to the owner. Without it, each call to an
+// owner that responds late would open a connection, close it at its timeout, and together they
+// would fill the owner's link. Beyond the limit, queries go to the store, and the owner learns
+// of new jobs with its next read of the store.
+type semaphore struct{ slots chan struct{} }
 
-func newBound(most int) *bound { return &bound{make(chan struct{}, most)} }
+func newSemaphore(limit int) *semaphore { return &semaphore{make(chan struct{}, limit)} }
 
-// enter takes a place and reports whether there was one.
-func (b *bound) enter() bool {
+// tryAcquire acquires a slot and reports whether one was free.
+func (s *semaphore) tryAcquire() bool {
 	select {
-	case b.places <- struct{}{}:
+	case s.slots <- struct{}{}:
 		return true
 	default:
 		return false
 	}
 }
 
-// leave gives a place back.
-func (b *bound) leave() { <-b.places }
+// release frees a slot.
+func (s *semaphore) release() { <-s.slots }
--- a/internal/traffic/counter_test.go
+++ b/internal/traffic/counter_test.go
@@ -7,7 +7,8 @@
 )
 
 func TestBytesAndConnectionsAreCountedByPurpose(t *testing.T) {
-	// The counters are the process's: a name of its own has a second round begin at zero.
+	// The counters are global to the process. A random name lets a repeated run of the test
+	// start at zero.
 	purpose, other := Purpose(rand.Text()), Purpose(rand.Text())
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -39,21 +40,21 @@
 		t.Fatal(err)
 	}
 	if c := CounterFor(purpose); c.In() != 5 || c.Out() != 0 || c.Connections() != 1 {
-		t.Errorf("accepted: %d in, %d out, %d connections", c.In(), c.Out(), c.Connections())
+		t.Errorf("accepting side: %d in, %d out, %d connections", c.In(), c.Out(), c.Connections())
 	}
 	if c := CounterFor(other); c.In() != 0 || c.Out() != 5 || c.Connections() != 1 {
-		t.Errorf("dialed: %d in, %d out, %d connections", c.In(), c.Out(), c.Connections())
+		t.Errorf("dialing side: %d in, %d out, %d connections", c.In(), c.Out(), c.Connections())
 	}
 }
 
 func TestLogLinesTellWhatWasAdded(t *testing.T) {
 	last := map[string]uint64{}
-	since(last)
+	countsSince(last)
 	CounterFor(Store).in.Add(7)
-	if got := since(last); got["store_in"] != uint64(7) || len(got) != 1 {
+	if got := countsSince(last); got["store_in"] != uint64(7) || len(got) != 1 {
 		t.Errorf("%v, want 7 bytes from the store and nothing else", got)
 	}
-	if got := since(last); len(got) != 0 {
+	if got := countsSince(last); len(got) != 0 {
 		t.Errorf("%v when nothing was added", got)
 	}
 }
