--- a/internal/cellowner/advisers.go
+++ b/internal/cellowner/advisers.go
@@ -7,13 +7,13 @@
 	"gentianstand/internal/cell"
 )
 
-// Advisers asks the placement adviser, through whichever instance is free.
+// Advisers queries the placement adviser through any instance that has a free concurrency slot.
 type Advisers interface {
-	// Slots returns how many calls may begin now.
+	// Slots returns the number of calls that may start now.
 	Slots() cell.AdviceSlots
-	// Reserve books the slot of an order before Ask, so that the next Slots does
-	// not count it again.
+	// Reserve accounts for the slot of an order before Ask is called, so that the next call of
+	// Slots does not count the slot as free.
 	Reserve(o cell.AdviceOrder)
-	// Ask returns the tickets for an order's workers.
+	// Ask returns the tickets for the workers of an order.
 	Ask(ctx context.Context, o cell.AdviceOrder) ([]advice.Ticket, error)
 }
--- a/internal/cellowner/commit_loop.go
+++ b/internal/cellowner/commit_loop.go
@@ -13,26 +13,27 @@
 )
 
 const (
-	// commitGap is the least time between two commits. It lets ends of one
-	// moment be stored together.
-	commitGap = 25 * time.Millisecond
-	// commitRetry is the pause after the store refused a commit.
-	commitRetry = 200 * time.Millisecond
-	// commitTimeout bounds one commit with all its attempts, also in a slow store.
+	// minCommitInterval is the least time between two commits. It lets ends that arrive together
+	// be stored in one transaction.
+	minCommitInterval = 25 * time.Millisecond
+	// commitRetryDelay is the pause after a failed commit.
+	commitRetryDelay = 200 * time.Millisecond
+	// commitTimeout bounds one commit with all its attempts, in a slow store too.
 	commitTimeout = 1500 * time.Millisecond
-	// commitPuts is the most jobs and chunks of known workers in one transaction,
-	// beside the checks of the claim and the sequence and the put of the sequence.
-	commitPuts = store.MaxEntries - 3
-	// keepEnded is how long ended jobs are kept: callers may ask for 120 s, and
-	// a delayed repeat of a submission has to find its job.
-	keepEnded = 240 * time.Second
-	// expirePeriod is how often ended jobs are looked for, and expireMany how many
-	// are removed at most each time.
-	expirePeriod = 30 * time.Second
-	expireMany   = 30
+	// maxCommitPuts is the maximum number of jobs and chunks of known workers in one transaction.
+	// The other 3 entries are the checks of the claim and of the sequence row, and the put of the
+	// sequence row.
+	maxCommitPuts = store.MaxEntries - 3
+	// endedJobRetention is how long ended jobs are kept: callers may ask about them for 120 s,
+	// and a delayed retry of a submission has to find its job.
+	endedJobRetention = 240 * time.Second
+	// expireInterval is the interval between removals of expired jobs, and expireBatchSize the
+	// maximum number that is removed each time.
+	expireInterval  = 30 * time.Second
+	expireBatchSize = 30
 )
 
-// commitResult is how a commit went.
+// commitResult is the outcome of one commit.
 type commitResult int
 
 const (
@@ -42,31 +43,31 @@
 	claimLost
 )
 
-// commitLoop stores progress after ends, cancellations and completions.
+// commitLoop stores progress after tasks end and after jobs are cancelled or completed.
 func (o *Owner) commitLoop(ctx context.Context) {
-	ticker := time.NewTicker(planPeriod)
+	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
-	expire := time.NewTicker(expirePeriod)
-	defer expire.Stop()
+	expireTicker := time.NewTicker(expireInterval)
+	defer expireTicker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-o.kickLog:
+		case <-o.commitSignal:
 		case <-ticker.C:
-		case <-expire.C:
-			o.expire(ctx)
+		case <-expireTicker.C:
+			o.removeExpired(ctx)
 		}
-		pause := commitGap
+		pause := minCommitInterval
 		switch o.commitOnce(ctx) {
 		case notCommitted:
-			pause = commitRetry
-			o.wakeCommit()
+			pause = commitRetryDelay
+			o.wakeCommitter()
 		case claimLost:
 			o.deps.Leadership.Superseded("the row of the ownership has changed")
 			return
 		}
-		if !wait(ctx, pause) {
+		if !sleep(ctx, pause) {
 			return
 		}
 	}
@@ -76,12 +77,12 @@
 func (o *Owner) commitOnce(ctx context.Context) commitResult {
 	o.commitMu.Lock()
 	defer o.commitMu.Unlock()
-	commit := o.cell.NextCommit(commitPuts)
+	commit := o.cell.NextCommit(maxCommitPuts)
 	if commit == nil {
 		return nothingToCommit
 	}
 	began := time.Now()
-	tx, err := o.transaction(commit)
+	tx, err := o.commitTx(commit)
 	if err != nil {
 		o.deps.Log.WithError(err).Error("progress_not_encoded")
 		o.cell.NotCommitted(commit)
@@ -97,11 +98,13 @@
 	}
 	o.sequence = version
 	o.cell.Committed(commit)
-	o.announceStored()
+	o.notifyCommitted()
 	return committed
 }
 
-func (o *Owner) transaction(commit *cell.Commit) (store.Tx, error) {
+// commitTx builds the transaction of a commit. It requires that the claim and the sequence row
+// are unchanged.
+func (o *Owner) commitTx(commit *cell.Commit) (store.Tx, error) {
 	sequence := store.Check{Table: celljobs.TableProgress, Key: celljobs.SequenceKey, Version: o.sequence}
 	tx := store.Tx{Partition: o.deps.Jobs.ProgressPartition(), Checks: []store.Check{o.claim, sequence},
 		Puts: []store.Put{{Table: celljobs.TableProgress, Key: celljobs.SequenceKey, Value: []byte{}}}}
@@ -123,10 +126,10 @@
 	return tx, nil
 }
 
-// commitFailed learns what it can from a failed commit. After a lost answer the
-// next attempt finds another version of the sequence row than it expects: that of
-// the first attempt. Only this owner writes it while its claim holds, so it may go
-// on from there; and a late effect of the first attempt then meets a changed row.
+// commitFailed handles a failed commit. If the answer to an attempt was lost, the next attempt
+// finds the sequence row at the version that the first attempt wrote. Only this owner writes that
+// row while its claim holds, so the owner continues from that version. An attempt that takes
+// effect even later then fails its check of the sequence row.
 func (o *Owner) commitFailed(ctx context.Context, commit *cell.Commit, err error) commitResult {
 	o.deps.Metrics.CommitErrors.Inc()
 	o.cell.NotCommitted(commit)
@@ -148,9 +151,9 @@
 	return committed
 }
 
-// expire removes jobs that ended long ago from the store.
-func (o *Owner) expire(ctx context.Context) {
-	ids := o.cell.Expired(keepEnded, time.Now(), expireMany)
+// removeExpired removes jobs from the store that ended more than endedJobRetention ago.
+func (o *Owner) removeExpired(ctx context.Context) {
+	ids := o.cell.Expired(endedJobRetention, time.Now(), expireBatchSize)
 	if len(ids) == 0 {
 		return
 	}
@@ -159,19 +162,19 @@
 		progress.Removals = append(progress.Removals, store.RowKey{Table: celljobs.TableProgress, Key: id})
 	}
 	for _, id := range ids {
-		// The record goes first: progress without a record is harmless, a record
-		// without progress would be a job that has yet to run.
-		if !o.remove(ctx, store.Tx{Partition: o.deps.Jobs.RecordPartition(id), Removals: []store.RowKey{
+		// The record is removed first: progress without a record is harmless, but a record
+		// without progress is a job that has not run yet.
+		if !o.commitRemoval(ctx, store.Tx{Partition: o.deps.Jobs.RecordPartition(id), Removals: []store.RowKey{
 			{Table: celljobs.TableJobs, Key: celljobs.JobKey(id)}, {Table: celljobs.TableJobs, Key: celljobs.CancelKey(id)}}}) {
 			return
 		}
 	}
-	o.remove(ctx, progress)
+	o.commitRemoval(ctx, progress)
 }
 
-// remove commits a removal. What it fails to remove is read again by the next
-// owner, which removes it then.
-func (o *Owner) remove(ctx context.Context, tx store.Tx) bool {
+// commitRemoval commits a removal. Rows that it fails to remove are read and removed by the next
+// owner.
+func (o *Owner) commitRemoval(ctx context.Context, tx store.Tx) bool {
 	callCtx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	_, err := o.deps.Store.Commit(callCtx, tx)
--- a/internal/cellowner/commit_test.go
+++ b/internal/cellowner/commit_test.go
@@ -12,33 +12,33 @@
 	"gentianstand/internal/store"
 )
 
-// lateStore applies transactions, or keeps them back and leaves them unanswered.
-type lateStore struct {
+// delayingStore applies transactions, or delays them and returns no answer.
+type delayingStore struct {
 	store.Store
 	mu      sync.Mutex
 	rows    map[string]store.Row
 	version uint64
-	keep    bool
-	kept    []store.Tx
+	delay   bool
+	delayed []store.Tx
 }
 
-func (s *lateStore) Commit(_ context.Context, tx store.Tx) (uint64, error) {
-	if s.keep {
-		s.kept = append(s.kept, tx)
+func (s *delayingStore) Commit(_ context.Context, tx store.Tx) (uint64, error) {
+	if s.delay {
+		s.delayed = append(s.delayed, tx)
 		return 0, store.ErrUnknown
 	}
 	return s.apply(tx)
 }
 
-// row returns a row that an owner may be writing at the same time.
-func (s *lateStore) row(key string) (row store.Row, there bool) {
+// row returns a row, which an owner may be writing at the same time.
+func (s *delayingStore) row(key string) (row store.Row, exists bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	row, there = s.rows[key]
-	return row, there
+	row, exists = s.rows[key]
+	return row, exists
 }
 
-func (s *lateStore) apply(tx store.Tx) (uint64, error) {
+func (s *delayingStore) apply(tx store.Tx) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var now []store.Row
@@ -59,57 +59,59 @@
 	return s.version, nil
 }
 
-// Failure: a task that had ended ran again after a take-over.
+// A commit without an answer that takes effect after a later commit must not restore old
+// progress: a task that had ended ran again after a take-over.
 func TestALateCommitHasNoEffect(t *testing.T) {
-	client := &losing{}
+	client := &lossyWorker{}
 	o, order := ownerOfOne(t, client)
-	rows := &lateStore{rows: map[string]store.Row{}}
+	rows := &delayingStore{rows: map[string]store.Row{}}
 	o.deps.Store = rows
 	o.deps.Jobs = celljobs.New(store.NewWatched(rows), "cell-0")
 	o.start(t.Context(), order)
 	client.running = []runner.RunState{{Task: order.Start.Task, Run: order.Start.Run, Percent: 50, Saved: "half"}}
-	o.look(t, client)
+	o.pollWorker(t, client)
 	o.cell.Cancel("00000000000000aa", time.Now())
-	rows.keep = true
+	rows.delay = true
 	if got := o.commitOnce(t.Context()); got != notCommitted {
-		t.Fatalf("the commit without an answer: %v", got)
+		t.Fatalf("commit without an answer: result %v", got)
 	}
-	rows.keep = false
+	rows.delay = false
 	if got := o.commitOnce(t.Context()); got != committed {
-		t.Fatalf("the next commit: %v", got)
+		t.Fatalf("next commit: result %v", got)
 	}
 	before := rows.version
-	if _, err := rows.apply(rows.kept[0]); err == nil || rows.version != before {
-		t.Error("the late commit took effect")
+	if _, err := rows.apply(rows.delayed[0]); err == nil || rows.version != before {
+		t.Error("the delayed commit took effect")
 	}
 }
 
-// Failure: nothing is stored any more after one lost answer.
+// An owner must be able to commit after one lost answer, which leaves it with an outdated version
+// of the sequence row.
 func TestCommitsGoOnAfterALostAnswer(t *testing.T) {
-	client := &losing{}
+	client := &lossyWorker{}
 	o, _ := ownerOfOne(t, client)
-	rows := &lateStore{rows: map[string]store.Row{}, keep: true}
+	rows := &delayingStore{rows: map[string]store.Row{}, delay: true}
 	o.deps.Store = rows
 	o.deps.Jobs = celljobs.New(store.NewWatched(rows), "cell-0")
 	o.cell.Cancel("00000000000000aa", time.Now())
 	o.commitOnce(t.Context())
-	rows.keep = false
-	if _, err := rows.apply(rows.kept[0]); err != nil {
+	rows.delay = false
+	if _, err := rows.apply(rows.delayed[0]); err != nil {
 		t.Fatal(err)
 	}
 	for range 2 {
 		o.commitOnce(t.Context())
 	}
 	if got := o.commitOnce(t.Context()); got != nothingToCommit {
-		t.Errorf("still to commit: %v", got)
+		t.Errorf("last commit: result %v, want nothing to commit", got)
 	}
 	if status, _ := o.cell.Status("00000000000000aa"); status.State != job.Cancelled {
 		t.Errorf("state %s", status.State)
 	}
 }
 
-// look has the owner take in what its worker reports.
-func (o *Owner) look(t *testing.T, client runner.Client) {
+// pollWorker polls the worker and passes its report to the cell.
+func (o *Owner) pollWorker(t *testing.T, client runner.Client) {
 	t.Helper()
 	sentAt := time.Now()
 	report, err := client.Look(t.Context(), runner.Target{}, runner.Look{})
--- a/internal/cellowner/deps.go
+++ b/internal/cellowner/deps.go
@@ -10,7 +10,7 @@
 	"gentianstand/internal/store"
 )
 
-// Deps is what an owner works with.
+// Deps holds the dependencies of an Owner.
 type Deps struct {
 	Store    store.Store
 	Jobs     *celljobs.Jobs
@@ -22,7 +22,7 @@
 	Maintenance MaintenanceDeps
 	Leadership  Leadership
 	Metrics     *Metrics
-	// AcrossPartitions says that the store takes transactions over several partitions.
+	// AcrossPartitions is true if the store supports transactions over several partitions.
 	AcrossPartitions bool
 	Log              logrus.FieldLogger
 }
--- a/internal/cellowner/doc.go
+++ b/internal/cellowner/doc.go
@@ -1,6 +1,6 @@
-// Package cellowner carries out what a cell decides while this instance owns
-// it. An Owner lives for one term: it loads the jobs from the store, looks at
-// every worker under the new fencing token, and then runs four loops until it
-// is overtaken or stops: one that plans, one look loop per worker, one that
-// commits progress, and one that follows the roster and the store's jobs.
+// Package cellowner carries out the decisions of package cell while this instance owns the cell.
+// An Owner lives for one term. It loads the jobs from the store, polls every worker with the new
+// fencing token, and runs its loops until it is superseded or stopped: one loop plans, one polls
+// each worker, one commits progress, two follow the roster and the jobs in the store, one carries
+// out maintenance waves, and one compacts ended jobs.
 package cellowner
--- a/internal/cellowner/flush_test.go
+++ b/internal/cellowner/flush_test.go
@@ -9,15 +9,16 @@
 	"gentianstand/internal/store"
 )
 
-// Failure: the next owner waits for a whole lease of a worker that this one did not hear.
-func TestTheEndOfATermTellsHowLongLeasesLast(t *testing.T) {
-	o, _ := ownerOfOne(t, &losing{})
-	rows := &lateStore{rows: map[string]store.Row{}}
+// Flush must store the remaining lease times of workers: the next owner would wait for a whole
+// lease of a worker that this owner could not reach.
+func TestFlushStoresRemainingLeaseTimes(t *testing.T) {
+	o, _ := ownerOfOne(t, &lossyWorker{})
+	rows := &delayingStore{rows: map[string]store.Row{}}
 	o.deps.Store = rows
 	o.deps.Jobs = celljobs.New(store.NewWatched(rows), "cell-0")
 	o.cell.LookFailed("w", runner.ErrNoAnswer, time.Now())
 	o.Flush(t.Context())
-	told := 0
+	stored := 0
 	for key, row := range rows.rows {
 		if _, ok := celljobs.ParseWorkersKey(key); !ok {
 			continue
@@ -28,11 +29,11 @@
 		}
 		for _, w := range workers {
 			if w.LeaseLeftMillis > 0 && w.Term == o.term {
-				told++
+				stored++
 			}
 		}
 	}
-	if told != 1 {
-		t.Errorf("the store was told of %d leases, want 1", told)
+	if stored != 1 {
+		t.Errorf("%d remaining lease times stored, want 1", stored)
 	}
 }
--- a/internal/cellowner/follow.go
+++ b/internal/cellowner/follow.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	// jobsPeriod is how often the store is asked for jobs whose accepting
-	// instance could not tell this owner.
-	jobsPeriod = 500 * time.Millisecond
-	// rosterPeriod is how often the roster is read: a worker that drains must get
-	// nothing new after 2 s.
-	rosterPeriod = 400 * time.Millisecond
-	// readTimeout bounds one read; a slow store needs some 250 ms.
+	// jobsPollInterval is how often the store is read for jobs whose accepting instance could not
+	// notify this owner.
+	jobsPollInterval = 500 * time.Millisecond
+	// rosterPollInterval is how often the roster is read. A draining worker must get no new tasks
+	// after 2 s.
+	rosterPollInterval = 400 * time.Millisecond
+	// readTimeout bounds one read. A slow store needs about 250 ms.
 	readTimeout = time.Second
-	// newsTimeout bounds one read of what has changed. The store's client gives it up
-	// earlier if nothing comes; a full page takes a small link seconds.
-	newsTimeout = 4 * time.Second
-	// reloadTimeout bounds a read of all jobs: as much as a new owner reads.
+	// changesTimeout bounds one read of changed rows. The client of the store times out earlier
+	// if no data arrives. A full page takes seconds over a slow link.
+	changesTimeout = 4 * time.Second
+	// reloadTimeout bounds a read of all jobs, which is as much as a new owner reads.
 	reloadTimeout = loadTimeout
 )
 
-// followJobs takes in jobs and cancellations from the store.
+// followJobs applies new jobs and cancellations from the store.
 func (o *Owner) followJobs(ctx context.Context) {
-	for ; ctx.Err() == nil; o.awaitJobs(ctx) {
-		callCtx, cancel := context.WithTimeout(ctx, newsTimeout)
+	for ; ctx.Err() == nil; o.awaitNextRead(ctx) {
+		callCtx, cancel := context.WithTimeout(ctx, changesTimeout)
 		page, err := o.deps.Store.Changes(callCtx, celljobs.TableJobs, o.jobsVersion, 0)
 		cancel()
 		switch {
@@ -37,30 +37,31 @@
 			o.reloadJobs(ctx)
 		case err != nil:
 			o.deps.Log.WithError(err).Debug("jobs_not_read")
-		case len(page.Rows) > 0 && !o.claimHolds(ctx):
-			// What was stored after another owner read the store is that owner's.
+		case len(page.Rows) > 0 && !o.verifyClaim(ctx):
+			// Rows that were stored after another owner loaded the cell belong to that owner.
 		default:
 			o.jobsVersion = page.Version
-			o.jobsNews.read(time.Now())
-			o.news(page.Rows)
+			o.jobsAge.markRead(time.Now())
+			o.applyJobRows(page.Rows)
 		}
-		o.findMissing(ctx)
+		o.loadMissingJobs(ctx)
 	}
 }
 
-// awaitJobs waits for the next time to read, or until a job is missing.
-func (o *Owner) awaitJobs(ctx context.Context) {
-	timer := time.NewTimer(jobsPeriod)
+// awaitNextRead waits until the next read of the jobs is due, or until a job is missing.
+func (o *Owner) awaitNextRead(ctx context.Context) {
+	timer := time.NewTimer(jobsPollInterval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-o.kickJobs:
+	case <-o.jobsSignal:
 	}
 }
 
-// claimHolds reads the claim, and gives the ownership up if it has changed.
-func (o *Owner) claimHolds(ctx context.Context) bool {
+// verifyClaim reads the claim and reports whether it is unchanged. A changed claim ends the
+// ownership.
+func (o *Owner) verifyClaim(ctx context.Context) bool {
 	callCtx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	row, err := o.deps.Store.Get(callCtx, o.claim.Table, o.deps.Jobs.ProgressPartition(), o.claim.Key)
@@ -75,9 +76,8 @@
 	return true
 }
 
-// findMissing looks in the store for jobs that workers report and the cell does
-// not know.
-func (o *Owner) findMissing(ctx context.Context) {
+// loadMissingJobs loads the jobs from the store that workers report and the cell does not know.
+func (o *Owner) loadMissingJobs(ctx context.Context) {
 	for _, id := range o.cell.Missing() {
 		callCtx, cancel := context.WithTimeout(ctx, readTimeout)
 		row, err := o.deps.Store.Get(callCtx, celljobs.TableJobs, o.deps.Jobs.RecordPartition(id), celljobs.JobKey(id))
@@ -97,10 +97,11 @@
 			o.deps.Log.WithField("job", id).Info("missing_job_loaded")
 			o.loadJob(id, row, kept)
 		}
-		o.wake()
+		o.wakePlanner()
 	}
 }
 
+// reloadJobs reads all jobs, because the store no longer has the changes since jobsVersion.
 func (o *Owner) reloadJobs(ctx context.Context) {
 	callCtx, cancel := context.WithTimeout(ctx, reloadTimeout)
 	defer cancel()
@@ -110,12 +111,12 @@
 		return
 	}
 	o.jobsVersion = version
-	o.jobsNews.read(time.Now())
-	o.news(rows)
+	o.jobsAge.markRead(time.Now())
+	o.applyJobRows(rows)
 }
 
-// news takes in changed rows of the table of jobs.
-func (o *Owner) news(rows []store.Row) {
+// applyJobRows applies changed rows of the jobs table to the cell.
+func (o *Owner) applyJobRows(rows []store.Row) {
 	for _, row := range rows {
 		id, cancel, ok := celljobs.ParseKey(row.Key)
 		if !ok || row.Removed || !o.deps.Jobs.Owns(row.Partition) {
@@ -132,22 +133,23 @@
 		}
 		o.cell.Add(r, false)
 	}
-	o.wake()
+	o.wakePlanner()
 }
 
-// followRoster takes in workers that come, drain and go.
+// followRoster applies updates of the roster to the cell and starts a poll loop for each new
+// worker.
 func (o *Owner) followRoster(ctx context.Context) {
 	for {
-		o.startLooking(ctx)
-		if !wait(ctx, rosterPeriod) {
+		o.startPolling(ctx)
+		if !sleep(ctx, rosterPollInterval) {
 			return
 		}
 		o.readRoster(ctx)
 	}
 }
 
-// readRoster reads the news about workers to its end: with thousands of workers
-// there is more than one page of it each time.
+// readRoster reads all pending updates of the roster. With thousands of workers there is more
+// than one page of them each time.
 func (o *Owner) readRoster(ctx context.Context) {
 	for o.readRosterPage(ctx) {
 	}
@@ -155,15 +157,15 @@
 
 // readRosterPage reads one page and reports whether there may be more.
 func (o *Owner) readRosterPage(ctx context.Context) bool {
-	callCtx, cancel := context.WithTimeout(ctx, newsTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, changesTimeout)
 	defer cancel()
 	change, err := o.deps.Roster.Since(callCtx, o.rosterVersion, 0)
 	if errors.Is(err, store.ErrHistoryGone) {
 		if change, err = o.deps.Roster.All(callCtx); err == nil {
 			o.cell.SetRoster(change.Workers, time.Now())
 			o.rosterVersion = change.Version
-			o.workersNews.read(time.Now())
-			o.wake()
+			o.workersAge.markRead(time.Now())
+			o.wakePlanner()
 		}
 		return false
 	}
@@ -172,10 +174,10 @@
 		return false
 	}
 	o.rosterVersion = change.Version
-	o.workersNews.read(time.Now())
+	o.workersAge.markRead(time.Now())
 	if len(change.Workers)+len(change.Removed) > 0 {
 		o.cell.UpdateRoster(change, time.Now())
-		o.wake()
+		o.wakePlanner()
 	}
 	return change.More && ctx.Err() == nil
 }
--- a/internal/cellowner/follow_test.go
+++ b/internal/cellowner/follow_test.go
@@ -16,14 +16,14 @@
 	"gentianstand/internal/store"
 )
 
-// paged is a roster whose news comes in pages.
-type paged struct {
+// pagedRoster returns its updates in pages.
+type pagedRoster struct {
 	roster.Source
 	pages []roster.Change
 	calls int
 }
 
-func (p *paged) Since(context.Context, uint64, time.Duration) (roster.Change, error) {
+func (p *pagedRoster) Since(context.Context, uint64, time.Duration) (roster.Change, error) {
 	p.calls++
 	next := p.pages[0]
 	if len(p.pages) > 1 {
@@ -32,13 +32,14 @@
 	return next, nil
 }
 
-// Failure: a worker got new tasks five seconds after it had said that it leaves.
+// All pages of an update must be read at once: a worker got new tasks 5 s after it had started to
+// drain.
 func TestRosterIsReadToItsEnd(t *testing.T) {
 	log, _ := logtest.NewNullLogger()
 	worker := roster.Worker{ID: "a", Service: "desk", Capacity: resource.Amount{MilliCPU: 1000}}
 	leaving := worker
 	leaving.Draining = true
-	p := &paged{pages: []roster.Change{
+	p := &pagedRoster{pages: []roster.Change{
 		{Workers: []roster.Worker{worker}, Version: 1, More: true},
 		{Workers: []roster.Worker{worker}, Version: 2, More: true},
 		{Workers: []roster.Worker{leaving}, Version: 3},
@@ -50,35 +51,35 @@
 	}
 }
 
-// mute is a roster whose news cannot be read.
-type mute struct{ roster.Source }
+// failingRoster cannot read its updates.
+type failingRoster struct{ roster.Source }
 
-func (mute) Since(context.Context, uint64, time.Duration) (roster.Change, error) {
+func (failingRoster) Since(context.Context, uint64, time.Duration) (roster.Change, error) {
 	return roster.Change{}, store.ErrUnknown
 }
 
-// An owner that reads no news of its workers says so: nothing in its log had told that it
-// knew them as they were half a minute before.
-func TestOwnerTellsHowOldItsNewsIs(t *testing.T) {
+// The summary must show the age of the roster: an owner that had read no updates for 30 s logged
+// nothing that showed it.
+func TestOwnerReportsAgeOfItsUpdates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, lines := logtest.NewNullLogger()
 		o := New(cell.Settings{Term: 1}, store.Check{}, Deps{Log: log, Metrics: NewMetrics(metrics.NewSet())})
-		o.deps.Roster = &paged{pages: []roster.Change{{Version: 1}}}
+		o.deps.Roster = &pagedRoster{pages: []roster.Change{{Version: 1}}}
 		o.readRoster(t.Context())
-		o.deps.Roster = mute{}
+		o.deps.Roster = failingRoster{}
 		time.Sleep(5 * time.Second)
 		o.readRoster(t.Context())
-		o.summarize(time.Now())
+		o.logSummary(time.Now())
 		if got := lines.LastEntry().Data["workers_news_ms"]; got != int64(5000) || o.deps.Metrics.WorkersUpdateAge.Get() != 5 {
-			t.Errorf("the news of workers is %v ms old, by the metric %v s", got, o.deps.Metrics.WorkersUpdateAge.Get())
+			t.Errorf("age of the workers: %v ms in the log, %v s in the metric", got, o.deps.Metrics.WorkersUpdateAge.Get())
 		}
 	})
 }
 
-// wide is a store with much in each partition.
-type wide struct{ store.Store }
+// slowStore needs 3 s for each read, like a store with large partitions over a slow link.
+type slowStore struct{ store.Store }
 
-func (wide) Read(ctx context.Context, _, _, _ string) (store.Page, error) {
+func (slowStore) Read(ctx context.Context, _, _, _ string) (store.Page, error) {
 	select {
 	case <-time.After(3 * time.Second):
 		return store.Page{Version: 9}, nil
@@ -87,15 +88,15 @@
 	}
 }
 
-// Failure: an owner on a small link hears of no new job, and reads all jobs again and
-// again.
+// A full read must not time out on a slow link: the owner would see no new job and read all jobs
+// again and again.
 func TestAllJobsAreReadOverASmallLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, _ := logtest.NewNullLogger()
-		o := New(cell.Settings{Term: 1}, store.Check{}, Deps{Jobs: celljobs.New(store.NewWatched(wide{}), "cell"), Log: log})
+		o := New(cell.Settings{Term: 1}, store.Check{}, Deps{Jobs: celljobs.New(store.NewWatched(slowStore{}), "cell"), Log: log})
 		o.reloadJobs(t.Context())
 		if o.jobsVersion != 9 {
-			t.Errorf("jobs are known up to version %d", o.jobsVersion)
+			t.Errorf("jobs known up to version %d, want 9", o.jobsVersion)
 		}
 	})
 }
--- a/internal/cellowner/load_test.go
+++ b/internal/cellowner/load_test.go
@@ -15,13 +15,13 @@
 	"gentianstand/internal/store"
 )
 
-// silentFor is a store and a roster that do not answer until some time has passed.
-type silentFor struct {
+// stalledStore is a store and a roster that do not answer until a given time.
+type stalledStore struct {
 	store.Store
 	until time.Time
 }
 
-func (s *silentFor) wait(ctx context.Context) error {
+func (s *stalledStore) wait(ctx context.Context) error {
 	if !time.Now().Before(s.until) {
 		return nil
 	}
@@ -29,24 +29,24 @@
 	return store.ErrUnknown
 }
 
-func (s *silentFor) Read(ctx context.Context, _, _, _ string) (store.Page, error) {
+func (s *stalledStore) Read(ctx context.Context, _, _, _ string) (store.Page, error) {
 	return store.Page{}, s.wait(ctx)
 }
 
-func (s *silentFor) All(context.Context) (roster.Change, error) { return roster.Change{}, nil }
+func (s *stalledStore) All(context.Context) (roster.Change, error) { return roster.Change{}, nil }
 
-func (s *silentFor) Since(context.Context, uint64, time.Duration) (roster.Change, error) {
+func (s *stalledStore) Since(context.Context, uint64, time.Duration) (roster.Change, error) {
 	return roster.Change{}, nil
 }
 
-// loadBeside has an owner read its cell while the store is silent for some time.
-func loadBeside(t *testing.T, silence time.Duration) (took time.Duration, err error) {
+// loadDuringOutage loads a cell while the store does not answer for the given time.
+func loadDuringOutage(t *testing.T, outage time.Duration) (took time.Duration, err error) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		log, _ := logtest.NewNullLogger()
-		s := &silentFor{until: time.Now().Add(silence)}
+		s := &stalledStore{until: time.Now().Add(outage)}
 		o := New(cell.Settings{Term: 1}, store.Check{}, Deps{Store: s, Jobs: celljobs.New(store.NewWatched(s), "cell"), Roster: s,
-			Leadership: confirmed{}, Metrics: NewMetrics(metrics.NewSet()), Log: log})
+			Leadership: confirmedLeadership{}, Metrics: NewMetrics(metrics.NewSet()), Log: log})
 		began := time.Now()
 		err = o.load(t.Context())
 		took = time.Since(began)
@@ -54,18 +54,18 @@
 	return took, err
 }
 
-// Failure: after a take-over nothing is planned for the rest of the day, and nobody
-// takes the cell over.
-func TestCellIsReadWhenTheStoreAnswersAgain(t *testing.T) {
-	took, err := loadBeside(t, 4*time.Second)
+// A load must finish after an outage of the store: nothing was planned any more after a
+// take-over, and no other instance took the cell over.
+func TestLoadFinishesWhenTheStoreAnswersAgain(t *testing.T) {
+	took, err := loadDuringOutage(t, 4*time.Second)
 	if err != nil || took > 6*time.Second {
-		t.Errorf("read after %v, error %v", took, err)
+		t.Errorf("loaded after %v, error %v", took, err)
 	}
 }
 
-// Failure: an owner that the store serves no more keeps a cell that it has never read.
-func TestOwnerThatCannotReadTheCellGivesItUp(t *testing.T) {
-	took, err := loadBeside(t, time.Hour)
+// An owner that the store no longer serves must not keep a cell that it has never loaded.
+func TestOwnerThatCannotReadTheCellStops(t *testing.T) {
+	took, err := loadDuringOutage(t, time.Hour)
 	if err == nil || took > loadTimeout {
 		t.Errorf("error %v after %v", err, took)
 	}
--- a/internal/cellowner/long_waits.go
+++ b/internal/cellowner/long_waits.go
@@ -6,19 +6,18 @@
 	"github.com/sirupsen/logrus"
 )
 
-// mostLongWaits bounds the lines about waiting stages in one summary.
-const mostLongWaits = 4
+// maxLongWaitsLogged bounds the log lines about waiting stages in one summary.
+const maxLongWaitsLogged = 4
 
-// tellLongWaits logs the stages that have waited for long, and why: work that no
-// worker can hold, or that the adviser allows nowhere, otherwise looks like a lack of
-// room.
-func (o *Owner) tellLongWaits(now time.Time) {
+// logLongWaits logs the stages that have waited for long, and the reason. Tasks that no worker
+// can hold, or that the adviser allows nowhere, otherwise look like a lack of free capacity.
+func (o *Owner) logLongWaits(now time.Time) {
 	impossible := 0
 	for i, w := range o.cell.LongWaits(now) {
 		if w.Impossible() {
 			impossible += w.Idle
 		}
-		if i >= mostLongWaits {
+		if i >= maxLongWaitsLogged {
 			continue
 		}
 		o.deps.Log.WithFields(logrus.Fields{"stage": w.Stage.String(), "queue": w.Queue, "workspace": w.Workspace, "why": w.Reason,
--- /dev/null
+++ b/internal/cellowner/maintenance_controller.go
@@ -0,0 +1,178 @@
+package cellowner
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"gentianstand/internal/upkeep"
+)
+
+// maintenanceController is the state of maintenanceLoop.
+type maintenanceController struct {
+	MaintenanceDeps
+	owner     *Owner
+	startedAt time.Time
+	trackers  map[uint64]*upkeep.Tracker
+}
+
+// maintenanceResult is the outcome of an order to the fleet.
+type maintenanceResult struct {
+	order upkeep.Order
+	err   error
+}
+
+// readWaves starts to track new waves and drops those that were withdrawn.
+func (c *maintenanceController) readWaves(ctx context.Context) {
+	callCtx, cancel := context.WithTimeout(ctx, readTimeout)
+	defer cancel()
+	waves, err := c.Source.Open(callCtx)
+	if err != nil {
+		c.owner.deps.Log.WithError(err).Debug("waves_not_read")
+		return
+	}
+	open := map[uint64]bool{}
+	for _, w := range waves {
+		open[w.Number] = true
+		if c.trackers[w.Number] == nil {
+			c.track(callCtx, w)
+		}
+	}
+	for number := range c.trackers {
+		if !open[number] {
+			delete(c.trackers, number)
+		}
+	}
+	if len(c.trackers) == 0 {
+		c.owner.cell.Evacuate(nil)
+	}
+}
+
+// track starts to track a wave.
+func (c *maintenanceController) track(ctx context.Context, w upkeep.Wave) {
+	begun, err := c.owner.readBegunMachines(ctx, w.Number)
+	if err != nil {
+		c.owner.deps.Log.WithField("wave", w.Number).WithError(err).Info("wave_not_followed")
+		return
+	}
+	c.owner.deps.Log.WithFields(logrus.Fields{"wave": w.Number, "machines": len(w.Machines), "at_once": w.AtOnce,
+		"within_ms": w.Within.Milliseconds(), "begun": len(begun)}).Info("wave_followed")
+	c.trackers[w.Number] = upkeep.NewTracker(w, c.Duration, begun, time.Now())
+	c.report(ctx, w.Number, false)
+}
+
+// report sends the state of a wave to its source and reports whether that succeeded.
+func (c *maintenanceController) report(ctx context.Context, wave uint64, completed bool) bool {
+	if err := c.Source.Report(ctx, wave, completed); err != nil {
+		c.owner.deps.Log.WithFields(logrus.Fields{"wave": wave, "completed": completed}).WithError(err).Info("wave_not_reported")
+		return false
+	}
+	return true
+}
+
+// reconcile plans all tracked waves: it evacuates workers, sends orders to the fleet and
+// completes waves.
+func (c *maintenanceController) reconcile(ctx context.Context) {
+	if !c.owner.deps.Leadership.Confirmed() {
+		return
+	}
+	listed, ok := c.listMachines(ctx)
+	if !ok {
+		return
+	}
+	var empty []string
+	var orders []upkeep.Order
+	for number, t := range c.trackers {
+		plan := t.Plan(time.Now(), listed, c.owner.cell.WorkerLoad)
+		empty = append(empty, plan.Empty...)
+		if plan.Completed {
+			c.complete(ctx, t)
+		}
+		if time.Since(c.startedAt) < c.HolderLease {
+			// Another holder may have sent orders for these machines shortly before.
+			continue
+		}
+		for _, machine := range plan.Begin {
+			t.Sending(machine, time.Now())
+			orders = append(orders, upkeep.Order{Machine: machine, Wave: number, Holder: c.Holder, Token: c.owner.term})
+		}
+	}
+	c.owner.cell.Evacuate(empty)
+	c.sendOrders(ctx, orders)
+}
+
+// listMachines returns the machines of the fleet by name.
+func (c *maintenanceController) listMachines(ctx context.Context) (map[string]upkeep.Machine, bool) {
+	callCtx, cancel := context.WithTimeout(ctx, fleetTimeout)
+	defer cancel()
+	machines, err := c.Fleet.Machines(callCtx)
+	if err != nil {
+		c.owner.deps.Log.WithError(err).Info("machines_not_listed")
+		return nil, false
+	}
+	listed := make(map[string]upkeep.Machine, len(machines))
+	for _, m := range machines {
+		listed[m.Name] = m
+	}
+	return listed, true
+}
+
+// complete reports a wave as completed and stops tracking it.
+func (c *maintenanceController) complete(ctx context.Context, t *upkeep.Tracker) {
+	callCtx, cancel := context.WithTimeout(ctx, readTimeout)
+	defer cancel()
+	if !c.report(callCtx, t.Wave().Number, true) {
+		return
+	}
+	c.owner.deps.Log.WithField("wave", t.Wave().Number).Info("wave_completed")
+	delete(c.trackers, t.Wave().Number)
+}
+
+// sendOrders sends orders at the same time and handles their results.
+func (c *maintenanceController) sendOrders(ctx context.Context, orders []upkeep.Order) {
+	if len(orders) == 0 {
+		return
+	}
+	answers := make(chan maintenanceResult, len(orders))
+	for _, order := range orders {
+		go func() {
+			callCtx, cancel := context.WithTimeout(ctx, fleetTimeout)
+			defer cancel()
+			answers <- maintenanceResult{order, c.Fleet.Begin(callCtx, order)}
+		}()
+	}
+	changed := map[uint64]bool{}
+	for range orders {
+		answer := <-answers
+		changed[answer.order.Wave] = c.handleResult(answer) || changed[answer.order.Wave]
+	}
+	for number, stored := range changed {
+		if stored {
+			c.owner.storeBegunMachines(ctx, number, c.trackers[number].Had())
+		}
+	}
+}
+
+// handleResult records the outcome of an order and reports whether the maintenance has begun.
+func (c *maintenanceController) handleResult(a maintenanceResult) bool {
+	t := c.trackers[a.order.Wave]
+	log := c.owner.deps.Log.WithFields(logrus.Fields{"wave": a.order.Wave, "machine": a.order.Machine})
+	switch {
+	case a.err == nil:
+		now := time.Now()
+		worker, orderedAt := t.Begun(a.order.Machine, now)
+		c.owner.cell.Ended(worker, orderedAt, now)
+		log.WithField("worker", worker).Info("upkeep_begun")
+		return true
+	case errors.Is(a.err, upkeep.ErrNotConcerned):
+		t.Unneeded(a.order.Machine)
+	case errors.Is(a.err, upkeep.ErrFenced):
+		c.owner.deps.Leadership.Superseded("the fleet has seen a higher fencing token")
+	default:
+		t.Unanswered(a.order.Machine, time.Now())
+	}
+	log.WithError(a.err).Info("upkeep_not_begun")
+	return false
+}
--- a/internal/cellowner/upkeep_books.go
+++ b/internal/cellowner/maintenance_store.go
@@ -7,8 +7,9 @@
 	"gentianstand/internal/upkeep"
 )
 
-// readUpkeep returns the machines of a wave that an earlier owner knew to have begun.
-func (o *Owner) readUpkeep(ctx context.Context, wave uint64) ([]string, error) {
+// readBegunMachines returns the machines of a wave whose maintenance a previous owner recorded as
+// begun.
+func (o *Owner) readBegunMachines(ctx context.Context, wave uint64) ([]string, error) {
 	row, err := o.deps.Store.Get(ctx, upkeep.Table, o.deps.Jobs.ProgressPartition(), upkeep.Key(wave))
 	if err != nil || row.Version == 0 {
 		return nil, err
@@ -16,10 +17,11 @@
 	return upkeep.DecodeHad(row.Value)
 }
 
-// storeUpkeep keeps the machines of a wave that have begun. If that fails, the next
-// owner empties them again and is told that they have had their upkeep.
-func (o *Owner) storeUpkeep(ctx context.Context, wave uint64, had []string) {
-	value, err := upkeep.EncodeHad(had)
+// storeBegunMachines stores the machines of a wave whose maintenance has begun. If that fails,
+// the next owner evacuates them again, and the fleet then answers that they have had their
+// maintenance.
+func (o *Owner) storeBegunMachines(ctx context.Context, wave uint64, begun []string) {
+	value, err := upkeep.EncodeHad(begun)
 	if err == nil {
 		callCtx, cancel := context.WithTimeout(ctx, readTimeout)
 		defer cancel()
--- a/internal/cellowner/upkeep_test.go
+++ b/internal/cellowner/maintenance_test.go
@@ -13,7 +13,7 @@
 	"gentianstand/internal/upkeep"
 )
 
-// oneWave is a source with one wave, and what was reported of it.
+// oneWave is a source with one wave. It records what is reported about the wave.
 type oneWave struct {
 	wave      upkeep.Wave
 	completed bool
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// smallFleet carries orders out at once, or refuses them.
+// smallFleet executes orders at once, or refuses them.
 type smallFleet struct {
 	machines []upkeep.Machine
 	orders   []upkeep.Order
@@ -47,51 +47,53 @@
 	}
 	for i := range f.machines {
 		if f.machines[i].Name == o.Machine {
-			f.machines[i].Worker = "next life"
+			f.machines[i].Worker = "next incarnation"
 		}
 	}
 	return nil
 }
 
-// rows is a store that keeps the last write.
-type rows struct {
+// lastRowStore keeps the last row that was written.
+type lastRowStore struct {
 	store.Store
 	row store.Row
 }
 
-func (r *rows) Get(context.Context, string, string, string) (store.Row, error) { return r.row, nil }
+func (r *lastRowStore) Get(context.Context, string, string, string) (store.Row, error) {
+	return r.row, nil
+}
 
-func (r *rows) Commit(_ context.Context, tx store.Tx) (uint64, error) {
+func (r *lastRowStore) Commit(_ context.Context, tx store.Tx) (uint64, error) {
 	r.row = store.Row{Value: tx.Puts[0].Value, Version: r.row.Version + 1}
 	return r.row.Version, nil
 }
 
-// recordedLeadership notes why the ownership was given up.
+// recordedLeadership records why the ownership ended.
 type recordedLeadership struct{ lost []string }
 
 func (r *recordedLeadership) Confirmed() bool       { return true }
 func (r *recordedLeadership) Superseded(why string) { r.lost = append(r.lost, why) }
 
-// upkeeperOfOne returns an upkeeper of a wave of one machine, whose worker is idle.
-func upkeeperOfOne(t *testing.T, f *smallFleet, kept *rows, l Leadership, age time.Duration) (*upkeeper, *oneWave) {
+// controllerOfOneMachine returns a controller with a wave of one machine, whose worker is idle.
+func controllerOfOneMachine(t *testing.T, f *smallFleet, kept *lastRowStore, l Leadership, age time.Duration) (*maintenanceController, *oneWave) {
 	t.Helper()
-	o, _ := ownerOfOne(t, &losing{})
+	o, _ := ownerOfOne(t, &lossyWorker{})
 	o.term = 7
 	o.deps.Store, o.deps.Leadership, o.deps.Jobs = kept, l, celljobs.New(store.NewWatched(kept), "cell")
 	source := &oneWave{wave: upkeep.Wave{Number: 3, Machines: []string{"m-1"}, Within: time.Second, AtOnce: 1}}
 	f.machines = []upkeep.Machine{{Name: "m-1", Worker: "idle", Up: true}}
-	u := &upkeeper{owner: o, beganAt: time.Now().Add(-age), trackers: map[uint64]*upkeep.Tracker{},
+	u := &maintenanceController{owner: o, startedAt: time.Now().Add(-age), trackers: map[uint64]*upkeep.Tracker{},
 		MaintenanceDeps: MaintenanceDeps{Source: source, Fleet: f, Holder: "edge-1", HolderLease: 3 * time.Second}}
 	o.cell.Plan(time.Now().Add(10*time.Second), cell.AdviceSlots{})
 	return u, source
 }
 
 func TestWaveOfOneMachine(t *testing.T) {
-	f, kept := &smallFleet{}, &rows{}
-	u, source := upkeeperOfOne(t, f, kept, confirmed{}, time.Hour)
+	f, kept := &smallFleet{}, &lastRowStore{}
+	u, source := controllerOfOneMachine(t, f, kept, confirmedLeadership{}, time.Hour)
 	u.readWaves(t.Context())
 	for range 4 {
-		u.tend(t.Context())
+		u.reconcile(t.Context())
 	}
 	want := []upkeep.Order{{Machine: "m-1", Wave: 3, Holder: "edge-1", Token: 7}}
 	if !slices.Equal(f.orders, want) {
@@ -105,33 +107,33 @@
 	}
 }
 
-// Failure: two holders order about one machine in turn.
+// Guards against two holders that send orders for the same machine in turn.
 func TestNewOwnerWaitsForTheEarlierHoldersLease(t *testing.T) {
 	f := &smallFleet{}
-	u, _ := upkeeperOfOne(t, f, &rows{}, confirmed{}, 0)
+	u, _ := controllerOfOneMachine(t, f, &lastRowStore{}, confirmedLeadership{}, 0)
 	u.readWaves(t.Context())
 	for range 4 {
-		u.tend(t.Context())
+		u.reconcile(t.Context())
 	}
 	if len(f.orders) > 0 {
-		t.Errorf("ordered at once: %v", f.orders)
+		t.Errorf("orders sent at once: %v", f.orders)
 	}
 }
 
-// Failure: an overtaken owner goes on ordering about machines.
-func TestFencedUpkeepOrderGivesTheOwnershipUp(t *testing.T) {
+// Guards against a superseded owner that continues to send orders for machines.
+func TestFencedMaintenanceOrderEndsTheOwnership(t *testing.T) {
 	f, l := &smallFleet{refuse: upkeep.ErrFenced}, &recordedLeadership{}
-	u, source := upkeeperOfOne(t, f, &rows{}, l, time.Hour)
+	u, source := controllerOfOneMachine(t, f, &lastRowStore{}, l, time.Hour)
 	u.readWaves(t.Context())
 	for range 4 {
-		u.tend(t.Context())
+		u.reconcile(t.Context())
 	}
 	if len(l.lost) != 1 || source.completed {
-		t.Errorf("given up %d times, completed %v", len(l.lost), source.completed)
+		t.Errorf("ownership ended %d times, wave completed %v", len(l.lost), source.completed)
 	}
 	if len(f.orders) != 1 {
 		t.Errorf("%d orders, want no more after the refusal", len(f.orders))
 	}
 }
 
-var _ runner.Client = &losing{}
+var _ runner.Client = &lossyWorker{}
--- a/internal/cellowner/metrics.go
+++ b/internal/cellowner/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/VictoriaMetrics/metrics"
 
-// Metrics are the counters and histograms of owning a cell.
+// Metrics holds the counters, gauges and histograms of owning a cell.
 type Metrics struct {
 	Starts          *metrics.Counter
 	StartErrors     *metrics.Counter
@@ -17,20 +17,21 @@
 	AdviceSeconds   *metrics.Histogram
 	PlanSeconds     *metrics.Histogram
 	TakeOverSeconds *metrics.Histogram
-	// UrgentWaitSeconds and WaitSeconds are how long tasks of the most urgent queues,
-	// and of the others, waited for their first start.
+	// UrgentWaitSeconds and WaitSeconds record how long tasks of the most urgent queues, and of
+	// the others, waited for their first start.
 	UrgentWaitSeconds *metrics.Histogram
 	WaitSeconds       *metrics.Histogram
-	// FreeShare and WaitingTasks are those of the last summary.
+	// FreeShare and WaitingTasks are the values of the last summary.
 	FreeShare    *metrics.Gauge
 	WaitingTasks *metrics.Gauge
-	// ImpossibleTasks are those of WaitingTasks that no known worker may or can run.
+	// ImpossibleTasks counts the waiting tasks that no known worker may or can run.
 	ImpossibleTasks *metrics.Gauge
-	// LongRunningTasksDown are the tasks that are to last and have not been at work for long.
+	// LongRunningTasksDown counts the long-running tasks that have been down for long.
 	LongRunningTasksDown *metrics.Gauge
-	// QuotaWaitingTasks are those of WaitingTasks that their workspace's quota holds back.
+	// QuotaWaitingTasks counts the waiting tasks that the quota of their workspace holds back.
 	QuotaWaitingTasks *metrics.Gauge
-	// JobsUpdateAge and WorkersNewsAge are how long ago, in seconds, news of them was read.
+	// JobsUpdateAge and WorkersUpdateAge are the times, in seconds, since updates of the jobs and
+	// the workers were last read.
 	JobsUpdateAge    *metrics.Gauge
 	WorkersUpdateAge *metrics.Gauge
 }
--- a/internal/cellowner/newest_end.go
+++ b/internal/cellowner/newest_end.go
@@ -2,21 +2,23 @@
 
 import "gentianstand/internal/runner"
 
-// newestEnd is the newest end that a report lists, by the incarnation that counts them.
+// newestEnd identifies the newest end that a report lists. Sequences are counted per incarnation
+// of the worker.
 type newestEnd struct {
-	born     runner.Born
-	sequence uint64
+	incarnation runner.Born
+	sequence    uint64
 }
 
 func newestEndOf(r runner.Report) newestEnd {
-	newest := newestEnd{born: r.Born}
+	newest := newestEnd{incarnation: r.Born}
 	for _, e := range r.Ended {
 		newest.sequence = max(newest.sequence, e.Sequence)
 	}
 	return newest
 }
 
-// follows reports whether the end is one that reports before did not list.
-func (n newestEnd) follows(last newestEnd) bool {
-	return n.sequence > 0 && (n.born != last.born || n.sequence > last.sequence)
+// newerThan reports whether the end was not listed by earlier reports, of which last is the
+// newest end.
+func (n newestEnd) newerThan(last newestEnd) bool {
+	return n.sequence > 0 && (n.incarnation != last.incarnation || n.sequence > last.sequence)
 }
--- a/internal/cellowner/newest_end_test.go
+++ b/internal/cellowner/newest_end_test.go
@@ -6,10 +6,11 @@
 	"gentianstand/internal/runner"
 )
 
-// Guards against ends on a restarted worker that wait for a commit which nothing asks for.
+// The first ends of a restarted worker must count as new: otherwise no commit is triggered, and
+// their acknowledgement is late.
 func TestEndsOfAnotherIncarnationAreNew(t *testing.T) {
-	ends := func(born runner.Born, sequences ...uint64) newestEnd {
-		r := runner.Report{Born: born}
+	ends := func(incarnation runner.Born, sequences ...uint64) newestEnd {
+		r := runner.Report{Born: incarnation}
 		for _, n := range sequences {
 			r.Ended = append(r.Ended, runner.End{Sequence: n})
 		}
@@ -26,10 +27,10 @@
 		{"none", ends(1), ends(1, 7), false},
 		{"of the next incarnation", ends(2, 1), ends(1, 57), true},
 		{"no end of the next incarnation", ends(2), ends(1, 57), false},
-		{"of a worker that does not tell", ends(0, 3), ends(0, 2), true},
+		{"of a worker that reports no incarnation", ends(0, 3), ends(0, 2), true},
 	}
 	for _, test := range tests {
-		if got := test.now.follows(test.last); got != test.want {
+		if got := test.now.newerThan(test.last); got != test.want {
 			t.Errorf("%s: new %v, want %v", test.name, got, test.want)
 		}
 	}
--- /dev/null
+++ b/internal/cellowner/order_timeout_test.go
@@ -0,0 +1,32 @@
+package cellowner
+
+import (
+	"testing"
+	"time"
+
+	"gentianstand/internal/patience"
+)
+
+// Answers take 3 ms; then the instance is short of CPU and they take 100 ms. The timeout must
+// follow within its bounds, so that late answers do not count as lost orders.
+func TestOrderTimeoutFollowsUsualAnswers(t *testing.T) {
+	p := patience.New(orderTimeoutSettings)
+	for range 100 {
+		p.Answered(3 * time.Millisecond)
+	}
+	if got := p.Limit(); got != orderTimeoutSettings.Least {
+		t.Errorf("limit %v with answers of 3 ms, want %v", got, orderTimeoutSettings.Least)
+	}
+	for range 15 {
+		p.Answered(100 * time.Millisecond)
+	}
+	if got := p.Limit(); got != orderTimeoutSettings.Most {
+		t.Errorf("limit %v with answers of 100 ms, want %v", got, orderTimeoutSettings.Most)
+	}
+	for range 200 {
+		p.Answered(3 * time.Millisecond)
+	}
+	if got := p.Limit(); got != orderTimeoutSettings.Least {
+		t.Errorf("limit %v after the slow phase, want %v", got, orderTimeoutSettings.Least)
+	}
+}
--- a/internal/cellowner/orders.go
+++ b/internal/cellowner/orders.go
@@ -9,19 +9,19 @@
 	"gentianstand/internal/runner"
 )
 
-// adviceSlack is added to the adviser's own duration, for the way and for one
-// call of the same instance that may be before this one.
+// adviceSlack is added to the duration of the adviser itself. It covers network latency and one
+// call that the same instance may have to finish first.
 const adviceSlack = time.Second
 
-// start sends a start, and once more if it is not answered. A start of a run that is there
-// is answered like the first one, so the repeat confirms the run or begins it, where a
-// stop would cost the work done so far. A late effect of the first one meets the same run,
-// or one that has ended, and the worker declines it.
+// start sends a start order, and repeats it once if it is not answered. A worker that already has
+// the run answers the repeat like the first order, so the repeat confirms the run or begins it. A
+// stop would lose the work done so far. If the first order arrives late, the worker finds the
+// same run, or one that has ended, and declines the order.
 func (o *Owner) start(ctx context.Context, order cell.StartOrder) {
-	answer, err := o.startOnce(ctx, order, o.patience.Within(briefFactor, briefLeast))
+	answer, err := o.startOnce(ctx, order, o.orderTimeout.Within(resendFactor, minResendTimeout))
 	if errors.Is(err, runner.ErrNoAnswer) && o.deps.Leadership.Confirmed() {
 		o.deps.Metrics.StartRepeats.Inc()
-		answer, err = o.startOnce(ctx, order, o.patience.Limit())
+		answer, err = o.startOnce(ctx, order, o.orderTimeout.Limit())
 		var refusal *runner.Refusal
 		if errors.As(err, &refusal) {
 			err = &runner.Refusal{Reason: refusal.Reason, Repeated: true}
@@ -30,10 +30,11 @@
 	o.checkFence(err)
 	o.cell.StartAnswered(order, answer, err, time.Now())
 	if err != nil {
-		o.wake()
+		o.wakePlanner()
 	}
 }
 
+// startOnce sends a start order and records the duration of the answer.
 func (o *Owner) startOnce(ctx context.Context, order cell.StartOrder, limit time.Duration) (runner.Answer, error) {
 	began := time.Now()
 	callCtx, cancel := context.WithTimeout(ctx, limit)
@@ -43,9 +44,9 @@
 	o.deps.Metrics.StartSeconds.UpdateDuration(began)
 	switch {
 	case err == nil:
-		o.patience.Answered(time.Since(began))
+		o.orderTimeout.Answered(time.Since(began))
 	case errors.Is(err, runner.ErrNoAnswer):
-		o.patience.GaveUp(time.Since(began))
+		o.orderTimeout.GaveUp(time.Since(began))
 	}
 	if err != nil {
 		o.deps.Metrics.StartErrors.Inc()
@@ -54,23 +55,23 @@
 }
 
 func (o *Owner) stop(ctx context.Context, order cell.StopOrder) {
-	callCtx, cancel := context.WithTimeout(ctx, o.patience.Limit())
+	callCtx, cancel := context.WithTimeout(ctx, o.orderTimeout.Limit())
 	defer cancel()
 	answer, err := o.deps.Runner.Stop(callCtx, order.Worker, order.Stop)
 	o.checkFence(err)
 	o.cell.StopAnswered(order, answer, err, time.Now())
 	if err != nil {
-		o.wake()
+		o.wakePlanner()
 	}
 }
 
-func (o *Owner) pace(ctx context.Context, order cell.PaceOrder) {
+func (o *Owner) throttle(ctx context.Context, order cell.PaceOrder) {
 	_, err := o.deps.Runner.Pace(ctx, order.Worker, order.Pace)
 	o.checkFence(err)
 	o.cell.PaceAnswered(order, err, time.Now())
 }
 
-func (o *Owner) ask(ctx context.Context, order cell.AdviceOrder) {
+func (o *Owner) askAdviser(ctx context.Context, order cell.AdviceOrder) {
 	began := time.Now()
 	callCtx, cancel := context.WithTimeout(ctx, order.Cost.Duration(len(order.Workers))+adviceSlack)
 	defer cancel()
@@ -80,10 +81,10 @@
 		o.deps.Metrics.AdviceErrors.Inc()
 	}
 	o.cell.Advised(order.Stage, order.Workers, tickets, err, time.Now())
-	o.wake()
+	o.wakePlanner()
 }
 
-// checkFence gives the ownership up when a worker has seen a higher token.
+// checkFence ends the ownership if a worker has seen a higher fencing token.
 func (o *Owner) checkFence(err error) {
 	var refusal *runner.Refusal
 	if errors.As(err, &refusal) && refusal.Reason == runner.Fenced {
--- a/internal/cellowner/orders_test.go
+++ b/internal/cellowner/orders_test.go
@@ -16,15 +16,15 @@
 	"gentianstand/internal/store"
 )
 
-// losing is a worker that carries starts out, but whose first answers get lost.
-type losing struct {
+// lossyWorker executes starts, but its first answers get lost.
+type lossyWorker struct {
 	runner.Client
 	lost    int
 	starts  []runner.Start
 	running []runner.RunState
 }
 
-func (l *losing) Start(_ context.Context, _ runner.Target, s runner.Start) (runner.Answer, error) {
+func (l *lossyWorker) Start(_ context.Context, _ runner.Target, s runner.Start) (runner.Answer, error) {
 	l.starts = append(l.starts, s)
 	if len(l.starts) == 1 {
 		l.running = append(l.running, runner.RunState{Task: s.Task, Run: s.Run})
@@ -35,22 +35,22 @@
 	return runner.Answer{}, nil
 }
 
-func (l *losing) Look(context.Context, runner.Target, runner.Look) (runner.Report, error) {
+func (l *lossyWorker) Look(context.Context, runner.Target, runner.Look) (runner.Report, error) {
 	return runner.Report{Clock: time.Minute, Running: l.running}, nil
 }
 
-// confirmed is a leadership that holds.
-type confirmed struct{}
+// confirmedLeadership is a leadership that always holds.
+type confirmedLeadership struct{}
 
-func (confirmed) Confirmed() bool   { return true }
-func (confirmed) Superseded(string) {}
+func (confirmedLeadership) Confirmed() bool   { return true }
+func (confirmedLeadership) Superseded(string) {}
 
 // ownerOfOne returns an owner with one task to start on one worker.
 func ownerOfOne(t *testing.T, client runner.Client) (*Owner, cell.StartOrder) {
 	t.Helper()
 	log, _ := logtest.NewNullLogger()
 	o := New(cell.Settings{Term: 1, Lease: time.Second}, store.Check{},
-		Deps{Runner: client, Leadership: confirmed{}, Metrics: NewMetrics(metrics.NewSet()), Log: log})
+		Deps{Runner: client, Leadership: confirmedLeadership{}, Metrics: NewMetrics(metrics.NewSet()), Log: log})
 	worker := roster.Worker{ID: "w", Service: "desk", Capacity: resource.Amount{MilliCPU: 1000, MemoryMiB: 1000}}
 	o.cell.SetRoster([]roster.Worker{worker}, time.Now())
 	commit := o.cell.NextCommit(1)
@@ -72,9 +72,10 @@
 	return nil, cell.StartOrder{}
 }
 
-// Failure: one step in three of ten tasks is late while answers of workers get lost.
+// A start without an answer must be repeated: while answers of workers got lost, 1 step in 3 of
+// 10 tasks was late.
 func TestLostAnswerOfAStart(t *testing.T) {
-	client := &losing{lost: 1}
+	client := &lossyWorker{lost: 1}
 	o, order := ownerOfOne(t, client)
 	o.start(t.Context(), order)
 	if len(client.starts) != 2 || client.starts[0].Run != client.starts[1].Run {
@@ -85,11 +86,10 @@
 	}
 }
 
-// declining is a worker on which the first start arrives late, after it has declined
-// the repeat.
-type declining struct{ losing }
+// decliningWorker receives the first start late, after it has declined the repeat.
+type decliningWorker struct{ lossyWorker }
 
-func (d *declining) Start(_ context.Context, _ runner.Target, s runner.Start) (runner.Answer, error) {
+func (d *decliningWorker) Start(_ context.Context, _ runner.Target, s runner.Start) (runner.Answer, error) {
 	d.starts = append(d.starts, s)
 	if len(d.starts) == 1 {
 		return runner.Answer{}, runner.ErrNoAnswer
@@ -98,9 +98,10 @@
 	return runner.Answer{}, &runner.Refusal{Reason: runner.Unhealthy}
 }
 
-// Failure: a task runs twice.
+// The refusal of a repeat does not prove that the first start had no effect: a restart of the
+// task could run it twice.
 func TestRefusalOfARepeatIsNoProof(t *testing.T) {
-	client := &declining{}
+	client := &decliningWorker{}
 	o, order := ownerOfOne(t, client)
 	o.start(t.Context(), order)
 	stopped := false
@@ -119,10 +120,9 @@
 	}
 }
 
-// Failure: a task never runs, or runs twice, while its worker leaves all orders
-// unanswered.
+// Guards against a task that never runs, or runs twice, because its worker answers no orders.
 func TestStartThatIsNeverAnswered(t *testing.T) {
-	client := &losing{lost: 100}
+	client := &lossyWorker{lost: 100}
 	o, order := ownerOfOne(t, client)
 	o.start(t.Context(), order)
 	if len(client.starts) != 2 {
--- a/internal/cellowner/owner.go
+++ b/internal/cellowner/owner.go
@@ -13,8 +13,9 @@
 	"gentianstand/internal/store"
 )
 
-// loadTimeout bounds the reading of a cell, also in a store that is slow. Parts of the store may be away for some seconds; another instance
-// then fares no better, unless this one is cut off.
+// loadTimeout bounds the load of a cell, in a slow store too. Parts of the store may be
+// unavailable for some seconds; a take-over by another instance then does not help, unless only
+// this instance is cut off.
 const loadTimeout = 10 * time.Second
 
 // Owner owns one cell for one term.
@@ -24,51 +25,50 @@
 	claim store.Check
 	// term is the fencing token of this ownership.
 	term uint64
-	// lease is how long an order to a worker reaches.
+	// lease is the duration by which each poll extends the lease of a worker.
 	lease time.Duration
 
-	// loops are those under way.
-	loops   sync.WaitGroup
-	kick    chan struct{}
-	kickLog chan struct{}
-	// kickJobs has the store asked for jobs at once.
-	kickJobs chan struct{}
-	// stored is closed and replaced after each commit.
-	storedMu sync.Mutex
-	stored   chan struct{}
-	// looking are the workers that have a look loop.
-	lookingMu sync.Mutex
-	looking   map[string]struct{}
-	// jobsVersion and rosterVersion are where the feeds resume.
+	// loops are the loops that are running.
+	loops        sync.WaitGroup
+	planSignal   chan struct{}
+	commitSignal chan struct{}
+	// jobsSignal triggers an immediate read of the jobs.
+	jobsSignal chan struct{}
+	// commitDone is closed and replaced after each commit.
+	commitDoneMu sync.Mutex
+	commitDone   chan struct{}
+	// polled holds the workers that have a poll loop.
+	polledMu sync.Mutex
+	polled   map[string]struct{}
+	// jobsVersion and rosterVersion are the versions from which the feeds resume.
 	jobsVersion   uint64
 	rosterVersion uint64
-	// jobsNews and workersNews are how old what is known by them is.
-	jobsNews, workersNews newsAge
-	commitMu              sync.Mutex
+	// jobsAge and workersAge track the age of what is known of the jobs and the workers.
+	jobsAge, workersAge updateAge
+	commitMu            sync.Mutex
 	// sequence is the version of the sequence row.
-	sequence uint64
-	patience *patience.Patience
-	waits    *waits
-	planned  planned
+	sequence     uint64
+	orderTimeout *patience.Patience
+	waitStats    *waitStats
+	planStats    planStats
 }
 
-// New returns an owner whose writes demand that claim, the row of its
-// ownership, is unchanged.
+// New returns an owner. Its writes require that claim, the row of its ownership, is unchanged.
 func New(s cell.Settings, claim store.Check, deps Deps) *Owner {
-	waits := newWaits(deps.Metrics)
-	s.Waited = waits.note
+	waits := newWaitStats(deps.Metrics)
+	s.Waited = waits.record
 	return &Owner{
-		waits: waits,
-		deps:  deps, claim: claim, term: s.Term, lease: s.Lease, cell: cell.New(s, time.Now(), deps.Log),
-		kick: make(chan struct{}, 1), kickLog: make(chan struct{}, 1), kickJobs: make(chan struct{}, 1),
-		patience: patience.New(orderPatience), stored: make(chan struct{}), looking: map[string]struct{}{},
+		waitStats: waits,
+		deps:      deps, claim: claim, term: s.Term, lease: s.Lease, cell: cell.New(s, time.Now(), deps.Log),
+		planSignal: make(chan struct{}, 1), commitSignal: make(chan struct{}, 1), jobsSignal: make(chan struct{}, 1),
+		orderTimeout: patience.New(orderTimeoutSettings), commitDone: make(chan struct{}), polled: map[string]struct{}{},
 	}
 }
 
-// Cell returns the cell, for questions about jobs.
+// Cell returns the cell, for queries about jobs.
 func (o *Owner) Cell() *cell.Cell { return o.cell }
 
-// Run loads the cell, calls loaded, and works until ctx ends.
+// Run loads the cell, calls loaded, and runs the loops until ctx ends.
 func (o *Owner) Run(ctx context.Context, loaded func()) error {
 	began := time.Now()
 	if err := o.load(ctx); err != nil {
@@ -81,20 +81,19 @@
 	o.loops.Go(func() { o.commitLoop(ctx) })
 	o.loops.Go(func() { o.followJobs(ctx) })
 	o.loops.Go(func() { o.followRoster(ctx) })
-	o.loops.Go(func() { o.upkeepLoop(ctx) })
-	o.loops.Go(func() { o.condenseLoop(ctx) })
+	o.loops.Go(func() { o.maintenanceLoop(ctx) })
+	o.loops.Go(func() { o.compactLoop(ctx) })
 	o.loops.Wait()
 	return nil
 }
 
-// load reads everything that must last, all at the same time: in a slow store each
-// round of reads takes long. The feeds resume from before the reads, so
-// nothing that is written meanwhile is missed; progress is written by this owner
-// alone.
+// load reads all persistent state at the same time, because in a slow store each round of reads
+// takes long. The feeds resume from versions before the reads, so concurrent writes are not
+// missed. Progress is written by this owner alone.
 func (o *Owner) load(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
-	var kept stored
+	var kept storedState
 	var reads sync.WaitGroup
 	reads.Go(func() { kept.readProgress(ctx, o.deps) })
 	reads.Go(func() { kept.readJobs(ctx, o.deps) })
@@ -105,22 +104,22 @@
 	}
 	o.jobsVersion = kept.jobsVersion
 	o.rosterVersion = kept.roster.Version
-	o.jobsNews.read(time.Now())
-	o.workersNews.read(time.Now())
-	o.takeIn(kept.jobs, kept.progress)
+	o.jobsAge.markRead(time.Now())
+	o.workersAge.markRead(time.Now())
+	o.loadJobs(kept.jobs, kept.progress)
 	for _, row := range kept.progress {
 		if row.Key == celljobs.SequenceKey {
 			o.sequence = row.Version
 		}
 	}
 	o.cell.SetRoster(kept.roster.Workers, time.Now())
-	o.inheritWorkers(kept.progress)
+	o.loadKnownWorkers(kept.progress)
 	return nil
 }
 
-// inheritWorkers takes in the workers that an earlier owner used and that may be
-// missing from the roster.
-func (o *Owner) inheritWorkers(progress []store.Row) {
+// loadKnownWorkers adds the workers that a previous owner used and that may be missing from the
+// roster.
+func (o *Owner) loadKnownWorkers(progress []store.Row) {
 	now := time.Now()
 	all := true
 	for _, row := range progress {
@@ -140,8 +139,8 @@
 	}
 }
 
-// takeIn fills the cell with stored rows.
-func (o *Owner) takeIn(rows, progress []store.Row) {
+// loadJobs fills the cell with the stored jobs, their progress and their cancellations.
+func (o *Owner) loadJobs(rows, progress []store.Row) {
 	kept := make(map[string]store.Row, len(progress))
 	for _, row := range progress {
 		kept[row.Key] = row
@@ -164,6 +163,8 @@
 	}
 }
 
+// loadJob adds a stored job to the cell. kept is the row of its progress, with version 0 if there
+// is none.
 func (o *Owner) loadJob(id string, row, kept store.Row) {
 	r, err := job.DecodeRecord(row.Value)
 	if err != nil {
@@ -180,36 +181,36 @@
 	o.cell.Load(r, p)
 }
 
-// Submitted takes in a job that an instance has stored and tells of.
+// Submitted adds a job that an instance has stored and reported to this owner.
 func (o *Owner) Submitted(r *job.Record) {
 	o.cell.Add(r, true)
-	o.wake()
+	o.wakePlanner()
 }
 
-// Cancelled takes in a cancellation that an instance has stored.
+// Cancelled applies a cancellation that an instance has stored.
 func (o *Owner) Cancelled(id string) {
 	o.cell.Cancel(id, time.Now())
-	o.wake()
-	o.wakeCommit()
+	o.wakePlanner()
+	o.wakeCommitter()
 }
 
-// PreviousOwnerStopped takes in that the earlier owner gives no orders any more.
+// PreviousOwnerStopped records that the previous owner sends no more orders.
 func (o *Owner) PreviousOwnerStopped(now time.Time) {
 	o.cell.EarlierStopped(now)
-	o.wake()
+	o.wakePlanner()
 }
 
-// Flush stores what is not stored yet, for a planned hand-over. It must be called after
-// Run has ended.
+// Flush stores all progress that is not stored yet, for a planned hand-over. It must be called
+// after Run has returned.
 func (o *Owner) Flush(ctx context.Context) {
 	o.cell.EndTerm(time.Now())
 	for ctx.Err() == nil && o.commitOnce(ctx) == committed {
 	}
 }
 
-func (o *Owner) wake() { signal(o.kick) }
+func (o *Owner) wakePlanner() { signal(o.planSignal) }
 
-func (o *Owner) wakeCommit() { signal(o.kickLog) }
+func (o *Owner) wakeCommitter() { signal(o.commitSignal) }
 
 func signal(c chan struct{}) {
 	select {
@@ -218,8 +219,8 @@
 	}
 }
 
-// wait sleeps and reports whether ctx still goes on.
-func wait(ctx context.Context, d time.Duration) bool {
+// sleep waits for d and reports whether ctx is still active.
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/cellowner/peak_bench_test.go
+++ b/internal/cellowner/peak_bench_test.go
@@ -24,21 +24,21 @@
 	"gentianstand/internal/store"
 )
 
-// quietStore keeps nothing and answers at once.
-type quietStore struct{ store.Store }
+// nullStore stores nothing and answers at once.
+type nullStore struct{ store.Store }
 
-func (quietStore) Commit(context.Context, store.Tx) (uint64, error) { return 1, nil }
-func (quietStore) Get(context.Context, string, string, string) (store.Row, error) {
+func (nullStore) Commit(context.Context, store.Tx) (uint64, error) { return 1, nil }
+func (nullStore) Get(context.Context, string, string, string) (store.Row, error) {
 	return store.Row{}, nil
 }
-func (quietStore) Read(context.Context, string, string, string) (store.Page, error) {
+func (nullStore) Read(context.Context, string, string, string) (store.Page, error) {
 	return store.Page{Version: 1}, nil
 }
-func (quietStore) Changes(_ context.Context, _ string, _ uint64, _ time.Duration) (store.Page, error) {
+func (nullStore) Changes(_ context.Context, _ string, _ uint64, _ time.Duration) (store.Page, error) {
 	return store.Page{Version: 1}, nil
 }
 
-// fixedRoster lists the same workers for ever.
+// fixedRoster always lists the same workers.
 type fixedRoster []roster.Worker
 
 func (r fixedRoster) All(context.Context) (roster.Change, error) {
@@ -48,7 +48,7 @@
 	return roster.Change{Version: 1}, nil
 }
 
-// timedWorkers run every task for as long as its spec says.
+// timedWorkers run every task for the duration in its spec.
 type timedWorkers struct {
 	began time.Time
 	mu    sync.Mutex
@@ -140,7 +140,7 @@
 	return runner.Answer{Clock: w.clock()}, nil
 }
 
-// timedAdvisers allow two workers in three, after as long as the real adviser takes.
+// timedAdvisers allow 2 of 3 workers, and take as long as the real adviser.
 type timedAdvisers struct {
 	mu   sync.Mutex
 	busy int
@@ -170,9 +170,9 @@
 	return tickets, nil
 }
 
-// BenchmarkOwnerAtPeak has an owner of 540 workers place 100 jobs a second of about 8
-// tasks of 0.64 s in 1.6 steps. It reports the processor time of the whole process for
-// each start, the workers' own included.
+// BenchmarkOwnerAtPeak measures an owner of 540 workers that places 100 jobs per second, with
+// about 8 tasks of 0.64 s in 1.6 steps each. It reports the CPU time of the whole process per
+// start, including that of the simulated workers.
 func BenchmarkOwnerAtPeak(b *testing.B) {
 	const perSecond = 100
 	log, _ := logtest.NewNullLogger()
@@ -186,8 +186,8 @@
 	m := NewMetrics(metrics.NewSet())
 	ctx, cancel := context.WithCancel(b.Context())
 	o := New(cell.Settings{Term: 1, Lease: 3500 * time.Millisecond, EarlierStopped: true, StopGrace: 900 * time.Millisecond, SpareWorkers: 128, FarFactor: 3},
-		store.Check{}, Deps{Store: quietStore{}, Jobs: celljobs.New(store.NewWatched(quietStore{}), "cell"), Roster: list, Runner: workers,
-			Advisers: &timedAdvisers{}, Catalog: (&catalog.Current{}).Get, Leadership: confirmed{}, Metrics: m, Log: log})
+		store.Check{}, Deps{Store: nullStore{}, Jobs: celljobs.New(store.NewWatched(nullStore{}), "cell"), Roster: list, Runner: workers,
+			Advisers: &timedAdvisers{}, Catalog: (&catalog.Current{}).Get, Leadership: confirmedLeadership{}, Metrics: m, Log: log})
 	loaded := make(chan struct{})
 	done := make(chan struct{})
 	go func() {
@@ -220,7 +220,7 @@
 	<-done
 }
 
-// cpuTime returns the processor time that the process has used.
+// cpuTime returns the CPU time that the process has used.
 func cpuTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/internal/cellowner/poison_test.go
+++ b/internal/cellowner/poison_test.go
@@ -12,8 +12,9 @@
 	"gentianstand/internal/store"
 )
 
-// Failure: a stored row that is not valid ends every owner that loads it.
-func TestRowsThatNoCallerCouldSubmitEndNoOwner(t *testing.T) {
+// An invalid stored row must not stop the owner that loads it, because it would stop every later
+// owner, too.
+func TestInvalidRowsDoNotStopTheOwner(t *testing.T) {
 	log, lines := logtest.NewNullLogger()
 	sound := &job.Record{ID: "00000000000000aa", Queue: "q", Steps: []job.Step{{Count: 1}}, AcceptedAt: time.Now()}
 	noSuchStep := &job.Record{ID: "00000000000000bb", Queue: "q", Steps: []job.Step{{Count: 1, After: []int{7}}}, AcceptedAt: time.Now()}
@@ -30,9 +31,9 @@
 		}
 		rows = append(rows, store.Row{Key: celljobs.JobKey(r.ID), Value: value, Version: 1})
 	}
-	o := New(cell.Settings{Term: 1}, store.Check{}, Deps{Log: log, Jobs: celljobs.New(store.NewWatched(&lateStore{}), "cell-0")})
-	o.takeIn(rows, []store.Row{{Key: noSuchTask.ID, Value: kept, Version: 1}})
-	o.news(rows)
+	o := New(cell.Settings{Term: 1}, store.Check{}, Deps{Log: log, Jobs: celljobs.New(store.NewWatched(&delayingStore{}), "cell-0")})
+	o.loadJobs(rows, []store.Row{{Key: noSuchTask.ID, Value: kept, Version: 1}})
+	o.applyJobRows(rows)
 	if _, known := o.Cell().Status(sound.ID); !known {
 		t.Error("the sound job is not known")
 	}
@@ -41,6 +42,6 @@
 		seen[line.Message] = true
 	}
 	if !seen["job_unreadable"] || !seen["progress_unreadable"] {
-		t.Errorf("logged were %v", seen)
+		t.Errorf("logged events: %v", seen)
 	}
 }
--- a/internal/cellowner/quota_waits.go
+++ b/internal/cellowner/quota_waits.go
@@ -6,15 +6,15 @@
 	"github.com/sirupsen/logrus"
 )
 
-// mostQuotaWaits bounds the lines about workspaces in one summary.
-const mostQuotaWaits = 4
+// maxQuotaWaitsLogged bounds the log lines about workspaces in one summary.
+const maxQuotaWaitsLogged = 4
 
-// tellQuotaWaits logs the workspaces of which tasks wait for their quota.
-func (o *Owner) tellQuotaWaits(now time.Time) {
+// logQuotaWaits logs the workspaces with tasks that wait for quota.
+func (o *Owner) logQuotaWaits(now time.Time) {
 	tasks := 0
 	for i, w := range o.cell.QuotaWaits(now) {
 		tasks += w.Tasks
-		if i >= mostQuotaWaits {
+		if i >= maxQuotaWaitsLogged {
 			continue
 		}
 		o.deps.Log.WithFields(logrus.Fields{"workspace": w.Workspace, "tasks": w.Tasks, "used": w.Used.String(), "unseen": w.Unseen.String(),
--- a/internal/cellowner/stored.go
+++ b/internal/cellowner/stored_state.go
@@ -9,13 +9,12 @@
 	"gentianstand/internal/store"
 )
 
-// stored is what a new owner reads. Its parts are read at the same time, so each
-// has an error of its own.
-type stored struct {
+// storedState is the persistent state that a new owner loads. Its parts are read at the same
+// time, so each has its own error.
+type storedState struct {
 	progress    []store.Row
 	progressErr error
-	// jobs are the records and cancellations, jobsVersion is where their feed
-	// resumes.
+	// jobs are the records and cancellations; their feed resumes from jobsVersion.
 	jobs        []store.Row
 	jobsVersion uint64
 	jobsErr     error
@@ -23,7 +22,7 @@
 	rosterErr   error
 }
 
-func (s *stored) readProgress(ctx context.Context, d Deps) {
+func (s *storedState) readProgress(ctx context.Context, d Deps) {
 	rows, _, err := store.ReadAll(ctx, store.Persistent{Store: d.Store}, celljobs.TableProgress, d.Jobs.ProgressPartition())
 	if err != nil {
 		s.progressErr = fmt.Errorf("read progress: %w", err)
@@ -31,7 +30,7 @@
 	s.progress = rows
 }
 
-func (s *stored) readJobs(ctx context.Context, d Deps) {
+func (s *storedState) readJobs(ctx context.Context, d Deps) {
 	rows, version, err := d.Jobs.Records(ctx)
 	if err != nil {
 		s.jobsErr = fmt.Errorf("read jobs: %w", err)
@@ -39,7 +38,7 @@
 	s.jobs, s.jobsVersion = rows, version
 }
 
-func (s *stored) readRoster(ctx context.Context, d Deps) {
+func (s *storedState) readRoster(ctx context.Context, d Deps) {
 	workers, err := d.Roster.All(ctx)
 	if err != nil {
 		s.rosterErr = fmt.Errorf("read roster: %w", err)
