--- a/internal/cellowner/aways.go
+++ b/internal/cellowner/down_tasks.go
@@ -6,13 +6,13 @@
 	"github.com/sirupsen/logrus"
 )
 
-// mostAways bounds the lines about lasting tasks in one summary.
-const mostAways = 4
+// maxDownTasksLogged bounds the log lines about long-running tasks in one summary.
+const maxDownTasksLogged = 4
 
-// tellAways logs the lasting tasks that have not been at work for long, and why.
-func (o *Owner) tellAways(now time.Time) {
-	aways, total := o.cell.DownTasks(mostAways, now)
-	for _, a := range aways {
+// logDownTasks logs the long-running tasks that have been down for long, and the reason.
+func (o *Owner) logDownTasks(now time.Time) {
+	down, total := o.cell.DownTasks(maxDownTasksLogged, now)
+	for _, a := range down {
 		o.deps.Log.WithFields(logrus.Fields{"task": a.Task.String(), "why": a.Reason, "away_ms": a.DownFor.Milliseconds(),
 			"run": a.Run, "worker": a.Worker, "roomy": a.WorkersWithCapacity}).Warn("lasting_task_away")
 	}
