--- a/internal/cell/adopt.go
+++ b/internal/cell/adopt.go
@@ -38,7 +38,7 @@
 
 // adopt books a run that another owner ordered.
 func (c *Cell) adopt(t *task, w *worker, run uint64, now time.Time) *attempt {
-	a := &attempt{task: t, run: run, worker: w, phase: running, orderedAt: now, confirmedAt: now, changedAt: now, speedPercent: 100}
+	a := &attempt{task: t, run: run, worker: w, phase: running, orderedAt: now, confirmedAt: now, progressedAt: now, speedPercent: 100}
 	t.lastRun = max(t.lastRun, run)
 	t.attempts = append(t.attempts, a)
 	t.stage.removeIdle(t.index)
@@ -92,9 +92,9 @@
 	c.recordSurvival(a, now)
 	c.recordWorking(a, r.Percent, now)
 	a.task.stage.job.started = true
-	if r.Percent != a.percent || a.changedAt.IsZero() {
+	if r.Percent != a.percent || a.progressedAt.IsZero() {
 		a.percent = r.Percent
-		a.changedAt = now
+		a.progressedAt = now
 	}
 	a.tailLatencyMillis = r.Gauge
 	if r.Checkpoint != "" {
--- a/internal/cell/advice_state.go
+++ b/internal/cell/advice_state.go
@@ -20,8 +20,8 @@
 }
 
 // verdictFor returns what the adviser said of a worker's present incarnation.
-func (b *adviceState) verdictFor(w *worker) (v verdict, known bool) {
-	v, known = b.verdicts[w]
+func (s *adviceState) verdictFor(w *worker) (v verdict, known bool) {
+	v, known = s.verdicts[w]
 	if !known || v.incarnation != w.incarnationState {
 		return verdict{}, false
 	}
@@ -29,14 +29,14 @@
 }
 
 // allows reports whether a worker has a ticket that is valid until later than until.
-func (b *adviceState) allows(w *worker, until time.Time) bool {
-	v, _ := b.verdictFor(w)
+func (s *adviceState) allows(w *worker, until time.Time) bool {
+	v, _ := s.verdictFor(w)
 	return v.good && until.Before(v.until)
 }
 
 // expire makes the stage ask about a worker again before using it.
-func (b *adviceState) expire(w *worker) {
-	v := b.verdicts[w]
+func (s *adviceState) expire(w *worker) {
+	v := s.verdicts[w]
 	v.until = time.Time{}
-	b.verdicts[w] = v
+	s.verdicts[w] = v
 }
--- a/internal/cell/answers.go
+++ b/internal/cell/answers.go
@@ -41,7 +41,7 @@
 	}
 	if a.confirmedAt.IsZero() {
 		a.confirmedAt = now
-		a.changedAt = now
+		a.progressedAt = now
 		c.observeWait(a.task, now)
 	}
 	a.task.stage.job.started = true
--- a/internal/cell/ask.go
+++ b/internal/cell/ask.go
@@ -39,7 +39,7 @@
 		return
 	}
 	prefetch := !c.anyHasCapacityByID(s, workers)
-	if prefetch && isSlowCall(s.job.record.Advice) && !c.questions.mayPrefetch(view.slots) {
+	if prefetch && isSlowCall(s.job.record.Advice) && !c.adviceCalls.mayPrefetch(view.slots) {
 		return
 	}
 	c.ask(s, workers, prefetch, view, now)
@@ -60,12 +60,12 @@
 // back any more.
 func (c *Cell) askIfCapacityFree(s *stage, view *planView, now time.Time) {
 	cost := s.job.record.Advice
-	if cost == nil || isSlowCall(cost) && !c.questions.mayAskLongRunning(view.slots) {
+	if cost == nil || isSlowCall(cost) && !c.adviceCalls.mayAskLongRunning(view.slots) {
 		return
 	}
 	switch {
 	case c.heldBack(s):
-		c.askHeld(s, view, now)
+		c.askHeldBack(s, view, now)
 		return
 	case !s.step.Occupied().Fits(view.maxFree) || !c.mayPlace(s, now) || !c.mayAsk(s, view, now) || len(c.fitting(s, view, now)) > 0:
 		return
@@ -87,7 +87,7 @@
 	slow := isSlowCall(cost)
 	view.slots.acquire(slow)
 	s.advice.pending = true
-	c.questions[s.id] = question{prefetch: prefetch, slow: slow, longRunning: s.step.LongRunning, askedAt: now}
+	c.adviceCalls[s.id] = adviceCall{prefetch: prefetch, slow: slow, longRunning: s.step.LongRunning, askedAt: now}
 	c.stats.AdviceCalls++
 	c.orders = append(c.orders, AdviceOrder{Stage: s.id, Term: c.settings.Term, Cost: *cost, Workers: workers, Slow: slow})
 }
@@ -169,8 +169,8 @@
 func (c *Cell) AdviceAnswered(stage job.StageID, asked []string, tickets []advice.Ticket, err error, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	askedAt := c.questions[stage].askedAt
-	delete(c.questions, stage)
+	askedAt := c.adviceCalls[stage].askedAt
+	delete(c.adviceCalls, stage)
 	j := c.jobs[stage.Job]
 	if j == nil {
 		return
--- a/internal/cell/ask_held.go
+++ b/internal/cell/ask_held.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// askHeld asks the adviser about a stage that is held back, so late that the answer comes
+// askHeldBack asks the adviser about a stage that is held back, so late that the answer comes
 // when it is not any more: a ticket lasts a few seconds.
-func (c *Cell) askHeld(s *stage, view *planView, now time.Time) {
+func (c *Cell) askHeldBack(s *stage, view *planView, now time.Time) {
 	cost := s.job.record.Advice
 	if cost == nil || now.Add(cost.Duration(typicalCallSize)).Before(view.recoveryDeadline) {
 		return
--- a/internal/cell/attempt.go
+++ b/internal/cell/attempt.go
@@ -32,8 +32,8 @@
 	// survived says that it was seen at work for so long that it does not crash its worker.
 	survived bool
 	// percent and changedAt are the last reported progress and when it moved.
-	percent   int
-	changedAt time.Time
+	percent      int
+	progressedAt time.Time
 	// tailLatencyMillis is the last reported figure; see runner.RunState.
 	tailLatencyMillis float64
 	// speedPercent is the share of its speed that the run is allowed.
--- a/internal/cell/backlog.go
+++ b/internal/cell/backlog.go
@@ -21,9 +21,9 @@
 
 // pool is what the workers of one service have, and what is asked of them.
 type pool struct {
-	// capacity is that of all workers, without what lasting tasks use there; used is what
-	// all runs use.
-	capacity, all, used resource.Amount
+	// capacity is that of total workers, without what lasting tasks use there; used is what
+	// total runs use.
+	capacity, total, used resource.Amount
 	// largest is the largest worker's capacity of each kind.
 	largest resource.Amount
 	// work is what is left to do, by priority.
@@ -38,8 +38,8 @@
 	return work{w.cpu + float64(need.MilliCPU)*s, w.memory + float64(need.MemoryMiB)*s, w.accelerators + float64(need.Accelerators)*s}
 }
 
-// on returns how long the work takes on a capacity, by its scarcest resource.
-func (w work) on(capacity resource.Amount) time.Duration {
+// durationOn returns how long the work takes durationOn a capacity, by its scarcest resource.
+func (w work) durationOn(capacity resource.Amount) time.Duration {
 	seconds := max(w.cpu/float64(max(1, capacity.MilliCPU)), w.memory/float64(max(1, capacity.MemoryMiB)))
 	if capacity.Accelerators > 0 {
 		seconds = max(seconds, w.accelerators/float64(capacity.Accelerators))
@@ -50,8 +50,8 @@
 // full reports whether the workers have too little room to take work in at once.
 func (p *pool) full() bool {
 	share := func(used, all int64) float64 { return float64(used) / float64(max(1, all)) }
-	return max(share(p.used.MilliCPU, p.all.MilliCPU), share(p.used.MemoryMiB, p.all.MemoryMiB),
-		share(p.used.Accelerators, p.all.Accelerators)) >= fullShare
+	return max(share(p.used.MilliCPU, p.total.MilliCPU), share(p.used.MemoryMiB, p.total.MemoryMiB),
+		share(p.used.Accelerators, p.total.Accelerators)) >= fullShare
 }
 
 // Backlogs returns the backlogs of services whose workers are full, as of some tenths of a
@@ -93,7 +93,7 @@
 			p = &pool{work: map[int]work{}}
 			pools[w.Service] = p
 		}
-		p.all = p.all.Add(w.Capacity)
+		p.total = p.total.Add(w.Capacity)
 		p.used = p.used.Add(w.used)
 		p.capacity = p.capacity.Add(w.Capacity)
 		p.largest = p.largest.Max(w.Capacity)
@@ -136,7 +136,7 @@
 	for _, priority := range priorities {
 		w := p.work[priority]
 		sum = work{sum.cpu + w.cpu, sum.memory + w.memory, sum.accelerators + w.accelerators}
-		list = append(list, admission.Backlog{Service: service, Priority: priority, Wait: sum.on(p.capacity)})
+		list = append(list, admission.Backlog{Service: service, Priority: priority, Wait: sum.durationOn(p.capacity)})
 	}
 	return list
 }
--- a/internal/cell/cell.go
+++ b/internal/cell/cell.go
@@ -55,8 +55,8 @@
 	// unmeteredJobs are jobs that were not measured against their workspace's share yet.
 	unmeteredJobs []*jobState
 	rosterUpdates rosterUpdates
-	// questions are those to the adviser that are under way.
-	questions   questions
+	// adviceCalls are those to the adviser that are under way.
+	adviceCalls adviceCalls
 	dirtyChunks dirtyChunks
 	// endedIncarnations are the incarnations that have ended and that the roster may still list, by id.
 	endedIncarnations map[string]runner.Incarnation
@@ -85,7 +85,7 @@
 		settings: s, log: log, startedAt: now, recovering: true,
 		jobs: map[string]*jobState{}, active: map[string]*jobState{},
 		workers: map[string]*worker{}, waiting: map[*stage]struct{}{}, dirtyJobs: map[*jobState]struct{}{},
-		dirtyChunks: newDirtyChunks(), questions: questions{}, endedIncarnations: map[string]runner.Incarnation{}, unknownJobs: map[string]struct{}{}, absentJobs: map[string]struct{}{},
+		dirtyChunks: newDirtyChunks(), adviceCalls: adviceCalls{}, endedIncarnations: map[string]runner.Incarnation{}, unknownJobs: map[string]struct{}{}, absentJobs: map[string]struct{}{},
 		lostWorkers: map[string]*lostWorker{}, isolatedRuns: map[*attempt]struct{}{},
 		durations: durations{mean: map[string]time.Duration{}}, quotas: quota.NewLedger(),
 	}
--- a/internal/cell/crash.go
+++ b/internal/cell/crash.go
@@ -47,11 +47,11 @@
 // there for survivedAfter. A worker that was about to leave has no suspects.
 func (c *Cell) recordSuspects(w *worker, now time.Time) {
 	c.pruneLostWorkers()
-	lost := &lostWorker{address: w.Address, since: now}
+	lost := &lostWorker{address: w.Address, unresponsiveSince: now}
 	if !w.unresponsiveSince.IsZero() {
-		lost.since = w.unresponsiveSince
+		lost.unresponsiveSince = w.unresponsiveSince
 	}
-	c.unresponsiveAt.add(lost.since, now)
+	c.unresponsiveAt.add(lost.unresponsiveSince, now)
 	c.lostWorkers[w.ID] = lost
 	if w.Draining || w.evacuating {
 		return
@@ -60,7 +60,7 @@
 		if a.survived || a.inherited {
 			continue
 		}
-		lost.suspect(a)
+		lost.addSuspect(a)
 		c.dirtyChunks.mark(w.ID)
 		if a.task.crashes.addUnresponsive(a.run, now) {
 			a.task.stage.lostWorkers = true
@@ -99,7 +99,7 @@
 		}
 		c.dirtyChunks.mark(id)
 	}
-	onlySuspect, correlated := sameJob(blamed), c.unresponsiveAt.correlated(lost.since)
+	onlySuspect, correlated := sameJob(blamed), c.unresponsiveAt.correlated(lost.unresponsiveSince)
 	for _, r := range blamed {
 		r.task.crashes.addCrashed(r.run, r.immediate)
 		c.log.WithFields(logrus.Fields{"task": r.task.id().String(), "run": r.run, "worker": id, "crashes": len(r.task.crashes.crashed),
--- a/internal/cell/crash_blame_test.go
+++ b/internal/cell/crash_blame_test.go
@@ -144,13 +144,13 @@
 	first := task.attempts[0].worker.ID
 	w.states[first].cut = true
 	w.run(time.Second, nil)
-	if task.crashes.any() {
+	if task.crashes.hasLosses() {
 		t.Errorf("the task has a crash history although its copy has survived: %+v", task.crashes)
 	}
 	w.states[first].cut = false
 	w.states[first].crashAt = w.now
 	w.run(5*time.Second, nil)
-	if task.crashes.any() {
+	if task.crashes.hasLosses() {
 		t.Errorf("the crash of the silent worker counts for the task: %+v", task.crashes)
 	}
 	w.checkState(id, job.Completed)
--- a/internal/cell/crash_history.go
+++ b/internal/cell/crash_history.go
@@ -48,7 +48,7 @@
 
 func (h *crashHistory) losses() int { return len(h.crashed) + len(h.unresponsive) }
 
-func (h *crashHistory) any() bool { return h.losses() > 0 }
+func (h *crashHistory) hasLosses() bool { return h.losses() > 0 }
 
 func (h *crashHistory) clear() { *h = crashHistory{lostAt: h.lostAt} }
 
@@ -86,13 +86,13 @@
 
 // addCrashed takes in that the worker crashed under the run; atOnce, as soon as it had
 // begun.
-func (h *crashHistory) addCrashed(run uint64, atOnce bool) {
+func (h *crashHistory) addCrashed(run uint64, immediate bool) {
 	h.removeUnresponsive(run)
 	if slices.Contains(h.crashed, run) {
 		return
 	}
 	h.crashed = append(h.crashed, run)
-	if atOnce {
+	if immediate {
 		h.immediate++
 	}
 }
@@ -105,11 +105,11 @@
 	if len(h.unresponsive) == 0 || h.losses() < backoffLosses {
 		return false
 	}
-	pause := shortBackoff
+	backoff := shortBackoff
 	if h.losses() > backoffLosses {
-		pause = limit
+		backoff = limit
 	}
-	return now.Sub(h.lostAt) < pause
+	return now.Sub(h.lostAt) < backoff
 }
 
 // isHopeless reports whether so many workers were lost that the task must not be started
--- a/internal/cell/down_task.go
+++ b/internal/cell/down_task.go
@@ -115,20 +115,20 @@
 // whyNotPlaced finds out why no worker with room takes a stage.
 func (c *Cell) whyNotPlaced(s *stage, view *planView, now time.Time) DownReason {
 	need := s.step.Occupied()
-	usable, open := 0, 0
+	usable, accepting := 0, 0
 	for _, w := range view.usable {
 		if !need.Fits(w.free()) || !c.mayRunWhenFree(s, w) {
 			continue
 		}
 		usable++
 		if w.acceptsJob(s.job) && c.allowedByReservation(s, w, now) {
-			open++
+			accepting++
 		}
 	}
 	switch {
 	case usable == 0:
 		return WorkersUnavailable
-	case open == 0:
+	case accepting == 0:
 		return ReservedForOthers
 	}
 	return NoTicket
--- a/internal/cell/ends.go
+++ b/internal/cell/ends.go
@@ -82,7 +82,7 @@
 // of its runs was seen under this owner and has only now ended.
 func (s *stage) markSuccessorsFresh() {
 	for _, next := range s.job.stages {
-		if slices.Contains(next.after, s) {
+		if slices.Contains(next.predecessors, s) {
 			next.noEarlierRuns = true
 		}
 	}
--- a/internal/cell/isolation.go
+++ b/internal/cell/isolation.go
@@ -29,7 +29,7 @@
 // clearCrashes forgets the crash history of a task: one of its runs did not crash its
 // worker.
 func (c *Cell) clearCrashes(t *task) {
-	if t.crashes.any() {
+	if t.crashes.hasLosses() {
 		t.crashes.clear()
 		c.dirtyJobs[t.stage.job] = struct{}{}
 	}
@@ -37,7 +37,7 @@
 
 // isolated reports whether nothing of another job may be started beside a run: it would be
 // lost if this one crashes the worker, and could be blamed for that.
-func (a *attempt) isolated() bool { return !a.survived && a.task.crashes.any() }
+func (a *attempt) isolated() bool { return !a.survived && a.task.crashes.hasLosses() }
 
 // isolate keeps other jobs off the worker of a new run if its task has a crash history.
 func (c *Cell) isolate(a *attempt) {
@@ -108,7 +108,7 @@
 
 // sortByRisk sorts the candidates for a gang of which a task has a crash history.
 func (s *stage) sortByRisk(fitting []candidate) []candidate {
-	if !s.lostWorkers || !slices.ContainsFunc(s.tasks, func(t *task) bool { return t.crashes.any() }) {
+	if !s.lostWorkers || !slices.ContainsFunc(s.tasks, func(t *task) bool { return t.crashes.hasLosses() }) {
 		return fitting
 	}
 	sorted := slices.Clone(fitting)
@@ -122,11 +122,11 @@
 	if !s.lostWorkers {
 		return false
 	}
-	pausing := 0
+	backingOff := 0
 	for _, index := range s.idle {
 		if s.tasks[index].backsOff(now) {
-			pausing++
+			backingOff++
 		}
 	}
-	return pausing > 0 && (s.step.Gang || pausing == len(s.idle))
+	return backingOff > 0 && (s.step.Gang || backingOff == len(s.idle))
 }
--- a/internal/cell/job_state.go
+++ b/internal/cell/job_state.go
@@ -44,7 +44,7 @@
 		for i := range r.Steps {
 			s := j.stages[k*steps+i]
 			for _, before := range r.Steps[i].DependsOn {
-				s.after = append(s.after, j.stages[k*steps+before])
+				s.predecessors = append(s.predecessors, j.stages[k*steps+before])
 			}
 		}
 	}
@@ -61,7 +61,7 @@
 		s.remainingDepth++
 		j.criticalPath = max(j.criticalPath, s.remainingPath)
 		j.criticalDepth = max(j.criticalDepth, s.remainingDepth)
-		for _, before := range s.after {
+		for _, before := range s.predecessors {
 			before.remainingPath = max(before.remainingPath, s.remainingPath)
 			before.remainingDepth = max(before.remainingDepth, s.remainingDepth)
 		}
--- a/internal/cell/known_workers.go
+++ b/internal/cell/known_workers.go
@@ -26,7 +26,7 @@
 	return int(h.Sum32() % workerChunks)
 }
 
-func (k *dirtyChunks) mark(workerID string) { k.numbers[chunkOf(workerID)] = struct{}{} }
+func (d *dirtyChunks) mark(workerID string) { d.numbers[chunkOf(workerID)] = struct{}{} }
 
 // LoadWorkers takes in the workers that an earlier owner stored in a chunk. Those
 // that the roster lacks are looked at like the others. It must be called after
@@ -48,7 +48,7 @@
 		if w.parked {
 			c.setParked(w, false)
 		}
-		w.storedByEarlier = true
+		w.storedByPreviousOwner = true
 		c.restoreLease(w, k, now)
 		if k.Incarnation > w.incarnation {
 			// The roster is behind.
@@ -81,7 +81,7 @@
 	defer c.mu.Unlock()
 	c.workersLoaded = true
 	for _, w := range c.workers {
-		w.accounted = w.accounted || !w.storedByEarlier
+		w.accounted = w.accounted || !w.storedByPreviousOwner
 	}
 }
 
--- a/internal/cell/lost_worker.go
+++ b/internal/cell/lost_worker.go
@@ -5,16 +5,16 @@
 // lostWorker is a worker that fell silent, and the runs that may have crashed it.
 type lostWorker struct {
 	address string
-	// since is when it fell silent.
-	since    time.Time
-	suspects []suspectRun
+	// unresponsiveSince is when it fell silent.
+	unresponsiveSince time.Time
+	suspects          []suspectRun
 }
 
-// suspect notes a run that was starting.
-func (l *lostWorker) suspect(a *attempt) {
+// addSuspect notes a run that was starting.
+func (l *lostWorker) addSuspect(a *attempt) {
 	confirmed := !a.confirmedAt.IsZero()
 	l.suspects = append(l.suspects, suspectRun{task: a.task, run: a.run, confirmed: confirmed,
-		immediate: confirmed && l.since.Sub(a.confirmedAt) <= immediateCrashWindow})
+		immediate: confirmed && l.unresponsiveSince.Sub(a.confirmedAt) <= immediateCrashWindow})
 }
 
 // knownRuns returns the suspects as they are stored.
--- a/internal/cell/mechanism.go
+++ b/internal/cell/mechanism.go
@@ -39,7 +39,7 @@
 // Mechanisms are all that there are, in the order of the planning pass.
 var Mechanisms = []Mechanism{FairShares, LateLast, DataLocality, Reservations, Preemption, UrgentReserve, TicketsAhead, Quarantine, Moves, SpeculativeRuns, Cordoning, Parking, Relays}
 
-func allNames() string {
+func mechanismNames() string {
 	names := make([]string, len(Mechanisms))
 	for i, m := range Mechanisms {
 		names[i] = string(m)
--- a/internal/cell/mechanism_set.go
+++ b/internal/cell/mechanism_set.go
@@ -10,9 +10,9 @@
 type MechanismSet map[Mechanism]struct{}
 
 // String returns the set as Set takes it.
-func (w MechanismSet) String() string {
+func (s MechanismSet) String() string {
 	var names []string
-	for m := range w {
+	for m := range s {
 		names = append(names, string(m))
 	}
 	slices.Sort(names)
@@ -20,13 +20,13 @@
 }
 
 // Has reports whether a mechanism is switched off.
-func (w MechanismSet) Has(m Mechanism) bool {
-	_, off := w[m]
+func (s MechanismSet) Has(m Mechanism) bool {
+	_, off := s[m]
 	return off
 }
 
 // Set takes names with commas between them; an empty text is the empty set.
-func (w *MechanismSet) Set(text string) error {
+func (s *MechanismSet) Set(text string) error {
 	set := MechanismSet{}
 	for name := range strings.SplitSeq(text, ",") {
 		m := Mechanism(strings.TrimSpace(name))
@@ -34,9 +34,9 @@
 		case slices.Contains(Mechanisms, m):
 			set[m] = struct{}{}
 		case m != "":
-			return fmt.Errorf("%q is no mechanism; there are %s", m, allNames())
+			return fmt.Errorf("%q is no mechanism; there are %s", m, mechanismNames())
 		}
 	}
-	*w = set
+	*s = set
 	return nil
 }
--- a/internal/cell/parking.go
+++ b/internal/cell/parking.go
@@ -201,7 +201,7 @@
 		return false
 	}
 	wanted := float64(c.startable(s))
-	coming := false
+	unparking := false
 	var parked []*worker
 	for _, w := range c.workers {
 		if !s.isLocal(w) || !c.eligible(s, w) {
@@ -211,11 +211,11 @@
 		case w.canUnpark():
 			parked = append(parked, w)
 		case w.unparking(now):
-			coming = true
+			unparking = true
 			wanted -= c.capacityFor(s, w)
 		case w.usable(now):
 			wanted -= c.capacityFor(s, w)
 		}
 	}
-	return c.unparkSome(s, parked, wanted, 1, now) > 0 || coming
+	return c.unparkSome(s, parked, wanted, 1, now) > 0 || unparking
 }
--- a/internal/cell/place.go
+++ b/internal/cell/place.go
@@ -162,7 +162,7 @@
 		}
 		c.start(t, fitting[at], t.nextRun(c.settings.Term), now)
 		if !onTrial {
-			view.free -= need.MilliCPU
+			view.freeMilliCPU -= need.MilliCPU
 		}
 		remaining--
 	}
@@ -171,7 +171,7 @@
 // pick returns the first candidate with room for a task, avoiding all workers on which it
 // failed if another one will do. It returns -1 for none.
 func (c *Cell) pick(s *stage, t *task, fitting []candidate, now time.Time) int {
-	if t.crashes.any() {
+	if t.crashes.hasLosses() {
 		return c.pickIsolated(s, t, fitting, now)
 	}
 	second := -1
@@ -206,11 +206,11 @@
 		return
 	}
 	fitting = s.sortByRisk(fitting)
-	seats := c.assignGang(s, fitting)
+	assigned := c.assignGang(s, fitting)
 	if s.step.RackLocal {
-		seats = c.assignGangToRack(s, fitting)
+		assigned = c.assignGangToRack(s, fitting)
 	}
-	if len(seats) < len(s.tasks) {
+	if len(assigned) < len(s.tasks) {
 		return
 	}
 	run := uint64(0)
@@ -218,28 +218,28 @@
 		run = max(run, t.nextRun(c.settings.Term))
 	}
 	for i, t := range s.tasks {
-		c.start(t, seats[i], run, now)
-		view.free -= need.MilliCPU
+		c.start(t, assigned[i], run, now)
+		view.freeMilliCPU -= need.MilliCPU
 	}
 }
 
 // assignGang returns a place for each member of a gang, or fewer if there are none.
 func (c *Cell) assignGang(s *stage, fitting []candidate) []candidate {
-	var seats []candidate
+	var assigned []candidate
 	need := s.step.Occupied()
 	for _, f := range fitting {
-		limit := len(s.tasks) - len(seats)
+		limit := len(s.tasks) - len(assigned)
 		if s.step.MaxPerWorker > 0 {
 			limit = min(limit, s.step.MaxPerWorker-s.runsPerWorker[f.w])
 		}
 		for range need.CountIn(f.w.free(), int64(limit)) {
-			seats = append(seats, f)
+			assigned = append(assigned, f)
 		}
-		if len(seats) == len(s.tasks) {
+		if len(assigned) == len(s.tasks) {
 			break
 		}
 	}
-	return seats
+	return assigned
 }
 
 // assignGangToRack is seats within one rack, if one has room; otherwise anywhere, as
@@ -254,8 +254,8 @@
 		byRack[f.w.Rack] = append(byRack[f.w.Rack], f)
 	}
 	for _, rack := range racks {
-		if seats := c.assignGang(s, byRack[rack]); len(seats) == len(s.tasks) {
-			return seats
+		if assigned := c.assignGang(s, byRack[rack]); len(assigned) == len(s.tasks) {
+			return assigned
 		}
 	}
 	return c.assignGang(s, fitting)
--- a/internal/cell/plan.go
+++ b/internal/cell/plan.go
@@ -47,7 +47,7 @@
 		switch {
 		case !c.checkDue(s, now):
 		case c.heldBack(s):
-			c.askHeld(s, view, now)
+			c.askHeldBack(s, view, now)
 		case c.mayPlace(s, now):
 			c.placeStage(s, view, now)
 		}
--- a/internal/cell/plan_view.go
+++ b/internal/cell/plan_view.go
@@ -22,8 +22,8 @@
 	trialWorkers []*worker
 	// byRack are the usable workers by their racks, once somebody asked for a rack.
 	byRack map[string][]*worker
-	// total and free are thousandths of a core over all usable workers.
-	total, free int64
+	// totalMilliCPU and freeMilliCPU are thousandths of a core over all usable workers.
+	totalMilliCPU, freeMilliCPU int64
 	// maxFree is the largest free amount of each kind on any worker, so that stages
 	// that fit nowhere are passed over without a look at each worker.
 	maxFree resource.Amount
@@ -43,56 +43,56 @@
 
 func (c *Cell) newPlanView(now time.Time) *planView {
 	c.pass++
-	r := &planView{pass: c.pass, usable: c.usableBuf[:0], reserved: map[*stage]int{}, unreserved: !c.enabled(UrgentReserve)}
+	v := &planView{pass: c.pass, usable: c.usableBuf[:0], reserved: map[*stage]int{}, unreserved: !c.enabled(UrgentReserve)}
 	for _, w := range c.workers {
 		if !w.usable(now) {
-			r.addTrialWorker(w, now)
+			v.addTrialWorker(w, now)
 			continue
 		}
 		w.usablePass = c.pass
 		w.isolatedFor = nil
-		r.usable = append(r.usable, w)
-		r.total += w.Capacity.MilliCPU
+		v.usable = append(v.usable, w)
+		v.totalMilliCPU += w.Capacity.MilliCPU
 		free := w.free()
-		r.free += max(0, free.MilliCPU)
-		r.maxFree = r.maxFree.Max(free)
-		if len(r.usable) == 1 {
-			r.minCapacity = w.Capacity
+		v.freeMilliCPU += max(0, free.MilliCPU)
+		v.maxFree = v.maxFree.Max(free)
+		if len(v.usable) == 1 {
+			v.minCapacity = w.Capacity
 		}
-		r.minCapacity = r.minCapacity.Min(w.Capacity)
+		v.minCapacity = v.minCapacity.Min(w.Capacity)
 	}
-	c.usableBuf = r.usable
+	c.usableBuf = v.usable
 	c.markIsolated()
-	return r
+	return v
 }
 
 // addTrialWorker notes a worker that is not usable if lasting tasks may be tried there.
-func (r *planView) addTrialWorker(w *worker, now time.Time) {
+func (v *planView) addTrialWorker(w *worker, now time.Time) {
 	if !w.isReady(now) || !w.health.allowsTrial(now) {
 		return
 	}
-	w.trialPass = r.pass
+	w.trialPass = v.pass
 	w.isolatedFor = nil
-	r.trialWorkers = append(r.trialWorkers, w)
-	r.maxFree = r.maxFree.Max(w.free())
+	v.trialWorkers = append(v.trialWorkers, w)
+	v.maxFree = v.maxFree.Max(w.free())
 }
 
 // rack returns the usable workers of a rack.
-func (r *planView) rack(name string) []*worker {
-	if r.byRack == nil {
-		r.byRack = map[string][]*worker{}
-		for _, w := range r.usable {
-			r.byRack[w.Rack] = append(r.byRack[w.Rack], w)
+func (v *planView) rack(name string) []*worker {
+	if v.byRack == nil {
+		v.byRack = map[string][]*worker{}
+		for _, w := range v.usable {
+			v.byRack[w.Rack] = append(v.byRack[w.Rack], w)
 		}
 	}
-	return r.byRack[name]
+	return v.byRack[name]
 }
 
 // allowsCPU reports whether a stage may take more processors. No room is kept from lasting
 // tasks: one that waits for others to end is away for as long as these come.
-func (r *planView) allowsCPU(s *stage, milliCPU int64) bool {
-	if s.job.record.Priority <= 0 || s.step.LongRunning || r.unreserved {
+func (v *planView) allowsCPU(s *stage, milliCPU int64) bool {
+	if s.job.record.Priority <= 0 || s.step.LongRunning || v.unreserved {
 		return true
 	}
-	return float64(r.free-milliCPU) >= urgentReserve*float64(r.total)
+	return float64(v.freeMilliCPU-milliCPU) >= urgentReserve*float64(v.totalMilliCPU)
 }
--- a/internal/cell/poll.go
+++ b/internal/cell/poll.go
@@ -11,25 +11,25 @@
 
 // NextPoll returns where and how to look at a worker next; ok is false if the
 // worker is no longer known, or parked.
-func (c *Cell) NextPoll(id string, now time.Time) (target runner.Target, look runner.Poll, ok bool) {
+func (c *Cell) NextPoll(id string, now time.Time) (target runner.Target, poll runner.Poll, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	w := c.workers[id]
 	if w == nil || w.parked {
-		return target, look, false
+		return target, poll, false
 	}
-	look = runner.Poll{Token: c.settings.Term, Acknowledged: w.ackedEnd}
+	poll = runner.Poll{Token: c.settings.Term, Acknowledged: w.ackedEnd}
 	if w.clockAt.IsZero() || !w.unresponsiveSince.IsZero() {
 		// A look without an answer may have been carried out. If each one carried
 		// a later lease end, the lease of a lost worker would never be over.
-		return w.target, look, true
+		return w.target, poll, true
 	}
 	end := w.extendLease(c.settings.Lease, now)
-	look.LeaseUntil = &end
+	poll.LeaseUntil = &end
 	if w.reported && !w.awaitsStopReport() {
-		look.Wait = c.pollWait(w, now)
+		poll.Wait = c.pollWait(w, now)
 	}
-	return w.target, look, true
+	return w.target, poll, true
 }
 
 // pollWait is how long a look may wait for an end: until a little after the next one is
--- a/internal/cell/preempt.go
+++ b/internal/cell/preempt.go
@@ -20,10 +20,10 @@
 	if tooLate := s.job.objective(s, &c.durations).Sub(s.job.record.AcceptedAt); s.latestStart(&c.durations).Add(tooLate).Before(now) {
 		return
 	}
-	if now.Sub(s.preemptedAt) < preemptInterval {
+	if now.Sub(s.victimsSearchedAt) < preemptInterval {
 		return
 	}
-	s.preemptedAt = now
+	s.victimsSearchedAt = now
 	wanted := c.startable(s) - s.preempting
 	// The tickets have to outlast a stop.
 	for _, w := range c.allowed(s, view, now.Add(c.settings.StopGrace)) {
--- a/internal/cell/progress.go
+++ b/internal/cell/progress.go
@@ -70,6 +70,6 @@
 		t.lastRun = kept.LastRun
 		t.checkpoint = kept.Checkpoint
 		t.crashes = crashHistory{crashed: kept.CrashedRuns, immediate: kept.CrashedAtStart, unresponsive: kept.LostRuns, lostAt: lostAtFrom(kept.LostAtMillis, now)}
-		s.lostWorkers = s.lostWorkers || t.crashes.any()
+		s.lostWorkers = s.lostWorkers || t.crashes.hasLosses()
 	}
 }
--- a/internal/cell/quotas.go
+++ b/internal/cell/quotas.go
@@ -109,7 +109,7 @@
 func (c *Cell) unreportedCapacity(now time.Time) resource.Amount {
 	var capacity resource.Amount
 	for _, w := range c.workers {
-		if w.parked || w.reported || c.workersLoaded && !w.storedByEarlier || !now.Before(c.runsOverBy(w)) {
+		if w.parked || w.reported || c.workersLoaded && !w.storedByPreviousOwner || !now.Before(c.runsOverBy(w)) {
 			continue
 		}
 		if !w.entryIsCurrent() || w.Capacity.IsZero() {
--- a/internal/cell/reservation.go
+++ b/internal/cell/reservation.go
@@ -104,12 +104,12 @@
 }
 
 // mayReserve reports whether one more worker may be reserved.
-func (r *planView) mayReserve() bool {
+func (v *planView) mayReserve() bool {
 	reserved := 0
-	for _, n := range r.reserved {
+	for _, n := range v.reserved {
 		reserved += n
 	}
-	return float64(reserved+1) <= max(1, reserveShare*float64(len(r.usable)))
+	return float64(reserved+1) <= max(1, reserveShare*float64(len(v.usable)))
 }
 
 // estimateReady works out when a reserved worker has room for its large task.
--- a/internal/cell/roster_updates.go
+++ b/internal/cell/roster_updates.go
@@ -19,14 +19,14 @@
 }
 
 // record takes in that there is news of workers.
-func (n *rosterUpdates) record(now time.Time) {
-	if !n.lastAt.IsZero() && now.Sub(n.lastAt) >= outageGap {
-		n.outageAt = now
+func (u *rosterUpdates) record(now time.Time) {
+	if !u.lastAt.IsZero() && now.Sub(u.lastAt) >= outageGap {
+		u.outageAt = now
 	}
-	n.lastAt = now
+	u.lastAt = now
 }
 
 // duringOutage reports whether an entry that is found to have lapsed did so in an outage.
-func (n *rosterUpdates) duringOutage(now time.Time) bool {
-	return !n.outageAt.IsZero() && now.Sub(n.outageAt) < outageExpiryWindow
+func (u *rosterUpdates) duringOutage(now time.Time) bool {
+	return !u.outageAt.IsZero() && now.Sub(u.outageAt) < outageExpiryWindow
 }
--- a/internal/cell/speculative.go
+++ b/internal/cell/speculative.go
@@ -42,7 +42,7 @@
 // alone, so it pays sooner than a move: the stop of a short task takes as long as the
 // task.
 func (c *Cell) speculationPays(a *attempt) bool {
-	if a.changedAt.Sub(a.confirmedAt) < speculateMinElapsed || a.percent <= 0 {
+	if a.progressedAt.Sub(a.confirmedAt) < speculateMinElapsed || a.percent <= 0 {
 		return false
 	}
 	return a.projectedRemaining() > time.Duration(speculateFactor*float64(c.freshDuration(a)))+speculateMargin
--- a/internal/cell/stage.go
+++ b/internal/cell/stage.go
@@ -9,11 +9,11 @@
 
 // stage is one step of one occurrence.
 type stage struct {
-	id    job.StageID
-	job   *jobState
-	step  *job.Step
-	after []*stage
-	tasks []*task
+	id           job.StageID
+	job          *jobState
+	step         *job.Step
+	predecessors []*stage
+	tasks        []*task
 	// idle are the indexes of tasks to place, ascending: those without a run that are
 	// not done, and those that are to have another one.
 	idle []int
@@ -39,8 +39,8 @@
 	unparkRetryAt time.Time
 	// preempting is how many runs are being stopped to make room for the stage.
 	preempting int
-	// preemptedAt is when victims were last looked for.
-	preemptedAt time.Time
+	// victimsSearchedAt is when victims were last looked for.
+	victimsSearchedAt time.Time
 }
 
 func newStage(j *jobState, occurrence, step int) *stage {
@@ -68,7 +68,7 @@
 func (s *stage) isDone() bool { return s.done == len(s.tasks) }
 
 func (s *stage) predecessorsDone() bool {
-	for _, b := range s.after {
+	for _, b := range s.predecessors {
 		if !b.isDone() {
 			return false
 		}
--- a/internal/cell/stats.go
+++ b/internal/cell/stats.go
@@ -38,10 +38,10 @@
 	for st := range c.waiting {
 		s.WaitingTasks += len(st.idle)
 	}
-	r := c.newPlanView(now)
-	s.Usable = len(r.usable)
-	s.FreeShare = float64(r.free) / float64(max(1, r.total))
-	s.FreeMemoryShare = freeMemoryShare(r.usable)
+	view := c.newPlanView(now)
+	s.Usable = len(view.usable)
+	s.FreeShare = float64(view.freeMilliCPU) / float64(max(1, view.totalMilliCPU))
+	s.FreeMemoryShare = freeMemoryShare(view.usable)
 	return s
 }
 
--- a/internal/cell/throttle.go
+++ b/internal/cell/throttle.go
@@ -44,18 +44,18 @@
 
 // nextSpeed is the feedback rule: above the target all filling stops, near it it
 // halves, and well below it it grows.
-func nextSpeed(pace int, worst float64) int {
+func nextSpeed(speed int, worst float64) int {
 	switch {
-	case pace < 0:
+	case speed < 0:
 		return 0
 	case worst >= 1:
 		return 0
 	case worst >= tailThreshold:
-		return int(float64(pace) * slowDownFactor)
+		return int(float64(speed) * slowDownFactor)
 	case worst < tailThreshold*0.75:
-		return min(100, pace+speedUpStep)
+		return min(100, speed+speedUpStep)
 	}
-	return pace
+	return speed
 }
 
 // restoreSpeed lets fillers go on at full speed where no serving task is left.
--- a/internal/cell/unresponsive_times.go
+++ b/internal/cell/unresponsive_times.go
@@ -19,21 +19,21 @@
 type unresponsiveTimes []time.Time
 
 // add notes a silence, and forgets old ones.
-func (s *unresponsiveTimes) add(at, now time.Time) {
-	kept := (*s)[:0]
-	for _, t := range *s {
+func (u *unresponsiveTimes) add(at, now time.Time) {
+	kept := (*u)[:0]
+	for _, t := range *u {
 		if now.Sub(t) < keepUnresponsive {
 			kept = append(kept, t)
 		}
 	}
-	*s = append(kept, at)
+	*u = append(kept, at)
 }
 
 // correlated reports whether more workers fell silent at about a time than poison tasks
 // would have crashed.
-func (s unresponsiveTimes) correlated(at time.Time) bool {
+func (u unresponsiveTimes) correlated(at time.Time) bool {
 	n := 0
-	for _, t := range s {
+	for _, t := range u {
 		if at.Sub(t).Abs() <= correlationWindow {
 			n++
 		}
--- a/internal/cell/watch.go
+++ b/internal/cell/watch.go
@@ -113,13 +113,13 @@
 // it started again elsewhere.
 func (c *Cell) watchProgress(a *attempt, now time.Time) {
 	step := a.task.stage.step
-	if step.Gang || step.LongRunning || step.BestEffort || a.changedAt.IsZero() {
+	if step.Gang || step.LongRunning || step.BestEffort || a.progressedAt.IsZero() {
 		return
 	}
-	still := now.Sub(a.changedAt)
+	still := now.Sub(a.progressedAt)
 	limit := a.stallLimit()
 	// A worker whose reports stop coming is not a stalled task.
-	if still > limit && a.worker.lastReport.Sub(a.changedAt) > limit {
+	if still > limit && a.worker.lastReport.Sub(a.progressedAt) > limit {
 		c.blameWorker(a, now)
 		c.move(a, "stalled", still, now)
 		return
@@ -161,7 +161,7 @@
 
 // isSlow reports whether a run would take much longer here than a fresh one.
 func (c *Cell) isSlow(a *attempt) bool {
-	if a.changedAt.Sub(a.confirmedAt) < minSlowElapsed || a.percent <= 0 || a.percent >= 90 {
+	if a.progressedAt.Sub(a.confirmedAt) < minSlowElapsed || a.percent <= 0 || a.percent >= 90 {
 		return false
 	}
 	fresh := c.freshDuration(a)
@@ -171,7 +171,7 @@
 // suggestsSlowWorker reports whether a run goes so slowly that its worker is likely at fault.
 // Short tasks are not moved off such a worker, but it should not get urgent ones.
 func (c *Cell) suggestsSlowWorker(a *attempt) bool {
-	elapsed := a.changedAt.Sub(a.confirmedAt)
+	elapsed := a.progressedAt.Sub(a.confirmedAt)
 	if !a.fromScratch || elapsed < speculateMinElapsed || a.percent <= 0 {
 		return false
 	}
@@ -197,7 +197,7 @@
 // projectedRemaining returns how long a run with some progress still needs at its speed
 // so far.
 func (a *attempt) projectedRemaining() time.Duration {
-	elapsed := a.changedAt.Sub(a.confirmedAt)
+	elapsed := a.progressedAt.Sub(a.confirmedAt)
 	return time.Duration(float64(elapsed) * float64(100-a.percent) / float64(a.percent))
 }
 
@@ -220,7 +220,7 @@
 			if other.worker == a.worker || other.percent < minSiblingPercent || !other.fromScratch {
 				continue
 			}
-			total := other.changedAt.Sub(other.confirmedAt) * 100 / time.Duration(other.percent)
+			total := other.progressedAt.Sub(other.confirmedAt) * 100 / time.Duration(other.percent)
 			if fastest == 0 || total < fastest {
 				fastest = total
 			}
@@ -249,8 +249,8 @@
 // expectedRemaining guesses how long a run still needs.
 func (c *Cell) expectedRemaining(a *attempt, now time.Time) time.Duration {
 	if a.percent > 5 && !a.confirmedAt.IsZero() {
-		pace := a.changedAt.Sub(a.confirmedAt) / time.Duration(a.percent)
-		return time.Duration(100-a.percent)*pace - now.Sub(a.changedAt)
+		perPercent := a.progressedAt.Sub(a.confirmedAt) / time.Duration(a.percent)
+		return time.Duration(100-a.percent)*perPercent - now.Sub(a.progressedAt)
 	}
 	return a.task.stage.step.Estimate - a.elapsed(now)
 }
--- a/internal/cell/worker.go
+++ b/internal/cell/worker.go
@@ -26,8 +26,8 @@
 	// stored says that the store names the worker among those on which runs may be
 	// started.
 	stored bool
-	// storedByEarlier says that an earlier owner had stored the worker.
-	storedByEarlier bool
+	// storedByPreviousOwner says that an earlier owner had stored the worker.
+	storedByPreviousOwner bool
 	// cordoned says that nothing is started here until the worker is open again, and
 	// that the store was or is being told so.
 	cordoned bool
