--- a/internal/cell/adopt.go
+++ b/internal/cell/adopt.go
@@ -7,9 +7,9 @@
 	"gentianstand/internal/runner"
 )
 
-// findOrAdopt returns the booked attempt of a reported run. A run that is not
-// booked was started by an earlier owner, or outlived what we took for its end:
-// it is adopted if the task still needs it, and stopped otherwise.
+// findOrAdopt returns the accounted attempt of a reported run. An unaccounted run was started
+// by a previous owner, or is still running although its end was inferred. It is adopted, and
+// stopped unless its task still needs it.
 func (c *Cell) findOrAdopt(w *worker, r runner.RunState, now time.Time) *attempt {
 	t := c.taskByName(r.Task)
 	if t == nil {
@@ -36,7 +36,7 @@
 	return a
 }
 
-// adopt books a run that another owner ordered.
+// adopt accounts for a run that another owner started.
 func (c *Cell) adopt(t *task, w *worker, run uint64, now time.Time) *attempt {
 	a := &attempt{task: t, run: run, worker: w, phase: running, orderedAt: now, confirmedAt: now, progressedAt: now, speedPercent: 100}
 	t.lastRun = max(t.lastRun, run)
@@ -49,7 +49,7 @@
 	return a
 }
 
-// stopUnknownRun stops a run of a task that no accepted job has.
+// stopUnknownRun stops a run whose task belongs to no accepted job.
 func (c *Cell) stopUnknownRun(w *worker, r runner.RunState) {
 	id, err := job.ParseTaskID(r.Task)
 	if err != nil {
@@ -60,7 +60,7 @@
 	c.orders = append(c.orders, StopOrder{Worker: w.target, Task: id, Stop: runner.Stop{Task: r.Task, Run: r.Run, Token: c.settings.Term}})
 }
 
-// taskByName returns a known task by its name, or nil.
+// taskByName returns the known task with the given name, or nil.
 func (c *Cell) taskByName(name string) *task {
 	id, err := job.ParseTaskID(name)
 	if err != nil {
@@ -81,7 +81,7 @@
 	return s.tasks[id.Index]
 }
 
-// recordProgress takes in what a worker reports of a run.
+// recordProgress updates an attempt from the worker's report of the run.
 func (c *Cell) recordProgress(a *attempt, r runner.RunState, now time.Time) {
 	if a.phase == ordered {
 		a.phase = running
@@ -102,7 +102,8 @@
 	}
 }
 
-// saveCheckpoint stores a checkpoint. One of any member is valid for a whole gang.
+// saveCheckpoint keeps a checkpoint for the next run. In a gang, the checkpoint of any member
+// is valid for all members.
 func (t *task) saveCheckpoint(checkpoint string) {
 	if !t.stage.step.Gang {
 		t.checkpoint = checkpoint
--- a/internal/cell/advice_calls.go
+++ b/internal/cell/advice_calls.go
@@ -6,27 +6,27 @@
 	"gentianstand/internal/job"
 )
 
-// prefetchShare is the share of the adviser's lanes for slow calls that questions about full
-// workers may use at the same time.
+// prefetchShare is the share of the concurrency slots for slow calls that may be used for
+// calls about full workers.
 const prefetchShare = 0.5
 
-// adviceCall is one to the adviser that is under way.
+// adviceCall is a pending adviser call.
 type adviceCall struct {
-	// prefetch says that it is about workers without room alone.
+	// prefetch is set if the call names only workers without free capacity.
 	prefetch bool
-	// slow says that it takes a lane for slow calls; see AdviceSlots.
+	// slow is set if the call uses a slot for slow calls; see AdviceSlots.
 	slow bool
-	// longRunning says that it is about tasks that last.
+	// longRunning is set if the call is for long-running tasks.
 	longRunning bool
-	// askedAt is when it was asked.
+	// askedAt is when the call started.
 	askedAt time.Time
 }
 
-// adviceCalls are those under way, by the stage that asks.
+// adviceCalls holds the pending adviser calls by stage.
 type adviceCalls map[job.StageID]adviceCall
 
-// slowPending returns how many slow questions of a kind are under way, and how many lanes for
-// slow calls there are, free ones among them.
+// slowPending returns how many pending slow calls match kind, and the total number of
+// concurrency slots for slow calls, including free ones.
 func (c adviceCalls) slowPending(free AdviceSlots, kind func(adviceCall) bool) (n, slots int) {
 	slots = free.Any
 	for _, call := range c {
@@ -41,17 +41,17 @@
 	return n, slots
 }
 
-// mayPrefetch reports whether a slow question about full workers may begin beside those
-// under way. free are the lanes that are free. Such questions of urgent queues must not
-// take all lanes, or others would never be asked about beside free workers.
+// mayPrefetch reports whether a slow call about full workers may start. Prefetch calls of
+// urgent queues must not use all slots, as other stages could then never ask about workers
+// with free capacity.
 func (c adviceCalls) mayPrefetch(free AdviceSlots) bool {
 	prefetches, slots := c.slowPending(free, func(asked adviceCall) bool { return asked.prefetch })
 	return float64(prefetches+1) <= max(1, prefetchShare*float64(slots))
 }
 
-// mayAskLongRunning reports whether a question about tasks that last may begin before all others,
-// beside those under way. One lane is left to others: after a restart of everything there are
-// more such questions than lanes for many seconds.
+// mayAskLongRunning reports whether a call for long-running tasks may start ahead of all
+// others. One slot is left to other calls: after a restart of the whole system there are more
+// such calls than slots for many seconds.
 func (c adviceCalls) mayAskLongRunning(free AdviceSlots) bool {
 	longRunning, slots := c.slowPending(free, func(asked adviceCall) bool { return asked.longRunning })
 	return longRunning+1 <= max(1, slots-1)
--- a/internal/cell/advice_order.go
+++ b/internal/cell/advice_order.go
@@ -4,14 +4,15 @@
 	"gentianstand/internal/job"
 )
 
-// AdviceOrder asks the placement adviser about workers for a stage.
+// AdviceOrder requests tickets from the placement adviser for a stage and a list of workers.
 type AdviceOrder struct {
 	Stage job.StageID
-	// Term is the fencing token of the owner that asks.
+	// Term is the fencing token of the requesting owner.
 	Term    uint64
 	Cost    job.AdviceCost
 	Workers []string
-	// Slow calls must not go where quick calls wait behind them.
+	// Slow marks a call that must not share an adviser instance with quick calls, which would
+	// wait behind it.
 	Slow bool
 }
 
--- a/internal/cell/advice_slots.go
+++ b/internal/cell/advice_slots.go
@@ -6,24 +6,23 @@
 	"gentianstand/internal/job"
 )
 
-// slowCallFrom is the duration from which a call for advice counts as slow. The
-// adviser takes one call at a time for each instance, so a quick call behind a
-// slow one waits for all of it.
+// slowCallFrom is the duration from which an adviser call counts as slow. An adviser instance
+// serves one call at a time, so a quick call queued behind a slow one waits for all of it.
 const slowCallFrom = 150 * time.Millisecond
 
-// AdviceSlots is how many calls for advice may begin now.
+// AdviceSlots is the number of adviser calls that may start now.
 type AdviceSlots struct {
-	// Quick may carry quick calls only.
+	// Quick slots accept quick calls only.
 	Quick int
-	// Any may carry both.
+	// Any slots accept quick and slow calls.
 	Any int
 }
 
-// available reports whether a call may begin at once. A call that waits at the adviser is served
-// even after its caller has given it up, so asking again would only delay the next ones.
+// available reports whether a call can start immediately. The adviser serves a queued call
+// even after its caller has timed out, so retrying early only delays later calls.
 func (s *AdviceSlots) available(slow bool) bool { return s.Any > 0 || (!slow && s.Quick > 0) }
 
-// acquire books a call.
+// acquire takes a slot for a call.
 func (s *AdviceSlots) acquire(slow bool) {
 	if !slow && s.Quick > 0 {
 		s.Quick--
--- a/internal/cell/advice_state.go
+++ b/internal/cell/advice_state.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// verdict is what the adviser said of one worker for a stage.
+// verdict is the adviser's answer about one worker for a stage.
 type verdict struct {
-	// incarnation is the incarnation of the worker that it was given for.
+	// incarnation is the worker incarnation to which the verdict applies.
 	incarnation *incarnationState
 	good        bool
 	ticket      string
 	until       time.Time
 }
 
-// adviceState is what a stage knows from the placement adviser.
+// adviceState holds a stage's verdicts and the state of its adviser call.
 type adviceState struct {
 	verdicts map[*worker]verdict
 	pending  bool
-	// retryAt is set after a failed call.
+	// retryAt is the earliest time for the next call after a failure.
 	retryAt time.Time
 }
 
-// verdictFor returns what the adviser said of a worker's present incarnation.
+// verdictFor returns the verdict on a worker's current incarnation.
 func (s *adviceState) verdictFor(w *worker) (v verdict, known bool) {
 	v, known = s.verdicts[w]
 	if !known || v.incarnation != w.incarnationState {
@@ -28,13 +28,14 @@
 	return v, true
 }
 
-// allows reports whether a worker has a ticket that is valid until later than until.
+// allows reports whether the stage holds a ticket for a worker that stays valid beyond until.
 func (s *adviceState) allows(w *worker, until time.Time) bool {
 	v, _ := s.verdictFor(w)
 	return v.good && until.Before(v.until)
 }
 
-// expire makes the stage ask about a worker again before using it.
+// expire invalidates a worker's ticket, so that the stage requests a new one before it uses
+// the worker.
 func (s *adviceState) expire(w *worker) {
 	v := s.verdicts[w]
 	v.until = time.Time{}
--- a/internal/cell/answers.go
+++ b/internal/cell/answers.go
@@ -10,8 +10,8 @@
 	"gentianstand/internal/runner"
 )
 
-// StartAnswered takes in the result of a start order. A run that is booked is one of the
-// worker's present incarnation: a restart drops all others.
+// StartAnswered handles the result of a start order. Every accounted run belongs to the
+// worker's current incarnation, because a restart drops all others.
 func (c *Cell) StartAnswered(o StartOrder, answer runner.Answer, err error, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -27,7 +27,7 @@
 	case errors.As(err, &refusal):
 		c.startRefused(a, refusal, now)
 	case errors.Is(err, runner.ErrIncarnationGone):
-		// The worker's next look finds the same and drops all its runs.
+		// The worker's next poll also fails with ErrGone, and then drops all its runs.
 		c.drop(a, "worker_replaced", now)
 	default:
 		c.log.WithFields(attemptFields(a)).WithError(err).Info("start_unanswered")
@@ -47,7 +47,7 @@
 	a.task.stage.job.started = true
 }
 
-// observeWait tells how long a task has waited for its first start.
+// observeWait reports, once per task, how long the task waited for its first start.
 func (c *Cell) observeWait(t *task, now time.Time) {
 	if t.startConfirmed {
 		return
@@ -58,9 +58,9 @@
 	}
 }
 
-// startRefused takes in that a worker declined a start. The run does not exist, unless the
-// start was sent before: the first one may still arrive after the repeat was declined. So
-// a repeated start is revoked.
+// startRefused handles a start that the worker refused. The run does not exist, unless the
+// start was sent before: the first request may still arrive after the repeated one was
+// refused. A repeated start is therefore revoked.
 func (c *Cell) startRefused(a *attempt, refusal *runner.Refusal, now time.Time) {
 	c.log.WithFields(attemptFields(a)).WithFields(logrus.Fields{"reason": refusal.Reason, "repeated": refusal.Repeated}).Info("start_refused")
 	s := a.task.stage
@@ -70,7 +70,7 @@
 	case runner.Unhealthy, runner.InsufficientCapacity:
 		a.worker.health.refused(now)
 	case runner.RunTooOld:
-		// The worker knows this run or a higher one, which a report will show.
+		// The worker knows this run or one with a higher number. A report will list it.
 		c.stop(a, "run_too_old", now)
 		return
 	}
@@ -81,8 +81,7 @@
 	c.drop(a, "refused_"+string(refusal.Reason), now)
 }
 
-// StopAnswered takes in the result of a stop order. An unanswered one is
-// repeated by watch.
+// StopAnswered handles the result of a stop order. watch repeats a stop that was not answered.
 func (c *Cell) StopAnswered(o StopOrder, answer runner.Answer, err error, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -96,12 +95,12 @@
 	}
 }
 
-// ThrottleAnswered takes in the result of a pace order.
+// ThrottleAnswered handles the result of a throttle order.
 func (c *Cell) ThrottleAnswered(o ThrottleOrder, err error, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if a := c.findAttempt(o.Task, o.Worker.ID, o.Throttle.Run); a != nil && err != nil {
-		// Unknown: have it sent again.
+		// The speed is unknown: send the order again.
 		a.speedPercent = -1
 		a.throttledAt = now
 	}
--- a/internal/cell/ask.go
+++ b/internal/cell/ask.go
@@ -9,27 +9,29 @@
 )
 
 const (
-	// typicalCallSize is the size of a usual call for advice, which the platform
-	// counts into the ideal duration of a stage.
+	// typicalCallSize is the usual number of workers in one adviser call. The platform uses
+	// the duration of such a call when it computes the ideal duration of a stage.
 	typicalCallSize = 30
-	// maxAskedWorkers bounds one question; the adviser takes at most 100 workers.
+	// maxAskedWorkers bounds the workers in one call. The adviser accepts at most 100.
 	maxAskedWorkers = 60
-	// minAskedWorkers is the smallest first question: with about a third of the
-	// workers allowed, fewer often bring no ticket at all.
+	// minAskedWorkers is the least size of a first call. About a third of the workers are
+	// allowed, so a smaller call often returns no ticket at all.
 	minAskedWorkers = 8
-	// assumedAllowedShare is the assumed share of workers that may run a stage. A guess that is
-	// too low costs a few more workers in a question, one that is too high a second question.
+	// assumedAllowedShare is the assumed share of workers that the adviser allows for a stage.
+	// Too low a value costs a few more workers in a call; too high a value costs a second
+	// call.
 	assumedAllowedShare = 0.3
-	// ticketOversupply is for how many times its idle tasks a stage wants room with
-	// tickets: others take some of the room while the question is under way.
+	// ticketOversupply is the factor by which the capacity of ticketed workers should exceed a
+	// stage's idle tasks. Other stages take part of that capacity while the call is pending.
 	ticketOversupply = 2.0
-	// adviceRetryDelay is the pause after a call that failed.
+	// adviceRetryDelay is the delay after a failed call.
 	adviceRetryDelay = 150 * time.Millisecond
 )
 
-// askAdvice asks about workers for the stage's idle tasks. The stages that are first in
-// order keep tickets for full workers, too, and renew them before they expire, as many as
-// the adviser can serve: room that opens would be taken before an answer comes.
+// askAdvice requests tickets for the stage's idle tasks. As far as the adviser has free slots,
+// the first stages in order also hold tickets for full workers and renew them before they
+// expire. Without them, capacity that becomes free would be taken by others before the adviser
+// answers.
 func (c *Cell) askAdvice(s *stage, view *planView, now time.Time) {
 	if !c.mayAsk(s, view, now) {
 		return
@@ -45,9 +47,9 @@
 	c.ask(s, workers, prefetch, view, now)
 }
 
-// askForLongRunning asks about workers for lasting tasks ahead of all other questions, through
-// all lanes but one. Others could take all lanes for as long as new work comes, and the users
-// of a lasting task miss it from the moment that it is away.
+// askForLongRunning requests tickets for long-running tasks before all other calls, with all
+// concurrency slots but one. Otherwise other calls could hold all slots for as long as new
+// work arrives, while the users of a long-running task are affected as soon as it is down.
 func (c *Cell) askForLongRunning(stages []*stage, view *planView, now time.Time) {
 	for _, s := range stages {
 		if s.step.LongRunning && c.checkDue(s, now) {
@@ -56,8 +58,8 @@
 	}
 }
 
-// askIfCapacityFree asks about a stage for which workers have room, or will when it is not held
-// back any more.
+// askIfCapacityFree requests tickets for a stage if workers have free capacity for it, now or
+// once the stage is no longer held back.
 func (c *Cell) askIfCapacityFree(s *stage, view *planView, now time.Time) {
 	cost := s.job.record.Advice
 	if cost == nil || isSlowCall(cost) && !c.adviceCalls.mayAskLongRunning(view.slots) {
@@ -75,13 +77,13 @@
 	}
 }
 
-// mayAsk reports whether a question about a stage may begin now.
+// mayAsk reports whether an adviser call for a stage may start now.
 func (c *Cell) mayAsk(s *stage, view *planView, now time.Time) bool {
 	cost := s.job.record.Advice
 	return cost != nil && !s.advice.pending && !now.Before(s.advice.retryAt) && view.slots.available(isSlowCall(cost))
 }
 
-// ask begins a question about a stage.
+// ask starts an adviser call for a stage.
 func (c *Cell) ask(s *stage, workers []string, prefetch bool, view *planView, now time.Time) {
 	cost := s.job.record.Advice
 	slow := isSlowCall(cost)
@@ -92,15 +94,16 @@
 	c.orders = append(c.orders, AdviceOrder{Stage: s.id, Term: c.settings.Term, Cost: *cost, Workers: workers, Slow: slow})
 }
 
-// anyHasCapacityByID reports whether one of some workers has room for a task of the stage now.
+// anyHasCapacityByID reports whether any of the given workers has free capacity for a task of
+// the stage.
 func (c *Cell) anyHasCapacityByID(s *stage, ids []string) bool {
 	return slices.ContainsFunc(ids, func(id string) bool { return c.capacityFor(s, c.workers[id]) > 0 })
 }
 
-// workersToAsk returns the workers to ask about, or none if the tickets at hand
-// will do: allowed workers whose tickets end before an answer would come, then
-// unknown ones, those with most room first. If only unknown ones have room, they are asked
-// about alone.
+// workersToAsk returns the workers for the next adviser call, or none if the stage holds
+// enough tickets. Allowed workers whose tickets expire before an answer could arrive come
+// first, then workers without a verdict; those with most free capacity lead in each group. If
+// only workers without a verdict have free capacity, no tickets are renewed.
 func (c *Cell) workersToAsk(s *stage, view *planView, now time.Time) []string {
 	var renew, unknown []*worker
 	ticketed := 0.0
@@ -151,12 +154,13 @@
 	return ids
 }
 
-// anyHasCapacity reports whether one of some workers has room for a task of a stage.
+// anyHasCapacity reports whether any of the given workers has free capacity for a task of the
+// stage.
 func (c *Cell) anyHasCapacity(s *stage, workers []*worker) bool {
 	return slices.ContainsFunc(workers, func(w *worker) bool { return c.capacityFor(s, w) > 0 })
 }
 
-// capacityFor returns how many tasks of a stage a worker has room for.
+// capacityFor returns how many tasks of a stage fit into a worker's free capacity.
 func (c *Cell) capacityFor(s *stage, w *worker) float64 {
 	n := s.step.Occupied().CountIn(w.free(), int64(len(s.idle)+s.expiring))
 	if s.step.MaxPerWorker > 0 {
@@ -165,7 +169,7 @@
 	return float64(n)
 }
 
-// AdviceAnswered takes in the answer to a question about a stage.
+// AdviceAnswered handles the result of an adviser call for a stage.
 func (c *Cell) AdviceAnswered(stage job.StageID, asked []string, tickets []advice.Ticket, err error, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -177,7 +181,7 @@
 	}
 	s := j.stage(stage.Occurrence, stage.Step)
 	if s == nil {
-		// The job has ended long ago, and was condensed.
+		// The job ended long ago and was compacted.
 		return
 	}
 	s.advice.pending = false
@@ -187,7 +191,7 @@
 		return
 	}
 	until := now.Add(j.record.Advice.TicketTTL - ticketMargin)
-	// What was asked of the life before does not hold for a worker that has restarted since.
+	// Verdicts on a previous incarnation do not apply to a worker that has restarted since.
 	for _, id := range asked {
 		if w := c.workers[id]; w != nil && !w.knownSince.After(askedAt) {
 			s.advice.verdicts[w] = verdict{incarnation: w.incarnationState}
--- a/internal/cell/ask_expiring.go
+++ b/internal/cell/ask_expiring.go
@@ -20,9 +20,9 @@
 
 func (e *expiringRuns) any() bool { return len(e.longRunning)+len(e.finite) > 0 }
 
-// expiring counts, for each stage that needs tickets, the runs that are lost within the time
-// of a question to the adviser, as the lease of their silent worker ends. Members of gangs
-// are not placed one by one.
+// expiring counts, for each stage that needs tickets, the runs that will be lost within the
+// duration of an adviser call because the lease of their unresponsive worker expires. Gangs
+// are excluded, as their members are not placed one by one.
 func (c *Cell) expiring(now time.Time) expiringRuns {
 	runs := expiringRuns{longRunning: map[*stage]int{}, finite: map[*stage]int{}}
 	for _, w := range c.workers {
@@ -44,8 +44,8 @@
 	return runs
 }
 
-// askExpiring asks about stages before their runs are lost, so that they can start again at
-// once.
+// askExpiring requests tickets for stages before their runs are lost, so that the tasks can
+// restart immediately.
 func (c *Cell) askExpiring(counts map[*stage]int, view *planView, now time.Time) {
 	stages := slices.SortedFunc(maps.Keys(counts), func(a, b *stage) int {
 		return cmp.Or(cmp.Compare(a.job.record.Priority, b.job.record.Priority), cmp.Compare(a.id.String(), b.id.String()))
--- a/internal/cell/ask_held.go
+++ b/internal/cell/ask_held.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// askHeldBack asks the adviser about a stage that is held back, so late that the answer comes
-// when it is not any more: a ticket lasts a few seconds.
+// askHeldBack requests tickets for a stage that is held back. Tickets are valid for a few seconds,
+// so the call starts only if its answer is due when the recovery ends.
 func (c *Cell) askHeldBack(s *stage, view *planView, now time.Time) {
 	cost := s.job.record.Advice
 	if cost == nil || now.Add(cost.Duration(typicalCallSize)).Before(view.recoveryDeadline) {
@@ -15,7 +15,7 @@
 	c.askAdvice(s, view, now)
 }
 
-// recoveryDeadline returns when the recovery is over at the latest.
+// recoveryDeadline returns the latest time at which the recovery ends.
 func (c *Cell) recoveryDeadline() time.Time {
 	by := c.startedAt
 	for _, w := range c.workers {
--- a/internal/cell/ask_order.go
+++ b/internal/cell/ask_order.go
@@ -8,20 +8,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// askCandidate is a worker that a stage may ask about.
+// askCandidate is a worker that may be included in an adviser call.
 type askCandidate struct {
 	w *worker
-	// local says that it is where the stage's data is.
+	// local is set if the worker is in the rack with the stage's data.
 	local bool
-	// capacity is how many of the stage's tasks it has room for.
+	// capacity is the number of the stage's tasks that fit into the worker's free capacity.
 	capacity float64
 	tieBreak uint64
 }
 
-// topAskCandidates returns the workers that a stage asks about first, as many as a question may
-// name: those near its data, then those that take most of its tasks, and among equals by
-// lot, each stage its own, so that many stages do not all ask about the same workers.
-// Tasks that fill go where fewest tasks serve.
+// topAskCandidates returns the workers to ask about first, at most maxAskedWorkers. Workers
+// near the stage's data come first, then those that fit most of its tasks. Ties are broken by
+// a hash that differs between stages, so that many stages do not ask about the same workers.
+// Best-effort stages prefer workers with few latency-sensitive tasks.
 func (c *Cell) topAskCandidates(list []*worker, s *stage) []*worker {
 	order := askOrder{stage: s, top: make([]askCandidate, 0, min(len(list), maxAskedWorkers))}
 	seed := xxhash.Sum64String(s.id.String())
@@ -36,21 +36,21 @@
 	return first
 }
 
-// tieBreak draws a number for two hashes.
+// tieBreak mixes two hashes into a pseudo-random order key.
 func tieBreak(a, b uint64) uint64 {
 	const odd = 0x9e3779b97f4a7c15
 	mixed := (a ^ b) * odd
 	return mixed ^ mixed>>32
 }
 
-// askOrder keeps the first mostAsked candidates of a stage. Once it has so many they are a
-// heap with the last of them on top.
+// askOrder keeps the best maxAskedWorkers candidates of a stage. A full list is a heap with
+// the worst candidate on top.
 type askOrder struct {
 	stage *stage
 	top   []askCandidate
 }
 
-// offer keeps a candidate if it is among the first so far.
+// offer adds a candidate if it ranks among the best so far.
 func (o *askOrder) offer(c askCandidate) {
 	if len(o.top) < maxAskedWorkers {
 		o.top = append(o.top, c)
@@ -86,7 +86,7 @@
 // Swap implements heap.Interface.
 func (o *askOrder) Swap(i, j int) { o.top[i], o.top[j] = o.top[j], o.top[i] }
 
-// Push implements heap.Interface; candidates are replaced, never added.
+// Push implements heap.Interface. Candidates are replaced in place, so it does nothing.
 func (o *askOrder) Push(any) {}
 
 // Pop implements heap.Interface; see Push.
--- a/internal/cell/attempt.go
+++ b/internal/cell/attempt.go
@@ -2,57 +2,58 @@
 
 import "time"
 
-// phase is how far a run has come, as far as the cell knows.
+// phase is the state of a run as known to the cell.
 type phase int
 
 const (
-	// ordered means that the start was sent and is not confirmed.
+	// ordered means that the start was sent but is not confirmed.
 	ordered phase = iota
-	// running means that the worker answered the start or reported the run.
+	// running means that the worker confirmed the start or reported the run.
 	running
-	// stopping means that the run has to end: a stop is repeated until answered.
+	// stopping means that the run must end. The stop is repeated until it is answered.
 	stopping
 )
 
-// attempt is one run of a task on a worker. It occupies room there until its
-// end is certain.
+// attempt is one run of a task on a worker. It occupies capacity there until its end is
+// certain.
 type attempt struct {
 	task   *task
 	run    uint64
 	worker *worker
 	phase  phase
-	// orderedAt is when the start was sent, or the run was first reported.
+	// orderedAt is when the start was sent, or when the run was first reported.
 	orderedAt time.Time
-	// fromScratch says that the run was started here and without a checkpoint.
+	// fromScratch is set if this owner started the run without a checkpoint.
 	fromScratch bool
-	// inherited says that the run is known from the store alone: it may have ended.
+	// inherited is set if the run is known only from the store, so that it may have ended.
 	inherited bool
-	// confirmedAt is when the worker answered the start.
+	// confirmedAt is when the worker answered the start or first reported the run.
 	confirmedAt time.Time
-	// survived says that it was seen at work for so long that it does not crash its worker.
+	// survived is set once the run has worked for survivedAfter without crashing its worker.
 	survived bool
-	// percent and changedAt are the last reported progress and when it moved.
+	// percent is the last reported progress, and progressedAt is when it last changed.
 	percent      int
 	progressedAt time.Time
-	// tailLatencyMillis is the last reported figure; see runner.RunState.
+	// tailLatencyMillis is the tail latency that a latency-sensitive run last reported; see
+	// runner.RunState.
 	tailLatencyMillis float64
-	// speedPercent is the share of its speed that the run is allowed.
+	// speedPercent is the share of its full speed that the run is allowed.
 	speedPercent int
 	throttledAt  time.Time
-	// stopSentAt and stopAnsweredAt are zero while there was none.
+	// stopSentAt and stopAnsweredAt are zero until a stop is sent or answered.
 	stopSentAt     time.Time
 	stopAnsweredAt time.Time
-	// reportedAfterStop says that a report after the stop's answer still showed the
-	// run, so that its end will be listed.
+	// reportedAfterStop is set if a poll that was sent after the stop's answer still returned
+	// the run, so that the worker will list its end.
 	reportedAfterStop bool
-	// slow says that another run of the task would end sooner; only of tasks that may
-	// run twice, runs of others are stopped.
+	// slow is set if another run of the task would end sooner. It is used only for tasks that
+	// allow duplicates; slow runs of other tasks are stopped.
 	slow bool
-	// blamed says that the run was counted against its worker's health.
+	// blamed is set once the run was counted against its worker's health.
 	blamed bool
-	// preemptedFor is the stage that the run was preempted for, or nil.
+	// preemptedFor is the stage for which the run was preempted, or nil.
 	preemptedFor *stage
 }
 
-// elapsed returns how long the run has been going on.
+// elapsed returns the time since the run was ordered.
 func (a *attempt) elapsed(now time.Time) time.Duration { return now.Sub(a.orderedAt) }
--- a/internal/cell/backlog.go
+++ b/internal/cell/backlog.go
@@ -11,22 +11,22 @@
 
 const (
 	// fullShare is the used share of a service's scarcest resource from which its workers
-	// are full: a part of the rest is kept for urgent work, and a part is in pieces that
-	// are too small.
+	// count as full. Part of the remainder is reserved for urgent work, and part is too
+	// fragmented to use.
 	fullShare = 0.85
-	// backlogPeriod is how often the backlogs are worked out anew. It takes a look at
-	// each task that is not done.
+	// backlogPeriod is how often the backlogs are recomputed. That visits every stage that is
+	// not done.
 	backlogPeriod = 250 * time.Millisecond
 )
 
-// pool is what the workers of one service have, and what is asked of them.
+// pool sums up the capacity and the load of the workers of one service.
 type pool struct {
-	// capacity is that of total workers, without what lasting tasks use there; used is what
-	// total runs use.
+	// total is the capacity of all workers, and capacity is what remains of it without the
+	// part that long-running tasks occupy. used is what all runs occupy.
 	capacity, total, used resource.Amount
-	// largest is the largest worker's capacity of each kind.
+	// largest is the largest capacity of any worker, per resource.
 	largest resource.Amount
-	// work is what is left to do, by priority.
+	// work is the remaining work by priority.
 	work map[int]work
 }
 
@@ -38,7 +38,7 @@
 	return work{w.cpu + float64(need.MilliCPU)*s, w.memory + float64(need.MemoryMiB)*s, w.accelerators + float64(need.Accelerators)*s}
 }
 
-// durationOn returns how long the work takes durationOn a capacity, by its scarcest resource.
+// durationOn returns how long the work takes on a given capacity, by its scarcest resource.
 func (w work) durationOn(capacity resource.Amount) time.Duration {
 	seconds := max(w.cpu/float64(max(1, capacity.MilliCPU)), w.memory/float64(max(1, capacity.MemoryMiB)))
 	if capacity.Accelerators > 0 {
@@ -47,17 +47,17 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// full reports whether the workers have too little room to take work in at once.
+// full reports whether the workers have too little free capacity to start new work at once.
 func (p *pool) full() bool {
 	share := func(used, all int64) float64 { return float64(used) / float64(max(1, all)) }
 	return max(share(p.used.MilliCPU, p.total.MilliCPU), share(p.used.MemoryMiB, p.total.MemoryMiB),
 		share(p.used.Accelerators, p.total.Accelerators)) >= fullShare
 }
 
-// Backlogs returns the backlogs of services whose workers are full, as of some tenths of a
-// second ago. There is none until all workers are accounted for, and workers that are
-// silent or parked count: an owner that takes the few it has heard for all would have
-// everybody refused.
+// Backlogs returns the backlogs of services whose workers are full, at most backlogPeriod old.
+// It returns none until all workers are accounted for, and counts unresponsive and parked
+// workers as capacity. Otherwise an owner that has reached only a few workers would cause
+// submissions to be refused.
 func (c *Cell) Backlogs(now time.Time) []admission.Backlog {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,7 +81,8 @@
 	return c.backlogs
 }
 
-// pools returns the pools of workers that stay, by service.
+// pools returns the pools by service, without workers that are draining, evacuating or
+// unregistered.
 func (c *Cell) pools() map[string]*pool {
 	pools := map[string]*pool{}
 	for _, w := range c.workers {
@@ -106,8 +107,8 @@
 	return pools
 }
 
-// addWork adds what is left of a job. What lasts, is not due, or fits on no worker keeps
-// nobody waiting.
+// addWork adds the remaining work of a job. Stages that are long-running, not due, or too
+// large for every worker delay no one and are skipped.
 func (c *Cell) addWork(p *pool, j *jobState, now time.Time) {
 	sum := p.work[j.record.Priority]
 	for _, s := range j.stages {
@@ -116,15 +117,15 @@
 			continue
 		}
 		running := len(s.tasks) - s.done - len(s.idle)
-		// What waits for its quota takes no room from others.
+		// Tasks that wait for a quota use no capacity.
 		waiting := c.startable(s)
-		// Those that run are half done on average.
+		// Running tasks are half done on average.
 		sum = sum.add(need, time.Duration(waiting)*s.step.Estimate+time.Duration(max(0, running))*s.step.Estimate/2)
 	}
 	p.work[j.record.Priority] = sum
 }
 
-// backlogs returns how long the work of each priority and of those before it takes.
+// backlogs returns, for each priority, the time that its work and all more urgent work takes.
 func (p *pool) backlogs(service string) []admission.Backlog {
 	priorities := make([]int, 0, len(p.work))
 	for priority := range p.work {
--- a/internal/cell/cell.go
+++ b/internal/cell/cell.go
@@ -12,74 +12,76 @@
 	"gentianstand/internal/runner"
 )
 
-// Cell is the state of one cell under its own lock. All methods are safe for
-// concurrent use; `now` must come from one steady clock.
+// Cell is the scheduling state of one cell, guarded by its own lock. All methods are safe for
+// concurrent use. The `now` arguments must come from one monotonic clock.
 type Cell struct {
 	settings Settings
 	log      logrus.FieldLogger
 
 	mu        sync.Mutex
 	startedAt time.Time
-	// lastWatchAt is when the runs were last looked through.
+	// lastWatchAt is when the runs were last checked by watch.
 	lastWatchAt time.Time
-	// lastParkAt is when workers were last parked, parked how many are.
+	// lastParkAt is when workers were last parked, and parkedCount is the number of parked
+	// workers.
 	lastParkAt  time.Time
 	parkedCount int
 	jobs        map[string]*jobState
 	active      map[string]*jobState
 	workers     map[string]*worker
-	// waiting are the stages with tasks to place, in no order.
+	// waiting holds the stages with tasks to place, in no order.
 	waiting map[*stage]struct{}
 	orders  []Order
-	// pass counts the planning passes; usableBuffer is used again by each of them.
+	// pass counts planning passes. usableBuf is reused by each pass.
 	pass      uint64
 	usableBuf []*worker
-	// dirtyJobs are the jobs whose progress is ahead of the store.
+	// dirtyJobs are the jobs with progress that is not stored yet.
 	dirtyJobs map[*jobState]struct{}
-	// recovering says that some worker of the time before this ownership has
-	// neither reported nor lapsed, so tasks of older jobs may run unseen there.
+	// recovering is set while some worker known from before this ownership has neither
+	// reported nor lost its lease. Tasks of older jobs may run there without being reported.
 	recovering bool
-	// workersLoaded says that all workers on which an earlier owner can have started
-	// runs are known.
+	// workersLoaded is set once all workers are known on which a previous owner can have
+	// started runs.
 	workersLoaded bool
-	// previousOwnerStoppedAt is when it was learned that the earlier owner gives no orders
-	// any more, if Settings did not tell.
+	// previousOwnerStoppedAt is when this owner learned that the previous owner sends no more
+	// orders. It is zero if that is unknown, or was known from Settings.
 	previousOwnerStoppedAt time.Time
-	// endedAt is when this owner gave its last order, or zero.
+	// endedAt is when this owner stopped sending orders, or zero.
 	endedAt time.Time
-	// fenced says that the earlier owner can start nothing any more.
+	// fenced is set once the previous owner can no longer start anything.
 	fenced    bool
 	durations durations
-	// quotas are the books of what workspaces have running.
+	// quotas accounts for the running tasks of each workspace.
 	quotas *quota.Ledger
-	// unmeteredJobs are jobs that were not measured against their workspace's share yet.
+	// unmeteredJobs are the jobs not yet measured against the share of their workspace.
 	unmeteredJobs []*jobState
 	rosterUpdates rosterUpdates
-	// adviceCalls are those to the adviser that are under way.
+	// adviceCalls are the pending adviser calls.
 	adviceCalls adviceCalls
 	dirtyChunks dirtyChunks
-	// endedIncarnations are the incarnations that have ended and that the roster may still list, by id.
+	// endedIncarnations holds, by worker id, incarnations that have ended and that the roster
+	// may still list.
 	endedIncarnations map[string]runner.Incarnation
-	// unknownJobs are jobs that workers report and the cell does not know; absent are
-	// those of them that the store does not have either.
+	// unknownJobs are the jobs that workers report and the cell does not know. absentJobs are
+	// those that the store does not have either.
 	unknownJobs map[string]struct{}
 	absentJobs  map[string]struct{}
-	// lostWorkers are, by id, the workers that fell silent, until it is known what became of
-	// them, and silences when they did. isolated are the runs beside which nothing of
-	// another job is started.
+	// lostWorkers are, by id, the workers that became unresponsive and whose fate is not known
+	// yet. unresponsiveAt records when that happened. No task of another job is started next
+	// to one of the isolatedRuns.
 	lostWorkers    map[string]*lostWorker
 	unresponsiveAt unresponsiveTimes
-	// ownerIsolated says that this owner reaches few workers, so that their silence tells
-	// nothing of them.
+	// ownerIsolated is set while this owner reaches few workers, so that an unresponsive
+	// worker is no sign of a crash.
 	ownerIsolated bool
 	isolatedRuns  map[*attempt]struct{}
 	stats         Stats
-	// backlogs are those worked out at backlogsAt.
+	// backlogs was computed at backlogsAt.
 	backlogs   []admission.Backlog
 	backlogsAt time.Time
 }
 
-// New returns an empty cell that began its ownership at now.
+// New returns an empty cell whose ownership starts at now.
 func New(s Settings, now time.Time, log logrus.FieldLogger) *Cell {
 	return &Cell{
 		settings: s, log: log, startedAt: now, recovering: true,
@@ -91,8 +93,7 @@
 	}
 }
 
-// Load takes in a job that an earlier owner may have begun. progress is nil if
-// none was stored.
+// Load adds a job that a previous owner may have started. p is nil if no progress was stored.
 func (c *Cell) Load(r *job.Record, p *job.Progress) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,10 +108,10 @@
 	c.insertJob(j)
 }
 
-// Add takes in a newly accepted job. A job that is already known is ignored:
-// the same news may come from the accepting instance and from the store. told
-// says that the accepting instance told this owner; then it told no other one.
-// News from the store may have been told to an earlier owner that still acts.
+// Add adds a newly accepted job. A known job is ignored, as the same update may arrive from
+// the accepting instance and from the store. direct is set if the accepting instance notified
+// this owner itself; it then notified no other owner. An update from the store may also have
+// reached a previous owner that is still active.
 func (c *Cell) Add(r *job.Record, direct bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -139,7 +140,8 @@
 	}
 }
 
-// updateWaiting puts a stage among those to place if it has tasks to place.
+// updateWaiting adds a stage to the waiting stages if it has tasks to place, and removes it
+// otherwise.
 func (c *Cell) updateWaiting(s *stage) {
 	if s.job.final == "" && len(s.idle) > 0 && s.predecessorsDone() {
 		c.waiting[s] = struct{}{}
@@ -148,8 +150,8 @@
 	delete(c.waiting, s)
 }
 
-// Cancel ends a job by its caller's wish and reports whether it is known.
-// Tasks are stopped with the next Plan.
+// Cancel ends a job at its caller's request and reports whether the job is known. The stop
+// orders for its tasks are returned by the next Plan.
 func (c *Cell) Cancel(id string, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -159,15 +161,14 @@
 	}
 	if j.final == "" {
 		c.endJob(j, job.Cancelled, now)
-		// The cancellation is stored before this call, so it may be shown.
+		// The cancellation was stored before this call, so it may be shown.
 		j.storedState = job.Cancelled
 	}
 	return true
 }
 
-// Status returns what to tell a caller of a job; ok is false if it is unknown.
-// A final state is shown only after it was stored, so that it cannot change
-// when this owner is lost.
+// Status returns a job's status for its caller; ok is false if the job is unknown. A final
+// state is returned only once it is stored, so that it cannot change when this owner fails.
 func (c *Cell) Status(id string) (status job.Status, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -191,7 +192,7 @@
 	return n
 }
 
-// endJob gives a job its final state and stops what runs of it.
+// endJob sets a job's final state and stops its runs.
 func (c *Cell) endJob(j *jobState, state job.State, now time.Time) {
 	j.final = state
 	j.endedAt = now
--- a/internal/cell/commit.go
+++ b/internal/cell/commit.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// Commit is a set of job progress to store in one transaction.
+// Commit is a batch of job progress and worker chunks to store in one transaction.
 type Commit struct {
 	Items []CommitItem
-	// Chunks are the parts of the known workers that have changed.
+	// Chunks are the chunks of known workers that have changed.
 	Chunks []WorkerChunk
-	// acks are the ends that are covered when the transaction is stored.
+	// acks are, for each worker incarnation, the ends that may be acknowledged once the
+	// transaction is stored.
 	acks map[*incarnationState]uint64
 }
 
-// NextCommit returns what to store, at most limit jobs and chunks, or nil if
-// everything is stored. Only one commit may be under way at a time.
+// NextCommit returns the next batch to store, with at most limit jobs and chunks, or nil if
+// everything is stored. Only one commit may be in progress at a time.
 func (c *Cell) NextCommit(limit int) *Commit {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -26,15 +27,15 @@
 	if len(c.dirtyJobs) > 0 || !c.fenced {
 		return commit
 	}
-	// Only now does the commit, with those before it, cover all ends seen so far.
+	// No dirty job is left, so this commit and those before it cover all ends seen so far.
 	for _, w := range c.workers {
 		commit.acks[w.incarnationState] = w.seenEnd
 	}
 	return commit
 }
 
-// takeDirty moves jobs into a commit, those that have ended or the others. In a slow store
-// all jobs are dirty all the time, and those that have ended should be shown first.
+// takeDirty moves dirty jobs into a commit: those that have ended, or the others. With a slow
+// store all jobs are dirty all the time, and final states should become visible first.
 func (c *Cell) takeDirty(commit *Commit, limit int, ended bool) {
 	for j := range c.dirtyJobs {
 		if len(commit.Items)+len(commit.Chunks) >= limit {
@@ -48,9 +49,9 @@
 	}
 }
 
-// acknowledgeAll has all ends acknowledged that were seen, as all are stored. Not
-// while an overtaken owner may act: it would take a run for lost whose worker
-// crashed, and start the task again after its success was acknowledged.
+// acknowledgeAll acknowledges all ends seen so far, as all of them are stored. It does nothing
+// while an overtaken owner may still act: if the worker crashed, that owner would treat the
+// run as lost and restart the task after its success was acknowledged.
 func (c *Cell) acknowledgeAll() {
 	if !c.fenced {
 		return
@@ -60,7 +61,7 @@
 	}
 }
 
-// Committed takes in that a commit was stored.
+// Committed handles a commit that was stored.
 func (c *Cell) Committed(commit *Commit) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,8 +76,8 @@
 	}
 }
 
-// CommitFailed takes in that a commit was not stored, or not for certain. Its
-// jobs and chunks are stored again.
+// CommitFailed handles a commit that failed or whose outcome is unknown. Its jobs and chunks
+// are stored again.
 func (c *Cell) CommitFailed(commit *Commit) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -88,8 +89,8 @@
 	}
 }
 
-// RemoveExpired removes jobs that ended longer than keep ago from memory and returns
-// their ids, so that their rows can be removed.
+// RemoveExpired deletes jobs that ended more than keep ago from memory and returns at most
+// limit of their ids, so that the caller can delete their rows.
 func (c *Cell) RemoveExpired(keep time.Duration, now time.Time, limit int) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,7 +107,7 @@
 	return ids
 }
 
-// idle reports whether nothing of the job may still run.
+// idle reports whether the job has no run left.
 func (j *jobState) idle() bool {
 	for _, s := range j.stages {
 		if s.runCount() > 0 {
--- a/internal/cell/compact.go
+++ b/internal/cell/compact.go
@@ -6,17 +6,16 @@
 	"gentianstand/internal/job"
 )
 
-// CompactedJob is what is kept of a job that ended some time ago.
+// CompactedJob is the reduced form of a job that ended some time ago.
 type CompactedJob struct {
 	Record   *job.Record
 	Progress *job.Progress
 	state    *jobState
 }
 
-// Compact returns jobs that ended longer than after ago and of which nothing runs, at
-// most limit, to be stored in a condensed form. Their text, steps and tasks are dropped
-// from memory. Ended jobs are kept for minutes, and a new owner reads them all over a link
-// that may be narrow.
+// Compact reduces jobs that ended at least after ago and have no run left, and returns at most
+// limit of them to be stored. Their text, steps and tasks are dropped from memory. Ended jobs
+// are kept for minutes, and a new owner reads all of them over a possibly narrow link.
 func (c *Cell) Compact(after time.Duration, now time.Time, limit int) []CompactedJob {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -39,7 +38,7 @@
 	return list
 }
 
-// CompactFailed takes in that some jobs were not stored in their condensed form.
+// CompactFailed handles jobs whose compacted form was not stored.
 func (c *Cell) CompactFailed(list []CompactedJob) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cell/cordon.go
+++ b/internal/cell/cordon.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// unresponsiveAfter is how long a worker must have been silent to be closed. Single
-// answers get lost, and each closing and opening is a write.
+// unresponsiveAfter is how long polls must have failed before a worker is cordoned. Single
+// answers get lost, and each change is a store write.
 const unresponsiveAfter = 250 * time.Millisecond
 
-// updateCordon closes a worker that is silent or leaves, and opens it again. The store
-// says of a closed worker that nothing was started there since, and what may still be
-// there, so that a new owner holds back those tasks alone.
+// updateCordon cordons a worker that is unresponsive or draining, and uncordons it later. The
+// stored entry of a cordoned worker guarantees that no run was started there since, and lists
+// all runs that may still be there. A new owner then holds back only those tasks.
 func (c *Cell) updateCordon(w *worker, now time.Time) {
 	if !c.enabled(Cordoning) {
 		return
 	}
 	cordoned := w.Draining || w.unresponsive(now) || (w.cordoned && !w.reported)
 	if c.recovering && w.mayHaveEarlierRuns() {
-		// What may still be there is not known.
+		// The runs that may still be there are not known.
 		cordoned = false
 	}
 	if cordoned == w.cordoned {
@@ -29,12 +29,12 @@
 	c.dirtyChunks.mark(w.ID)
 }
 
-// unresponsive reports whether a worker has not answered for some time.
+// unresponsive reports whether polls of a worker have failed for unresponsiveAfter.
 func (w *worker) unresponsive(now time.Time) bool {
 	return !w.unresponsiveSince.IsZero() && now.Sub(w.unresponsiveSince) >= unresponsiveAfter
 }
 
-// knownWorker returns what to store of a worker.
+// knownWorker returns the worker's entry to store.
 func (w *worker) knownWorker() KnownWorker {
 	k := KnownWorker{ID: w.ID, Incarnation: w.incarnation, Address: w.Address, Cordoned: w.cordoned}
 	if !w.cordoned {
@@ -47,8 +47,9 @@
 	return k
 }
 
-// restoreRuns books the runs that may be on a closed worker, as if it had
-// reported them. They go when it reports, or when its lease must have ended.
+// restoreRuns accounts for the runs that may be on a cordoned worker, as if it had reported
+// them. They are dropped when the worker's report does not contain them or its lease must have
+// expired.
 func (c *Cell) restoreRuns(w *worker, runs []KnownRun, now time.Time) {
 	w.cordoned, w.accounted = true, true
 	for _, r := range runs {
@@ -64,8 +65,8 @@
 	}
 }
 
-// dropSuperseded drops inherited runs of a task of which a later run is reported: an
-// owner starts a task again only when its run before has certainly ended.
+// dropSuperseded drops inherited runs of a task for which a later run is reported. An owner
+// restarts a task only when its previous run has certainly ended.
 func (c *Cell) dropSuperseded(t *task, run uint64, now time.Time) {
 	for i := len(t.attempts) - 1; i >= 0; i-- {
 		if a := t.attempts[i]; a.inherited && a.run < run {
--- a/internal/cell/crash.go
+++ b/internal/cell/crash.go
@@ -8,17 +8,18 @@
 	"gentianstand/internal/job"
 )
 
-// suspectAfterFailedPolls is how many looks in a row get no answer from a worker that crashed; a single
-// answer may be lost. The suspects are stored soon then, before an owner that is lost next
-// takes the knowledge with it.
+// suspectAfterFailedPolls is the number of consecutive failed polls after which a worker may
+// have crashed; a single answer may be lost. Recording the suspects early gets them stored
+// before this owner can fail as well.
 const suspectAfterFailedPolls = 2
 
-// ownerIsolatedShare is from which share of silent workers on the silence is the owner's own.
+// ownerIsolatedShare is the share of unresponsive workers above which the cause is assumed to
+// be this owner's connectivity.
 const ownerIsolatedShare = 0.5
 
-// reachesFewWorkers reports whether so many workers are silent that it is this owner
-// that reaches none. Its link may be full; the runs that were starting are no suspects
-// then.
+// reachesFewWorkers reports whether so many workers are unresponsive that this owner's own
+// connectivity is the likely cause, such as a saturated link. The runs that were starting are
+// then no suspects.
 func (c *Cell) reachesFewWorkers() bool {
 	unresponsive, polled := 0, 0
 	for _, w := range c.workers {
@@ -33,7 +34,7 @@
 	return float64(unresponsive) > ownerIsolatedShare*float64(polled)
 }
 
-// watchUnresponsive notes the suspects on a worker that has fallen silent.
+// watchUnresponsive records the suspects on a worker that became unresponsive.
 func (c *Cell) watchUnresponsive(w *worker, now time.Time) {
 	if c.ownerIsolated {
 		return
@@ -43,8 +44,8 @@
 	}
 }
 
-// recordSuspects notes the runs that may have crashed a worker: those that have not survived
-// there for survivedAfter. A worker that was about to leave has no suspects.
+// recordSuspects records the runs that may have crashed a worker: those that have not survived
+// there for survivedAfter. A worker that was draining or evacuating has no suspects.
 func (c *Cell) recordSuspects(w *worker, now time.Time) {
 	c.pruneLostWorkers()
 	lost := &lostWorker{address: w.Address, unresponsiveSince: now}
@@ -70,7 +71,7 @@
 	}
 }
 
-// clearSuspects takes the loss of a worker back: it lives, or it was ended on purpose.
+// clearSuspects reverts the loss of a worker that is alive or was terminated on purpose.
 func (c *Cell) clearSuspects(id string) {
 	lost := c.lostWorkers[id]
 	if lost == nil {
@@ -84,7 +85,7 @@
 	}
 }
 
-// workerCrashed takes in that a worker has crashed, and gives up the jobs of poison tasks.
+// workerCrashed handles a confirmed crash of a worker and fails the jobs of poison tasks.
 func (c *Cell) workerCrashed(id string, now time.Time) {
 	lost := c.lostWorkers[id]
 	if lost == nil {
@@ -112,7 +113,7 @@
 	}
 }
 
-// failPoisonJob ends the job of a poison task.
+// failPoisonJob fails the job of a poison task.
 func (c *Cell) failPoisonJob(t *task, now time.Time) {
 	j := t.stage.job
 	if t.done || j.final != "" {
@@ -123,8 +124,8 @@
 	c.endJob(j, job.Failed, now)
 }
 
-// failHopelessJob gives a stage's job up if one of its idle tasks must not be started again,
-// and reports whether it did.
+// failHopelessJob fails a stage's job if one of its idle tasks must not be started again, and
+// reports whether it did.
 func (c *Cell) failHopelessJob(s *stage, now time.Time) bool {
 	if !s.lostWorkers {
 		return false
@@ -138,8 +139,8 @@
 	return false
 }
 
-// addressReused takes in that a worker has registered at an address: the ones before it there
-// have crashed if they were lost.
+// addressReused handles the registration of a worker at an address. Lost workers that had the
+// same address have crashed.
 func (c *Cell) addressReused(address, id string, now time.Time) {
 	for before, lost := range c.lostWorkers {
 		if lost.address == address && before != id {
@@ -148,7 +149,7 @@
 	}
 }
 
-// restoreSuspects takes in what an earlier owner stored of a worker that had fallen silent.
+// restoreSuspects loads the suspects that a previous owner stored for an unresponsive worker.
 func (c *Cell) restoreSuspects(w *worker, runs []KnownRun) {
 	lost := &lostWorker{address: w.Address}
 	for _, r := range runs {
@@ -161,7 +162,8 @@
 	}
 }
 
-// pruneLostWorkers drops lost workers that are not known any more and on which nothing depends.
+// pruneLostWorkers drops lost workers that are no longer known and whose suspects are all
+// settled.
 func (c *Cell) pruneLostWorkers() {
 	for id, lost := range c.lostWorkers {
 		if c.workers[id] == nil && lost.settled() {
--- a/internal/cell/crash_history.go
+++ b/internal/cell/crash_history.go
@@ -6,41 +6,42 @@
 )
 
 const (
-	// maxCrashes is after how many crashed workers a task is given up in any case.
+	// maxCrashes is the number of crashed workers after which a task fails in any case.
 	maxCrashes = 4
-	// maxCrashesSoleSuspect is the same where the last crash has no other suspect and is not
-	// correlated with others. Where it is, crashesAtOnce of them must have come as soon as
-	// the task began.
+	// maxCrashesSoleSuspect is the limit if the last crash has no suspect of another job. If
+	// that crash is correlated with other failures, minImmediateCrashes of the crashes must
+	// also have come immediately after a start.
 	maxCrashesSoleSuspect = 2
 	minImmediateCrashes   = 3
-	// immediateCrashWindow is how soon after a start its worker falls silent if the task crashes
-	// it: one call, and a look that breaks off.
+	// immediateCrashWindow is how soon after a start the worker becomes unresponsive if the
+	// task crashes it: one call and an interrupted poll.
 	immediateCrashWindow = 100 * time.Millisecond
-	// maxLosses is after how many lost workers a task is given up although it is not known
-	// of all that they crashed: they may be back elsewhere, or never.
+	// maxLosses is the number of lost workers after which a task fails even if not all of them
+	// are known to have crashed. Lost workers may have come back elsewhere, or may never come
+	// back.
 	maxLosses = 5
-	// countUnconfirmedFrom is from how many lost workers on it does not matter whether they had
-	// confirmed the starts.
+	// countUnconfirmedFrom is the number of lost workers from which losses count whether or
+	// not the worker had confirmed the start.
 	countUnconfirmedFrom = 3
-	// backoffLosses is from how many lost workers on, of which some may yet turn out to
-	// have crashed, a task pauses before a further start: for lossPause, by when most
-	// workers that crashed are back, and then for longPause. Lasting tasks must not be
-	// away for that long, and pause for lossPause each time.
+	// backoffLosses is the number of lost workers, some of which may yet turn out to have
+	// crashed, from which a task backs off before its next start. At this number it waits for
+	// shortBackoff, by when most crashed workers are back, and above it for longBackoff.
+	// Long-running tasks must not be down that long and wait for shortBackoff each time.
 	backoffLosses = 2
 	shortBackoff  = 5 * time.Second
 	longBackoff   = 10 * time.Second
 )
 
-// crashHistory is what is known of the workers that were lost while a task was starting
-// there. A task that crashes each worker that starts it would otherwise take one down
-// after the other; the crashes are counted with the task, in the store too, and it is
-// given up.
+// crashHistory records the workers that were lost while a task was starting on them. Without
+// it, a task that crashes every worker it starts on would take them down one after another.
+// The crashes are counted per task, also in the store, until the task's job fails.
 type crashHistory struct {
-	// crashed are the runs whose worker has crashed under them.
+	// crashed are the runs under which the worker crashed.
 	crashed []uint64
-	// immediate is how many of those workers fell silent as soon as the run had begun.
+	// immediate is how many of those workers became unresponsive as soon as the run had begun.
 	immediate int
-	// unresponsive are the runs whose worker fell unresponsive; whether it crashed is not known.
+	// unresponsive are the runs whose worker became unresponsive without being known to have
+	// crashed.
 	unresponsive []uint64
 	// lostAt is when a worker was last lost.
 	lostAt time.Time
@@ -52,7 +53,8 @@
 
 func (h *crashHistory) clear() { *h = crashHistory{lostAt: h.lostAt} }
 
-// addUnresponsive notes that a run's worker fell silent, and reports whether that is new.
+// addUnresponsive records that a run's worker became unresponsive, and reports whether that is
+// new.
 func (h *crashHistory) addUnresponsive(run uint64, now time.Time) bool {
 	if slices.Contains(h.unresponsive, run) || slices.Contains(h.crashed, run) {
 		return false
@@ -62,7 +64,7 @@
 	return true
 }
 
-// lostAtMillis returns when a worker was last lost, as it is stored.
+// lostAtMillis returns the stored form of lostAt, or 0 if it need not be stored.
 func (h *crashHistory) lostAtMillis() int64 {
 	if len(h.unresponsive) == 0 {
 		return 0
@@ -70,8 +72,9 @@
 	return h.lostAt.UnixMilli()
 }
 
-// lostAtFrom returns a stored time on the steady clock of now. The time of day of another
-// instance may be ahead or was set since: a pause lasts from now on at most.
+// lostAtFrom converts a stored time to the monotonic clock of now. The wall clock of another
+// instance may be ahead, or may have been set since, so the result is never after now and a
+// backoff never extends beyond its full length from now.
 func lostAtFrom(millis int64, now time.Time) time.Time {
 	if millis == 0 {
 		return now
@@ -79,13 +82,13 @@
 	return now.Add(-max(0, now.Sub(time.UnixMilli(millis))))
 }
 
-// removeUnresponsive takes a loss back: the worker did not crash under the run.
+// removeUnresponsive reverts a loss: the worker did not crash under the run.
 func (h *crashHistory) removeUnresponsive(run uint64) {
 	h.unresponsive = slices.DeleteFunc(h.unresponsive, func(r uint64) bool { return r == run })
 }
 
-// addCrashed takes in that the worker crashed under the run; atOnce, as soon as it had
-// begun.
+// addCrashed records that the worker crashed under the run. immediate is set if that happened
+// immediately after the run had begun.
 func (h *crashHistory) addCrashed(run uint64, immediate bool) {
 	h.removeUnresponsive(run)
 	if slices.Contains(h.crashed, run) {
@@ -97,10 +100,10 @@
 	}
 }
 
-// backsOff reports whether a task that ends must not be started yet.
+// backsOff reports whether a task that is not long-running must not be started yet.
 func (h *crashHistory) backsOff(now time.Time) bool { return h.backsOffAtMost(longBackoff, now) }
 
-// backsOffAtMost is pauses for a task that pauses for no longer than most.
+// backsOffAtMost is backsOff with at most the given delay.
 func (h *crashHistory) backsOffAtMost(limit time.Duration, now time.Time) bool {
 	if len(h.unresponsive) == 0 || h.losses() < backoffLosses {
 		return false
@@ -113,15 +116,16 @@
 }
 
 // isHopeless reports whether so many workers were lost that the task must not be started
-// again, whatever became of them.
+// again, whether or not they crashed.
 func (h *crashHistory) isHopeless() bool { return h.losses() >= maxLosses }
 
-// lostMany reports whether so many workers were lost that a start without an answer counts
-// like one that was confirmed.
+// lostMany reports whether so many workers were lost that an unanswered start counts like a
+// confirmed one.
 func (h *crashHistory) lostMany() bool { return h.losses() >= countUnconfirmedFrom }
 
-// isPoison reports whether the task crashes its workers. onlySuspect says that the last
-// crash had no suspect of another job, correlated that other workers fell silent with it.
+// isPoison reports whether the task crashes its workers. onlySuspect is set if the last crash
+// had no suspect of another job, and correlated if other workers became unresponsive at the
+// same time.
 func (h *crashHistory) isPoison(onlySuspect, correlated bool) bool {
 	n := len(h.crashed)
 	switch {
--- a/internal/cell/doc.go
+++ b/internal/cell/doc.go
@@ -1,21 +1,24 @@
-// Package cell plans the work of one cell: a set of workers and the jobs that
-// run on them, decided by one owner at a time.
+// Package cell schedules the work of one cell: it decides which tasks run on which workers.
+// A cell is a set of workers and the jobs that run on them, with one owner at a time.
 //
-// A Cell is pure: it does no input or output and reads no clock. Its owner
-// (package cellowner) feeds it what happens (jobs, reports of workers, answers
-// to orders, advice) and carries out the orders that Plan returns:
+// A Cell performs no input or output and reads no clock. Its owner (package cellowner)
+// passes in events (jobs, reports of workers, answers to orders, advice) and carries out
+// the orders that Plan returns:
 //
-//	news ──> Add, Cancel, Reported, StartAnswered, Advised, ... ─┐
-//	                                                             v
-//	orders <── Plan: recover, watch, order stages, place, advise, preempt
-//	                                                             │
-//	store  <── NextCommit / Committed: ends become durable, then acknowledged
+//	events ──> Add, Cancel, Reported, StartAnswered, AdviceAnswered, ... ─┐
+//	                                                                      v
+//	orders <── Plan: recover, watch, sort stages, place, ask, preempt
+//	                                                                      │
+//	store  <── NextCommit / Committed: ends are stored, then acknowledged
 //
-// Safety rests on four facts. A run is placed only where the cell's own books
-// show room, and what may still be starting or stopping counts as there. A task
-// gets a second run only after the first one's end was listed by its worker, was
-// revoked by an answered stop, or its worker's lease must have ended on the
-// worker's own clock. Workers refuse orders with a lower fencing token, so an
-// overtaken owner's orders are dead. An end is acknowledged only after the
-// progress that contains it was stored.
+// Safety rests on four rules:
+//
+//   - A run is placed only where the accounting shows free capacity. Runs that may still be
+//     starting or stopping count as present.
+//   - A task gets a second run only after the end of the first one is certain: its worker
+//     listed the end, an answered stop revoked the run, or the worker's lease must have
+//     expired on the worker's own clock. Only steps that allow duplicates are exempt.
+//   - Workers refuse orders with a lower fencing token, so that orders of an overtaken
+//     owner have no effect.
+//   - An end is acknowledged only after the progress that contains it was stored.
 package cell
--- a/internal/cell/down_reason.go
+++ b/internal/cell/down_reason.go
@@ -1,33 +1,33 @@
 package cell
 
-// DownReason is why a lasting task is not at work.
+// DownReason is why a long-running task is not working.
 type DownReason string
 
 const (
-	// WorkerUnresponsive says that the worker of its run does not answer.
+	// WorkerUnresponsive means that the worker of the task's run does not answer.
 	WorkerUnresponsive DownReason = "worker_silent"
-	// RunUnconfirmed says that a run from before this ownership may go on on a worker that was
-	// not heard.
+	// RunUnconfirmed means that a run from before this ownership may still exist on a worker
+	// that has not reported.
 	RunUnconfirmed DownReason = "run_unseen"
-	// RunStarting says that a run was ordered or has begun.
+	// RunStarting means that a run was ordered or has begun.
 	RunStarting DownReason = "run_starting"
-	// RunStopping says that its run is being stopped.
+	// RunStopping means that the task's run is being stopped.
 	RunStopping DownReason = "run_stopping"
-	// CrashBackoff says that workers were lost under it time and again.
+	// CrashBackoff means that workers were repeatedly lost under the task.
 	CrashBackoff DownReason = "crash_pause"
-	// HeldByQuota says that its workspace's quota holds its stage back.
+	// HeldByQuota means that the quota of the task's workspace allows no further start.
 	HeldByQuota DownReason = "quota_holds"
-	// AdvicePending says that a question about its stage is under way.
+	// AdvicePending means that an adviser call for the task's stage is pending.
 	AdvicePending DownReason = "adviser_asked"
-	// NoTicket says that workers have room, none of them with a valid ticket.
+	// NoTicket means that workers have free capacity, but none with a valid ticket.
 	NoTicket DownReason = "no_ticket"
-	// WorkersUnavailable says that the workers with room are not used at present: they are
-	// silent, leave, are not stored yet, or declined or failed runs.
+	// WorkersUnavailable means that the workers with free capacity are not used at present:
+	// they are unresponsive, draining, not stored yet, or have refused or failed runs.
 	WorkersUnavailable DownReason = "workers_avoided"
-	// ReservedForOthers says that the workers with room are isolated or reserved.
+	// ReservedForOthers means that the workers with free capacity are isolated or reserved.
 	ReservedForOthers DownReason = "kept_for_others"
-	// CapacityAvailable says that a worker could take it now.
+	// CapacityAvailable means that a worker could run the task now.
 	CapacityAvailable DownReason = "room_free"
-	// CapacityExhausted says that no worker that may run it has room.
+	// CapacityExhausted means that no worker that may run the task has free capacity.
 	CapacityExhausted DownReason = "room_taken"
 )
--- a/internal/cell/down_task.go
+++ b/internal/cell/down_task.go
@@ -8,24 +8,24 @@
 	"gentianstand/internal/job"
 )
 
-// downAfter is from when on a lasting task that is not at work is told to operators: a start
-// with a question to the adviser is over before.
+// downAfter is how long a long-running task must be down to be reported to operators. A normal
+// start, including an adviser call, takes less.
 const downAfter = 3 * time.Second
 
-// DownTask describes a lasting task that is not at work.
+// DownTask describes a long-running task that is not working.
 type DownTask struct {
 	Task    job.TaskID
 	Reason  DownReason
 	DownFor time.Duration
-	// Run and Worker are those of its run, if it has one.
+	// Run and Worker identify the task's run, if it has one.
 	Run    uint64
 	Worker string
-	// WorkersWithCapacity is how many workers could hold the task beside what they have.
+	// WorkersWithCapacity is the number of workers with enough free capacity for the task.
 	WorkersWithCapacity int
 }
 
-// DownTasks returns how many lasting tasks have not been at work for long, and those that have
-// been away longest, at most most.
+// DownTasks returns the long-running tasks that have been down longest, at most limit, and the
+// total number of those that have been down for at least downAfter.
 func (c *Cell) DownTasks(limit int, now time.Time) (list []DownTask, total int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -40,7 +40,7 @@
 	return list, len(tasks)
 }
 
-// downTasks returns the lasting tasks that have not been at work for long.
+// downTasks returns the long-running tasks that have been down for at least downAfter.
 func (c *Cell) downTasks(now time.Time) []*task {
 	var down []*task
 	for _, j := range c.active {
@@ -66,7 +66,8 @@
 	return d
 }
 
-// lastWorking returns when a lasting task was last seen at work, or could first have been.
+// lastWorking returns when a long-running task last worked, or the earliest time at which it
+// could have worked.
 func (c *Cell) lastWorking(t *task) time.Time {
 	first := t.stage.job.record.AcceptedAt
 	for _, at := range []time.Time{c.startedAt, t.stage.job.record.DueAt(t.stage.id.Occurrence), t.lastWorkingAt} {
@@ -77,7 +78,7 @@
 	return first
 }
 
-// recordWorking takes in that a run was reported at some percentage.
+// recordWorking updates lastWorkingAt from a reported percentage.
 func (c *Cell) recordWorking(a *attempt, percent int, now time.Time) {
 	t := a.task
 	if !t.stage.step.LongRunning || percent < workingPercent {
@@ -89,7 +90,7 @@
 	t.lastWorkingAt = now
 }
 
-// downReason finds out why a lasting task is not at work.
+// downReason determines why a long-running task is not working.
 func (c *Cell) downReason(t *task, view *planView, now time.Time) DownReason {
 	if len(t.attempts) > 0 {
 		return t.attempts[0].downReason()
@@ -112,7 +113,7 @@
 	return c.whyNotPlaced(s, view, now)
 }
 
-// whyNotPlaced finds out why no worker with room takes a stage.
+// whyNotPlaced determines why no worker with free capacity is chosen for a stage.
 func (c *Cell) whyNotPlaced(s *stage, view *planView, now time.Time) DownReason {
 	need := s.step.Occupied()
 	usable, accepting := 0, 0
@@ -134,7 +135,8 @@
 	return NoTicket
 }
 
-// workersWithCapacity counts the workers that may run a stage and have room for a task of it.
+// workersWithCapacity counts the workers that may run a stage and have free capacity for one
+// of its tasks.
 func (c *Cell) workersWithCapacity(s *stage) int {
 	n := 0
 	for _, w := range c.workers {
@@ -145,7 +147,7 @@
 	return n
 }
 
-// downReason tells why a task with a run is not at work.
+// downReason determines why a task with a run is not working.
 func (a *attempt) downReason() DownReason {
 	switch {
 	case a.inherited:
--- a/internal/cell/ends.go
+++ b/internal/cell/ends.go
@@ -10,8 +10,8 @@
 	"gentianstand/internal/runner"
 )
 
-// recordEnd takes in the end of a run that a worker lists, and reports whether it
-// could: the end of a job that has yet to be looked for has to wait.
+// recordEnd handles a run end that a worker lists. It returns false if the end must wait
+// because its job is not loaded yet.
 func (c *Cell) recordEnd(w *worker, e runner.End, now time.Time) bool {
 	if !c.knowsJob(e.Task) {
 		return false
@@ -50,8 +50,8 @@
 	return true
 }
 
-// runDone books the end of a run as done; a is nil if the run is not booked. A task that
-// lasts has to run again however it ends.
+// runDone handles the successful end of a run; a is nil if the run is not accounted. A
+// long-running task has to run again however its run ends.
 func (c *Cell) runDone(t *task, a *attempt, w *worker, now time.Time) {
 	c.clearCrashes(t)
 	if a != nil {
@@ -66,8 +66,8 @@
 	}
 }
 
-// recordDuration learns how long a task took, if the run was seen from its start
-// and did not resume from a checkpoint.
+// recordDuration records a run's duration, if the run was seen from its start and did not
+// resume from a checkpoint.
 func (c *Cell) recordDuration(a *attempt, now time.Time) {
 	step := a.task.stage.step
 	if a.fromScratch && !step.LongRunning && !step.Gang && !step.BestEffort {
@@ -78,8 +78,8 @@
 	}
 }
 
-// markSuccessorsFresh notes that the stages after s were not started before now: one
-// of its runs was seen under this owner and has only now ended.
+// markSuccessorsFresh marks the stages after s as not started by any previous owner: a run of
+// s was seen under this owner and has only now ended.
 func (s *stage) markSuccessorsFresh() {
 	for _, next := range s.job.stages {
 		if slices.Contains(next.predecessors, s) {
@@ -88,7 +88,7 @@
 	}
 }
 
-// taskDone books a success. One end of a gang's member stands for all.
+// taskDone handles a success. In a gang, the end of one member counts for all.
 func (c *Cell) taskDone(t *task, w *worker, now time.Time) {
 	members := []*task{t}
 	if t.stage.step.Gang {
@@ -118,16 +118,16 @@
 	}
 }
 
-// taskFailed counts a failed run once and gives the job up when its attempts
-// are used up. Tasks that last may fail any number of times.
+// taskFailed counts a failed run once and fails the job when its attempts are used up.
+// Long-running tasks may fail any number of times.
 func (c *Cell) taskFailed(t *task, w *worker, run uint64, now time.Time) {
 	if t.done {
-		// A copy of it succeeded.
+		// A speculative run of the task succeeded.
 		return
 	}
 	counted := t
 	if t.stage.step.Gang {
-		// A gang fails as a whole, whichever members list it.
+		// A gang fails as a whole, whichever member lists the failure.
 		counted = t.stage.tasks[0]
 	}
 	if !counted.countFailure(run) {
@@ -149,8 +149,8 @@
 	}
 }
 
-// breakGang ends the members that are left when one of a gang has ended, so
-// that all can start again together.
+// breakGang stops the remaining members of a gang after one has ended, so that all can restart
+// together.
 func (c *Cell) breakGang(s *stage, now time.Time) {
 	if s.isDone() {
 		return
@@ -162,14 +162,14 @@
 	}
 }
 
-// completeIfDone completes a job whose tasks are all done.
+// completeIfDone completes a job whose stages are all done.
 func (c *Cell) completeIfDone(j *jobState, now time.Time) {
 	if j.final == "" && j.allDone() {
 		c.endJob(j, job.Completed, now)
 	}
 }
 
-// drop takes a run out of the books: it is certain that it does not go on.
+// drop removes a run from the accounting, as it is certain to have ended.
 func (c *Cell) drop(a *attempt, reason string, now time.Time) {
 	t := a.task
 	for i, other := range t.attempts {
@@ -198,7 +198,7 @@
 	c.log.WithFields(attemptFields(a)).WithField("why", reason).Debug("run_over")
 }
 
-// stop orders the end of a run.
+// stop orders the end of a run, unless it is already stopping.
 func (c *Cell) stop(a *attempt, reason string, now time.Time) {
 	if a.phase == stopping {
 		return
--- a/internal/cell/evacuate.go
+++ b/internal/cell/evacuate.go
@@ -6,14 +6,14 @@
 	"gentianstand/internal/upkeep"
 )
 
-// minEvacuationGain is how much longer a run has to need for a stop and a start elsewhere
-// to be worth it on a worker that is being emptied.
+// minEvacuationGain is the least expected remaining time of a run for which a stop and a
+// restart elsewhere pays off on an evacuating worker.
 const minEvacuationGain = 1500 * time.Millisecond
 
-// workingPercent is the progress in percent that a lasting task reports when it works.
+// workingPercent is the progress that a long-running task reports while it works.
 const workingPercent = 100
 
-// SetEvacuating names all workers that are to be emptied; others are used again.
+// SetEvacuating sets the workers to evacuate. All other workers may be used again.
 func (c *Cell) SetEvacuating(workers []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -29,7 +29,8 @@
 	}
 }
 
-// WorkerLoad returns what runs on a worker. Where that is not known, nothing may be ended.
+// WorkerLoad returns what runs on a worker. If that is not known, the load is protected, so
+// that nothing there is ended.
 func (c *Cell) WorkerLoad(id string) upkeep.Load {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -47,9 +48,9 @@
 	return load
 }
 
-// WorkerTerminated takes in that a worker's life has ended by an order that was first sent at
-// orderedAt. An incarnation that became known later is the next one: the answer may come
-// when the upkeep is over.
+// WorkerTerminated handles the termination of a worker by an order that was first sent at
+// orderedAt. An incarnation that became known later is the next one and is kept, as the answer
+// may arrive only after the maintenance.
 func (c *Cell) WorkerTerminated(id string, orderedAt, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,7 +64,7 @@
 	}
 }
 
-// evacuate moves a run off a worker whose machine is about to have its upkeep.
+// evacuate moves a run off a worker whose machine is about to be maintained.
 func (c *Cell) evacuate(a *attempt, now time.Time) {
 	step := a.task.stage.step
 	switch {
@@ -74,9 +75,9 @@
 	}
 }
 
-// mayInterrupt reports whether a run may be ended by the owner's choice. Callers say how many
-// tasks of a lasting step may be away for that; workers that are emptied together may have
-// several.
+// mayInterrupt reports whether the owner may end a run on its own decision. Callers set how
+// many tasks of a long-running step may be down for that. The limit is checked because workers
+// that are evacuated together may run several of them.
 func (c *Cell) mayInterrupt(a *attempt) bool {
 	s := a.task.stage
 	if !s.step.LongRunning || s.step.MaxUnavailable == 0 {
@@ -91,7 +92,7 @@
 	return down < s.step.MaxUnavailable
 }
 
-// isWorking reports whether a lasting task is at work, as far as its worker has told.
+// isWorking reports whether a long-running task works, according to its worker's last report.
 func (t *task) isWorking() bool {
 	for _, a := range t.attempts {
 		if a.phase == running && a.percent >= workingPercent && a.worker.unresponsiveSince.IsZero() {
--- a/internal/cell/incarnation_state.go
+++ b/internal/cell/incarnation_state.go
@@ -6,31 +6,33 @@
 	"gentianstand/internal/runner"
 )
 
-// incarnationState is what is known of a worker's present incarnation. Nothing of it holds for the next
-// one, which counts its ends and its time anew.
+// incarnationState is what the cell knows about a worker's current incarnation. None of it
+// applies to the next incarnation, whose end sequence and clock start over.
 type incarnationState struct {
-	// incarnation names it, or is 0 before the worker has told.
+	// incarnation identifies the incarnation. It is 0 until the worker has reported it.
 	incarnation runner.Incarnation
-	// knownSince is when the cell learned of it. before is the one in whose place it came,
-	// or 0.
+	// knownSince is when the cell learned of the incarnation. previous is the incarnation that
+	// it replaced, or 0.
 	knownSince time.Time
 	previous   runner.Incarnation
-	// reported says that it answered a look under this ownership since it was
-	// last taken as lapsed; its books are complete only then.
+	// reported is set once the worker has answered a poll under this ownership, and cleared
+	// when its lease expires or it is parked. The accounting of its runs is complete only
+	// while it is set.
 	reported          bool
 	lastReport        time.Time
 	unresponsiveSince time.Time
-	// failedPolls counts the looks without an answer since the last report.
+	// failedPolls counts the unanswered polls since the last report.
 	failedPolls int
-	// clock is the worker's clock at clockAt on ours.
+	// clock is the worker's clock at clockAt on the owner's clock.
 	clock   time.Duration
 	clockAt time.Time
-	// leaseEnd is the latest lease end that was ever sent, on its clock.
+	// leaseEnd is the latest lease end that was ever sent, on the worker's clock.
 	leaseEnd time.Duration
-	// seenEnd is the highest end taken in; acked the highest that is stored.
+	// seenEnd is the highest sequence number of a recorded end, and ackedEnd the highest that
+	// is stored.
 	seenEnd  uint64
 	ackedEnd uint64
-	// drainingSince is when it said that it drains.
+	// drainingSince is when the worker was first reported as draining.
 	drainingSince time.Time
 	health        health
 }
--- a/internal/cell/isolation.go
+++ b/internal/cell/isolation.go
@@ -6,18 +6,17 @@
 	"time"
 )
 
-// survivedAfter is how long a run must have been seen at work to count as one that does not
-// crash its worker. A poison task does so at once; a longer time would keep more workers
-// isolated.
+// survivedAfter is how long a run must have worked to be known not to crash its worker. A
+// poison task crashes it immediately, and a longer time would keep more workers isolated.
 const survivedAfter = 500 * time.Millisecond
 
-// startingWeight makes a run of another job that is starting count more, on a worker for an
-// isolated run, than any number of runs that have survived: it could be blamed for the
-// crash.
+// startingWeight is the weight of another job's starting run when a worker is chosen for an
+// isolated run. It exceeds any number of runs that have survived, because a starting run could
+// be blamed for the crash.
 const startingWeight = 1000
 
-// recordSurvival takes in that a run was seen at work: if it were one that crashes its worker,
-// it would have done so.
+// recordSurvival handles a report of a working run. A run that has worked for survivedAfter
+// does not crash its worker.
 func (c *Cell) recordSurvival(a *attempt, now time.Time) {
 	if a.survived || now.Sub(a.confirmedAt) < survivedAfter {
 		return
@@ -26,7 +25,7 @@
 	c.clearCrashes(a.task)
 }
 
-// clearCrashes forgets the crash history of a task: one of its runs did not crash its
+// clearCrashes resets the crash history of a task after one of its runs did not crash its
 // worker.
 func (c *Cell) clearCrashes(t *task) {
 	if t.crashes.hasLosses() {
@@ -35,8 +34,8 @@
 	}
 }
 
-// isolated reports whether nothing of another job may be started beside a run: it would be
-// lost if this one crashes the worker, and could be blamed for that.
+// isolated reports whether no task of another job may be started next to a run. Such a task
+// would be lost if the run crashes the worker, and could be blamed for the crash.
 func (a *attempt) isolated() bool { return !a.survived && a.task.crashes.hasLosses() }
 
 // isolate keeps other jobs off the worker of a new run if its task has a crash history.
@@ -47,7 +46,7 @@
 	}
 }
 
-// isolateOthers isolates the other runs of a task whose run became a suspect.
+// isolateOthers isolates the other runs of a task after one of its runs became a suspect.
 func (c *Cell) isolateOthers(a *attempt) {
 	for _, other := range a.task.attempts {
 		if other != a {
@@ -56,7 +55,7 @@
 	}
 }
 
-// markIsolated notes on each worker for which job it is isolated.
+// markIsolated records on each worker the job for which it is isolated.
 func (c *Cell) markIsolated() {
 	for a := range c.isolatedRuns {
 		if !a.isolated() {
@@ -67,10 +66,10 @@
 	}
 }
 
-// acceptsJob reports whether a job's tasks may be started on a worker that may be isolated.
+// acceptsJob reports whether the worker's isolation, if any, allows tasks of a job.
 func (w *worker) acceptsJob(j *jobState) bool { return w.isolatedFor == nil || w.isolatedFor == j }
 
-// weightAtRisk tells how much of other jobs would be lost with a worker.
+// weightAtRisk returns the weight of the runs of other jobs that would be lost with a worker.
 func (w *worker) weightAtRisk(j *jobState) int {
 	n := 0
 	for a := range w.attempts {
@@ -85,11 +84,11 @@
 	return n
 }
 
-// pickIsolated returns the candidate on which a task with a crash history puts least at
-// risk, or -1.
+// pickIsolated returns the index of the candidate on which a task with a crash history puts
+// the least weight at risk, or -1 if there is none.
 func (c *Cell) pickIsolated(s *stage, t *task, fitting []candidate, now time.Time) int {
 	best, least := -1, 0
-	// The emptiest come last.
+	// The emptiest workers come last.
 	for i := len(fitting) - 1; i >= 0; i-- {
 		w := fitting[i].w
 		if !c.canPlace(s, t, w, now) {
@@ -106,7 +105,8 @@
 	return best
 }
 
-// sortByRisk sorts the candidates for a gang of which a task has a crash history.
+// sortByRisk sorts the candidates for a gang by the weight at risk if one of its tasks has a
+// crash history.
 func (s *stage) sortByRisk(fitting []candidate) []candidate {
 	if !s.lostWorkers || !slices.ContainsFunc(s.tasks, func(t *task) bool { return t.crashes.hasLosses() }) {
 		return fitting
@@ -116,8 +116,8 @@
 	return sorted
 }
 
-// backsOff reports whether a stage has nothing to start now because workers were lost under
-// its tasks time and again. A gang starts whole.
+// backsOff reports whether a stage has nothing to start now because workers were repeatedly
+// lost under its tasks. A gang starts as a whole.
 func (s *stage) backsOff(now time.Time) bool {
 	if !s.lostWorkers {
 		return false
--- a/internal/cell/job_state.go
+++ b/internal/cell/job_state.go
@@ -7,27 +7,27 @@
 	"gentianstand/internal/quota"
 )
 
-// jobState is one job as its cell knows it.
+// jobState is the scheduling state of one job.
 type jobState struct {
 	record *job.Record
-	// account is that of the job's workspace, or nil if it has none.
+	// account is the quota account of the job's workspace, or nil if it has none.
 	account *quota.Account
 	stages  []*stage
-	// overShare says that its workspace had sent more than its share when it was accepted.
+	// overShare is set if the workspace had exceeded its share when the job was accepted.
 	overShare bool
-	// inherited jobs were accepted under an earlier owner.
+	// inherited is set if the job was accepted under a previous owner.
 	inherited bool
-	// started says that a task has been confirmed as running.
+	// started is set once a task is confirmed to have started.
 	started bool
 	final   job.State
 	endedAt time.Time
-	// storedState is the final state that is stored and may be shown.
+	// storedState is the final state once it is stored and may be shown.
 	storedState job.State
-	// compacted says that its record and progress were compacted, or are about to be.
+	// compacted is set if the record and progress were compacted, or are about to be.
 	compacted bool
-	// criticalPath is the ideal duration of the longest criticalPath of steps.
+	// criticalPath is the ideal duration of the longest chain of steps.
 	criticalPath time.Duration
-	// criticalDepth is the number of stages on the longest chain.
+	// criticalDepth is the largest number of stages on a chain of steps.
 	criticalDepth int
 }
 
@@ -52,8 +52,8 @@
 	return j
 }
 
-// computeCriticalPath finds, for each stage, the ideal time from its start to the end
-// of the job.
+// computeCriticalPath computes, for each stage, the ideal time from its start to the end of
+// the job, and the totals for the job.
 func (j *jobState) computeCriticalPath() {
 	for i := len(j.stages) - 1; i >= 0; i-- {
 		s := j.stages[i]
@@ -87,12 +87,12 @@
 	return job.Queued
 }
 
-// age returns how long ago the job was accepted, by the wall clock.
+// age returns the time since the job was accepted, by the wall clock.
 func (j *jobState) age(now time.Time) time.Duration {
 	return now.Sub(j.record.AcceptedAt)
 }
 
-// objective returns when the job should be complete.
+// objective returns the time by which the job should be complete.
 func (j *jobState) objective(s *stage, d *durations) time.Time {
 	from := j.record.AcceptedAt
 	if due := j.record.DueAt(s.id.Occurrence); due.After(from) {
--- a/internal/cell/known_worker.go
+++ b/internal/cell/known_worker.go
@@ -2,21 +2,21 @@
 
 import "gentianstand/internal/runner"
 
-// KnownWorker is a worker on which runs may be.
+// KnownWorker is the stored entry of a worker on which runs may exist.
 type KnownWorker struct {
 	ID      string `cbor:"1,keyasint"`
 	Address string `cbor:"2,keyasint"`
-	// Cordoned says that no run was started there since this was stored, and that
-	// Runs are all that may still be there.
+	// Cordoned guarantees that no run was started there since the entry was stored, and that
+	// Runs are all runs that may still exist there.
 	Cordoned bool       `cbor:"3,keyasint,omitempty"`
 	Runs     []KnownRun `cbor:"4,keyasint,omitempty"`
-	// Suspects are the runs that may have crashed the worker; it fell silent while they
-	// were starting.
+	// Suspects are the runs that may have crashed the worker: it became unresponsive while
+	// they were starting.
 	Suspects []KnownRun `cbor:"5,keyasint,omitempty"`
-	// Incarnation is the incarnation that all this is said of, or 0 if it was not known.
+	// Incarnation is the incarnation to which the entry applies, or 0 if it was not known.
 	Incarnation runner.Incarnation `cbor:"6,keyasint,omitempty"`
-	// LeaseRemainingMillis is how long leases on the worker may last from when this was stored,
-	// told by the owner of Term at the end of its term. It is 0 if no owner told.
+	// LeaseRemainingMillis is how long leases on the worker may last, counted from when the
+	// entry was stored. The owner of Term sets it at the end of its term; otherwise it is 0.
 	LeaseRemainingMillis int64  `cbor:"7,keyasint,omitempty"`
 	Term                 uint64 `cbor:"8,keyasint,omitempty"`
 }
--- a/internal/cell/known_workers.go
+++ b/internal/cell/known_workers.go
@@ -8,13 +8,13 @@
 	"gentianstand/internal/roster"
 )
 
-// workerChunks is over how many stored values the known workers are spread, so
-// that 3,000 of them fit into values of 64 KiB and a change writes little.
+// workerChunks is the number of stored values over which the known workers are spread, so that
+// 3,000 workers fit into values of 64 KiB and a change writes little.
 const workerChunks = 16
 
-// dirtyChunks tells which chunks are ahead of the store. Every worker is stored before
-// the first run is placed on it, and stays stored until nothing can run there any more, or
-// it is parked: one that is cut off from the store vanishes from the roster and goes on
+// dirtyChunks is the set of chunks that differ from the store. Every worker is stored before
+// the first run is placed on it. It stays stored until nothing can run there any more or it is
+// parked, because a worker that is cut off from the store disappears from the roster and keeps
 // running.
 type dirtyChunks struct{ numbers map[int]struct{} }
 
@@ -28,9 +28,9 @@
 
 func (d *dirtyChunks) mark(workerID string) { d.numbers[chunkOf(workerID)] = struct{}{} }
 
-// LoadWorkers takes in the workers that an earlier owner stored in a chunk. Those
-// that the roster lacks are looked at like the others. It must be called after
-// SetRoster and after the jobs were loaded.
+// LoadWorkers adds the workers that a previous owner stored in a chunk. Those missing from the
+// roster are polled like the others. It must be called after SetRoster and after the jobs were
+// loaded.
 func (c *Cell) LoadWorkers(workers []KnownWorker, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -51,7 +51,7 @@
 		w.storedByPreviousOwner = true
 		c.restoreLease(w, k, now)
 		if k.Incarnation > w.incarnation {
-			// The roster is behind.
+			// The roster is out of date.
 			c.setIncarnation(w, k.Incarnation)
 		}
 		w.stored = !k.Cordoned && (k.Incarnation == 0 || k.Incarnation == w.incarnation)
@@ -65,17 +65,18 @@
 	}
 }
 
-// restoreCrash takes in what was stored of a worker that has restarted since: what ran there
-// has ended, and on the new incarnation nothing was started.
+// restoreCrash handles the stored entry of a previous incarnation: its runs have ended, and
+// nothing was started on the new one.
 func (c *Cell) restoreCrash(w *worker, k KnownWorker, now time.Time) {
 	c.restoreSuspects(w, k.Suspects)
 	c.workerCrashed(w.ID, now)
 	c.dirtyChunks.mark(w.ID)
 }
 
-// WorkersLoaded tells that Inherit was called with every chunk. On other workers no earlier
-// owner can have started anything: it would have stored them before, and since this owner
-// holds the claim it can store nothing more. So they are not waited for.
+// WorkersLoaded must be called once LoadWorkers was called with every chunk. No previous owner
+// can have started anything on other workers: it would have stored them first, and it can
+// store nothing more since this owner holds the claim. Recovery therefore does not wait for
+// them.
 func (c *Cell) WorkersLoaded() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -85,7 +86,7 @@
 	}
 }
 
-// takeChunks returns the chunks to store; c.mu is held.
+// takeChunks returns the chunks to store. The caller holds c.mu.
 func (c *Cell) takeChunks() []WorkerChunk {
 	if len(c.dirtyChunks.numbers) == 0 {
 		return nil
@@ -113,7 +114,7 @@
 	return chunks
 }
 
-// chunksStored notes that chunks were stored; c.mu is held.
+// chunksStored marks the workers of stored chunks as stored. The caller holds c.mu.
 func (c *Cell) chunksStored(chunks []WorkerChunk) {
 	for _, chunk := range chunks {
 		for _, k := range chunk.Workers {
--- a/internal/cell/lease_remaining.go
+++ b/internal/cell/lease_remaining.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// EndTerm takes in that this owner gives no orders any more from now on. What it stores
-// after this tells the next owner how long the leases of silent workers still last. They
-// would be waited for from the start by each owner otherwise.
+// EndTerm ends this owner's term: it sends no orders from now on. What it stores afterwards
+// includes the remaining lease time of unresponsive workers. Without it, each new owner would
+// wait for their full leases again.
 func (c *Cell) EndTerm(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -16,7 +16,7 @@
 	}
 }
 
-// runsOverBy returns when the runs on a worker must be over whose lease no owner extends.
+// runsOverBy returns when a worker's runs must have ended if no owner extends its lease.
 func (c *Cell) runsOverBy(w *worker) time.Time {
 	if w.clockAt.IsZero() {
 		return c.earlierRunsUntil(w)
@@ -24,8 +24,8 @@
 	return w.leaseOverAt()
 }
 
-// earlierRunsUntil returns until when runs of an earlier owner may go on on a worker that this
-// one has not heard.
+// earlierRunsUntil returns how long runs of previous owners may continue on a worker that has
+// not reported to this one.
 func (c *Cell) earlierRunsUntil(w *worker) time.Time {
 	limit := c.startedAt.Add(c.earlierLeaseLimit())
 	if w.earlierLeaseUntil.IsZero() || w.earlierLeaseUntil.After(limit) {
@@ -34,8 +34,9 @@
 	return w.earlierLeaseUntil
 }
 
-// restoreLease takes in how long the lease of a worker lasts. That holds only if the last
-// owner has told it: one after it may have extended the lease.
+// restoreLease sets a worker's remaining lease time from its stored entry. It applies only if
+// the immediately preceding owner stored it, as any owner in between may have extended the
+// lease.
 func (c *Cell) restoreLease(w *worker, k KnownWorker, now time.Time) {
 	if k.LeaseRemainingMillis == 0 || k.Term+1 != c.settings.Term {
 		return
@@ -44,13 +45,13 @@
 	w.earlierLeaseUntil = now.Add(time.Duration(float64(remaining) * (1 + maxClockDrift)))
 }
 
-// addRemainingLease adds to what is stored of a worker how long its lease still lasts.
+// addRemainingLease adds the remaining lease time to a worker's stored entry.
 func (c *Cell) addRemainingLease(k *KnownWorker, w *worker) {
 	if c.endedAt.IsZero() {
 		return
 	}
 	remaining := max(0, c.runsOverBy(w).Sub(c.endedAt))
-	// Rounded up, and never 0, which is for an owner that did not tell.
+	// Round up. 0 is reserved for an owner that did not set it.
 	k.LeaseRemainingMillis = remaining.Milliseconds() + 1
 	k.Term = c.settings.Term
 }
--- a/internal/cell/long_wait.go
+++ b/internal/cell/long_wait.go
@@ -8,34 +8,35 @@
 	"gentianstand/internal/resource"
 )
 
-// longWaitAfter is how long a stage must have had tasks to place to be told to
-// operators: an ordinary wait for room or for slow advice is over before.
+// longWaitAfter is how long a stage must have had tasks to place to be reported to operators.
+// A normal wait for free capacity or a slow adviser call takes less.
 const longWaitAfter = 8 * time.Second
 
-// LongWait describes a stage that has waited for long.
+// LongWait describes a stage that has been waiting for at least longWaitAfter.
 type LongWait struct {
 	Stage     job.StageID
 	Queue     string
 	Workspace string
 	Reason    WaitReason
 	Waited    time.Duration
-	// Idle is how many of the Tasks wait, Need what each of them takes.
+	// Idle of the Tasks are waiting, and each of them occupies Need.
 	Idle, Tasks int
 	Need        resource.Amount
-	// Feasible is how many workers could hold a task when idle, Denied how many of them
-	// the adviser refused, and Unknown of how many it was not asked.
+	// Feasible is the number of workers that could run a task when idle. The adviser denied
+	// Denied of them and was not asked about Unknown of them.
 	Feasible, Denied, Unknown int
-	// TaskCapacity is how many tasks the able workers that are not denied hold when idle.
+	// TaskCapacity is the number of tasks that fit on the feasible workers that were not
+	// denied, when they are idle.
 	TaskCapacity int
 }
 
-// Impossible reports whether the wait cannot end with the workers that are known.
+// Impossible reports whether the wait cannot end with the known workers.
 func (l *LongWait) Impossible() bool {
 	return l.Reason != WaitsForCapacity && l.Reason != OverQuota && l.Reason != CatalogBehind
 }
 
-// LongWaits returns the stages that have waited for long, impossible ones first, then
-// those with the longest wait.
+// LongWaits returns the stages that have been waiting for at least longWaitAfter: impossible
+// ones first, then by the length of the wait.
 func (c *Cell) LongWaits(now time.Time) []LongWait {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -58,7 +59,7 @@
 	return waits
 }
 
-// describeWait finds out why a stage waits.
+// describeWait determines why a stage is waiting.
 func (c *Cell) describeWait(s *stage, now time.Time) LongWait {
 	l := LongWait{Stage: s.id, Queue: s.job.record.Queue, Workspace: s.job.record.Workspace, Waited: now.Sub(s.readyAt),
 		Idle: len(s.idle), Tasks: len(s.tasks), Need: s.step.Occupied()}
@@ -85,7 +86,7 @@
 	return l
 }
 
-// capacityWhenIdle returns how many of the stage's tasks an idle worker holds.
+// capacityWhenIdle returns how many of the stage's tasks fit on an idle worker.
 func (s *stage) capacityWhenIdle(w *worker) int {
 	limit := len(s.tasks)
 	if s.step.MaxPerWorker > 0 {
--- a/internal/cell/lost_runs.go
+++ b/internal/cell/lost_runs.go
@@ -8,11 +8,11 @@
 	"github.com/sirupsen/logrus"
 )
 
-// maxLostLogged bounds the lines about the runs that went with one worker.
+// maxLostLogged bounds the log lines about the runs lost with one worker.
 const maxLostLogged = 5
 
-// logLost logs the youngest runs that go with a worker, and how long each had been at
-// work when the worker fell silent. A run that crashes its worker is always one of them.
+// logLost logs the youngest runs that are lost with a worker, and how long each had worked
+// when the worker became unresponsive. A run that crashes its worker is always one of them.
 func (c *Cell) logLost(w *worker, reason string) {
 	runs := make([]*attempt, 0, len(w.attempts))
 	for a := range w.attempts {
@@ -27,7 +27,8 @@
 	}
 }
 
-// workedFor returns how long a run was known to be at work before its worker fell silent.
+// workedFor returns how long a run is known to have worked before its worker became
+// unresponsive.
 func (w *worker) workedFor(a *attempt) time.Duration {
 	if a.confirmedAt.IsZero() {
 		return 0
--- a/internal/cell/lost_worker.go
+++ b/internal/cell/lost_worker.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// lostWorker is a worker that fell silent, and the runs that may have crashed it.
+// lostWorker is a worker that became unresponsive, and the runs that may have crashed it.
 type lostWorker struct {
 	address string
-	// unresponsiveSince is when it fell silent.
+	// unresponsiveSince is when the worker became unresponsive.
 	unresponsiveSince time.Time
 	suspects          []suspectRun
 }
 
-// addSuspect notes a run that was starting.
+// addSuspect adds a run that was starting.
 func (l *lostWorker) addSuspect(a *attempt) {
 	confirmed := !a.confirmedAt.IsZero()
 	l.suspects = append(l.suspects, suspectRun{task: a.task, run: a.run, confirmed: confirmed,
 		immediate: confirmed && l.unresponsiveSince.Sub(a.confirmedAt) <= immediateCrashWindow})
 }
 
-// knownRuns returns the suspects as they are stored.
+// knownRuns returns the confirmed suspects in their stored form.
 func (l *lostWorker) knownRuns() []KnownRun {
 	var runs []KnownRun
 	for _, r := range l.suspects {
@@ -29,7 +29,7 @@
 }
 
 // blamed returns the suspects of which one crashed the worker: those of tasks under which
-// other workers were lost, too, or else all.
+// other workers were lost as well, or else all that had begun.
 func (l *lostWorker) blamed() []suspectRun {
 	var begun, repeated []suspectRun
 	for _, r := range l.suspects {
@@ -47,7 +47,7 @@
 	return begun
 }
 
-// settled reports whether nothing depends any more on what became of the worker.
+// settled reports whether the fate of the worker no longer matters to any suspect.
 func (l *lostWorker) settled() bool {
 	for _, r := range l.suspects {
 		if !r.task.done && r.task.stage.job.final == "" {
@@ -57,7 +57,7 @@
 	return true
 }
 
-// sameJob reports whether all runs are of one job.
+// sameJob reports whether all runs belong to one job.
 func sameJob(runs []suspectRun) bool {
 	for _, r := range runs {
 		if r.task.stage.job != runs[0].task.stage.job {
--- a/internal/cell/mechanism.go
+++ b/internal/cell/mechanism.go
@@ -2,9 +2,9 @@
 
 import "strings"
 
-// Mechanism names a part of the policy that may be switched off alone, to measure what
-// it is worth or to go on without it when it does harm. None of them guards a promise:
-// without them work is slower or dearer, and as safe.
+// Mechanism names a part of the scheduling policy that can be disabled on its own, to measure
+// its effect or to continue without it if it does harm. Correctness depends on no mechanism:
+// without them work is slower or more expensive, but as safe.
 type Mechanism string
 
 const (
@@ -12,31 +12,33 @@
 	Parking Mechanism = "parking"
 	// Preemption stops less urgent runs for the most urgent queue; see preempt.
 	Preemption Mechanism = "preemption"
-	// SpeculativeRuns starts a second run of a doubtful one; see copyIfDoubtful.
+	// SpeculativeRuns starts a second run of a task whose run is uncertain to end in time; see
+	// speculate.
 	SpeculativeRuns Mechanism = "copies"
-	// Moves stops runs that stand still or are slow; see watchProgress.
+	// Moves stops stalled and slow runs, so that they restart elsewhere; see watchProgress.
 	Moves Mechanism = "moves"
 	// Quarantine avoids workers on which runs fail; see health.
 	Quarantine Mechanism = "quarantine"
-	// TicketsAhead asks for advice about workers without room; see askAdvice.
+	// TicketsAhead requests tickets for workers without free capacity; see askAdvice.
 	TicketsAhead Mechanism = "tickets-ahead"
-	// DataLocality waits for room near a stage's data; see waitsForNear.
+	// DataLocality waits for free capacity near a stage's data; see waitsForLocality.
 	DataLocality Mechanism = "near-data"
-	// LateLast puts work that is late anyway behind other work; see inOrder.
+	// LateLast puts late work behind work that can still meet its objective; see
+	// sortedWaiting.
 	LateLast Mechanism = "late-last"
 	// FairShares puts jobs beyond the share of their workspace behind others; see meterJobs.
 	FairShares Mechanism = "fair-shares"
-	// UrgentReserve keeps processors for the most urgent queue; see room.allows.
+	// UrgentReserve reserves CPU capacity for the most urgent queue; see planView.allowsCPU.
 	UrgentReserve Mechanism = "urgent-reserve"
-	// Reservations keeps workers for large tasks; see reserve.
+	// Reservations reserves workers for large tasks; see reserve.
 	Reservations Mechanism = "reservations"
-	// Cordoning tells the store which workers are silent; see watchClosing.
+	// Cordoning records in the store which workers are cordoned; see updateCordon.
 	Cordoning Mechanism = "closing"
 	// Relays reaches workers through other instances; see package relay.
 	Relays Mechanism = "relays"
 )
 
-// Mechanisms are all that there are, in the order of the planning pass.
+// Mechanisms lists all mechanisms, in the order of the planning pass.
 var Mechanisms = []Mechanism{FairShares, LateLast, DataLocality, Reservations, Preemption, UrgentReserve, TicketsAhead, Quarantine, Moves, SpeculativeRuns, Cordoning, Parking, Relays}
 
 func mechanismNames() string {
@@ -47,5 +49,5 @@
 	return strings.Join(names, ", ")
 }
 
-// enabled reports whether a mechanism is in use.
+// enabled reports whether a mechanism is not disabled.
 func (c *Cell) enabled(m Mechanism) bool { return !c.settings.Disabled.Has(m) }
--- a/internal/cell/mechanism_set.go
+++ b/internal/cell/mechanism_set.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// MechanismSet is a set of mechanisms that are switched off. It implements flag.Value.
+// MechanismSet is the set of disabled mechanisms. It implements flag.Value.
 type MechanismSet map[Mechanism]struct{}
 
-// String returns the set as Set takes it.
+// String returns the set in the form that Set accepts.
 func (s MechanismSet) String() string {
 	var names []string
 	for m := range s {
@@ -19,13 +19,13 @@
 	return strings.Join(names, ",")
 }
 
-// Has reports whether a mechanism is switched off.
+// Has reports whether a mechanism is disabled.
 func (s MechanismSet) Has(m Mechanism) bool {
 	_, off := s[m]
 	return off
 }
 
-// Set takes names with commas between them; an empty text is the empty set.
+// Set parses a comma-separated list of names. An empty text is the empty set.
 func (s *MechanismSet) Set(text string) error {
 	set := MechanismSet{}
 	for name := range strings.SplitSeq(text, ",") {
@@ -34,7 +34,7 @@
 		case slices.Contains(Mechanisms, m):
 			set[m] = struct{}{}
 		case m != "":
-			return fmt.Errorf("%q is no mechanism; there are %s", m, mechanismNames())
+			return fmt.Errorf("unknown mechanism %q; the mechanisms are %s", m, mechanismNames())
 		}
 	}
 	*s = set
--- a/internal/cell/order.go
+++ b/internal/cell/order.go
@@ -1,5 +1,5 @@
 package cell
 
-// Order is something the owner must carry out: a StartOrder, StopOrder,
-// PaceOrder, AdviceOrder or LookOrder.
+// Order is an action for the owner to carry out: a StartOrder, StopOrder, ThrottleOrder,
+// AdviceOrder or PollOrder.
 type Order interface{ isOrder() }
--- a/internal/cell/parking.go
+++ b/internal/cell/parking.go
@@ -6,30 +6,29 @@
 )
 
 const (
-	// spareShare is how many idle workers are kept awake for each one with runs, if
-	// that is more than Settings.SpareWorkers: a burst of twice the usual load finds
-	// room on them at once.
+	// spareShare is the number of idle workers kept in use per busy worker, if that exceeds
+	// Settings.SpareWorkers. A burst of twice the usual load then finds free capacity at once.
 	spareShare = 0.5
-	// parkAfter is how long a worker must have been idle to be parked; most runs of
-	// a job follow one another within this.
+	// parkAfter is how long a worker must have been idle to be parked. Most runs of a job
+	// follow one another within this time.
 	parkAfter = 2 * time.Second
 	// parkPeriod is how often workers are parked.
 	parkPeriod = time.Second
-	// maxUnparkingStages is for how many stages, the most urgent ones, a planning pass wakes
-	// parked workers. Each of them goes through all workers.
+	// maxUnparkingStages bounds the stages, most urgent first, for which a planning pass
+	// unparks workers. Each of them scans all workers.
 	maxUnparkingStages = 8
-	// unparkRetryDelay is how long a stage that no parked worker can hold is passed over, so that
-	// its place among those stages is another's.
+	// unparkRetryDelay is how long a stage is skipped if no parked worker can run its tasks,
+	// so that it does not count against maxUnparkingStages.
 	unparkRetryDelay = time.Second
-	// unparkTimeout is how long a woken worker counts as room that is about to come: a
-	// commit and a look, also where the store is slow.
+	// unparkTimeout is how long an unparked worker counts as upcoming capacity. It covers a
+	// commit and a poll, also with a slow store.
 	unparkTimeout = 500 * time.Millisecond
 )
 
-// park takes idle workers out of use until they are needed. A parked worker gets no run
-// and no look, and the store does not name it. With thousands of workers, looks at idle
-// ones would take most of the owner's processor, and a new owner would have to hear them
-// all.
+// park takes idle workers out of use until they are needed. A parked worker gets no runs and
+// no polls, and the store does not list it. With thousands of workers, polls of idle ones
+// would take most of the owner's CPU time, and a new owner would have to wait for reports from
+// all of them.
 func (c *Cell) park(now time.Time) {
 	if c.settings.SpareWorkers == 0 || !c.enabled(Parking) || c.recovering || now.Sub(c.lastParkAt) < parkPeriod {
 		return
@@ -65,9 +64,9 @@
 	}
 }
 
-// setParked parks a worker or takes it back. Either way it is used only after the
-// store names it and it has reported: a commit that was under way when it was parked
-// may have marked it as stored since.
+// setParked parks or unparks a worker. Afterwards it is used only once the store lists it and
+// it has reported. Unparking clears stored again, because a commit that was in progress when
+// the worker was parked may have set it since.
 func (c *Cell) setParked(w *worker, parked bool) {
 	w.parked, w.stored, w.reported = parked, false, false
 	if parked {
@@ -77,14 +76,14 @@
 	c.parkedCount--
 }
 
-// canPark reports whether nothing of ours can be on an idle worker and nothing is
-// left to tell it.
+// canPark reports whether an idle worker can have no run of any owner and has no
+// unacknowledged end.
 func (w *worker) canPark(now time.Time) bool {
 	return w.reported && w.stored && !w.cordoned && w.unlistedAt.IsZero() && w.ackedEnd == w.seenEnd && now.Sub(w.idleSince) >= parkAfter
 }
 
-// unpark has a parked worker looked at, and used as soon as the store names it and
-// it has answered.
+// unpark requests a poll of a parked worker. It is used as soon as the store lists it and it
+// has answered.
 func (c *Cell) unpark(w *worker, now time.Time) {
 	c.setParked(w, false)
 	w.unparkedAt, w.idleSince = now, now
@@ -97,13 +96,13 @@
 	return w.parked && !w.Draining && !w.evacuating && w.unlistedAt.IsZero()
 }
 
-// unparking reports whether a worker was woken and will be usable in a moment.
+// unparking reports whether a worker was unparked recently and is not usable yet.
 func (w *worker) unparking(now time.Time) bool {
 	return !w.parked && !w.unparkedAt.IsZero() && now.Sub(w.unparkedAt) < unparkTimeout && !w.usable(now)
 }
 
-// unparkFor wakes parked workers for the idle tasks of a stage that the usable ones
-// have no room for, and reports whether some are coming.
+// unparkFor unparks workers for the idle tasks of a stage that do not fit on the usable ones,
+// and reports whether the stage should wait for them.
 func (c *Cell) unparkFor(s *stage, view *planView, now time.Time) bool {
 	if c.parkedCount == 0 || view.unparkingStages == maxUnparkingStages || now.Before(s.unparkRetryAt) {
 		return false
@@ -135,8 +134,8 @@
 	return true
 }
 
-// unparkSome wakes workers in their order until the tasks that are wanted have room,
-// share of which is counted, and returns how many it woke.
+// unparkSome unparks workers in the given order until the wanted number of tasks fits, and
+// returns how many it unparked. Each worker's capacity counts with the given share.
 func (c *Cell) unparkSome(s *stage, parked []*worker, wanted, share float64, now time.Time) int {
 	for i, w := range parked {
 		if wanted <= 0 {
@@ -148,8 +147,8 @@
 	return len(parked)
 }
 
-// unparksBefore reports whether a stage has a woken before b: near its data, and
-// whole racks, for gangs that belong into one.
+// unparksBefore reports whether a stage unparks worker a before b: workers near its data
+// first, then rack by rack, for gangs that should share a rack.
 func (s *stage) unparksBefore(a, b *worker) bool {
 	if local := s.isLocal(a); local != s.isLocal(b) {
 		return local
@@ -160,8 +159,7 @@
 	return a.ID < b.ID
 }
 
-// assumedShare is the assumed share of workers, of which the adviser was not
-// asked, that may run the stage.
+// assumedShare is the assumed share of workers without a verdict that may run the stage.
 func (s *stage) assumedShare() float64 {
 	if s.job.record.Advice == nil {
 		return 1
@@ -169,8 +167,9 @@
 	return assumedAllowedShare
 }
 
-// missingCapacity returns for how many tasks of a stage the usable workers have no room.
-// Where the urgent reserve keeps the stage out, that is all of them.
+// missingCapacity returns how many tasks of a stage do not fit on the usable workers,
+// increased by ticketOversupply if the stage needs tickets. If the urgent reserve excludes the
+// stage, it counts all of them.
 func (c *Cell) missingCapacity(s *stage, view *planView) float64 {
 	wanted := float64(c.startable(s))
 	if s.job.record.Advice != nil {
@@ -194,8 +193,8 @@
 	return wanted
 }
 
-// unparkLocal wakes parked workers near a stage's data, and reports whether the stage
-// should wait for them: far from its data a task takes several times as long.
+// unparkLocal unparks workers near a stage's data, and reports whether the stage should wait
+// for them: remote tasks take several times as long.
 func (c *Cell) unparkLocal(s *stage, now time.Time) bool {
 	if c.parkedCount == 0 || s.step.DataRack == "" {
 		return false
--- a/internal/cell/place.go
+++ b/internal/cell/place.go
@@ -8,8 +8,7 @@
 	"gentianstand/internal/runner"
 )
 
-// placeStage starts what it can of a stage and asks for advice or makes room
-// for the rest.
+// placeStage starts what it can of a stage, and requests tickets or makes room for the rest.
 func (c *Cell) placeStage(s *stage, view *planView, now time.Time) {
 	if c.unparkLocal(s, now) {
 		return
@@ -36,7 +35,8 @@
 	}
 }
 
-// waitForCapacity does what brings a stage nearer to a place.
+// waitForCapacity takes the steps that lead to free capacity for a stage: adviser calls,
+// unparking, reservations and preemption.
 func (c *Cell) waitForCapacity(s *stage, view *planView, now time.Time) {
 	c.askAdvice(s, view, now)
 	if c.unparkFor(s, view, now) {
@@ -46,15 +46,15 @@
 	c.preempt(s, view, now)
 }
 
-// candidate is a worker that may take a task of a stage now.
+// candidate is a worker that can run a task of a stage now.
 type candidate struct {
 	w      *worker
 	ticket string
 	score  float64
 }
 
-// fitting returns the workers that may run the stage now and have room for a
-// task, best first.
+// fitting returns the workers that may run the stage now and have free capacity for a task,
+// best first.
 func (c *Cell) fitting(s *stage, view *planView, now time.Time) []candidate {
 	var list []candidate
 	need := s.step.Occupied()
@@ -79,8 +79,8 @@
 	return list
 }
 
-// allowed returns the usable workers for which the stage needs no ticket or has
-// one that is valid until later than until.
+// allowed returns the usable workers for which the stage needs no ticket or holds one that
+// stays valid beyond until.
 func (c *Cell) allowed(s *stage, view *planView, until time.Time) []*worker {
 	if s.job.record.Advice == nil {
 		return view.usable
@@ -94,7 +94,7 @@
 	return list
 }
 
-// eligible reports whether a worker may ever run the stage.
+// eligible reports whether a worker may run the stage, regardless of capacity.
 func (c *Cell) eligible(s *stage, w *worker) bool {
 	if w.Service != s.job.record.Service {
 		return false
@@ -105,22 +105,22 @@
 	return s.step.MaxPerWorker == 0 || s.runsPerWorker[w] < s.step.MaxPerWorker
 }
 
-// fitsWhenIdle reports whether a worker may ever run the stage and has room for a task
-// of it when nothing else runs there.
+// fitsWhenIdle reports whether a worker is eligible for the stage and could hold one of its
+// tasks if nothing else ran there.
 func (c *Cell) fitsWhenIdle(s *stage, w *worker) bool {
 	return c.eligible(s, w) && s.step.Occupied().Fits(w.Capacity)
 }
 
-// The weights of score, in shares of a worker: being far from the data counts
-// more than any fit, disturbing a serving task more than fit.
+// Weights in score, in shares of a worker. Being remote from the data outweighs any fit, and
+// so does interference with a latency-sensitive task.
 const (
 	remoteWeight       = 10.0
 	interferenceWeight = 3.0
 )
 
-// score tells how well a worker suits a stage; less is better. The fullest
-// worker that fits comes first, so that large tasks keep finding room. Tasks
-// that fill and tasks that serve keep apart where they can.
+// score rates a worker for a stage; lower is better. The fullest worker that fits comes first,
+// so that large tasks keep finding free capacity. Best-effort and latency-sensitive tasks are
+// kept apart where possible.
 func (c *Cell) score(s *stage, w *worker) float64 {
 	free := w.free()
 	score := float64(free.MilliCPU)/float64(max(1, w.Capacity.MilliCPU)) +
@@ -137,12 +137,12 @@
 	return score
 }
 
-// placeTasks starts as many idle tasks as fit, one after the other.
+// placeTasks starts idle tasks one after the other, as many as fit.
 func (c *Cell) placeTasks(s *stage, view *planView, fitting []candidate, now time.Time) {
 	need := s.step.Occupied()
 	idle := append([]int(nil), s.idle...)
 	remaining := c.startable(s)
-	// The candidates are avoided workers, or none of them is.
+	// Either all candidates are trial workers or none is.
 	onTrial := fitting[0].w.trialPass == view.pass
 	for _, index := range idle {
 		if remaining == 0 || !view.allowsCPU(s, need.MilliCPU) {
@@ -154,7 +154,7 @@
 		}
 		at := c.pick(s, t, fitting, now)
 		if at < 0 && len(t.attempts) > 0 {
-			// The others may take the worker on which this one runs.
+			// Other tasks may be able to use the worker on which this one already runs.
 			continue
 		}
 		if at < 0 {
@@ -168,8 +168,8 @@
 	}
 }
 
-// pick returns the first candidate with room for a task, avoiding all workers on which it
-// failed if another one will do. It returns -1 for none.
+// pick returns the index of the first candidate with free capacity for a task, or -1. Workers
+// on which the task has failed are used only if no other worker fits.
 func (c *Cell) pick(s *stage, t *task, fitting []candidate, now time.Time) int {
 	if t.crashes.hasLosses() {
 		return c.pickIsolated(s, t, fitting, now)
@@ -190,13 +190,13 @@
 	return second
 }
 
-// canPlace reports whether a worker has room for a task, and it may take that.
+// canPlace reports whether a worker has free capacity for a task and may run it.
 func (c *Cell) canPlace(s *stage, t *task, w *worker, now time.Time) bool {
 	return s.step.Occupied().Fits(w.free()) && c.eligible(s, w) && t.allowsWorker(w) && c.allowedByReservation(s, w, now)
 }
 
-// placeGang starts all tasks of a gang or none: members that wait for others
-// hold room for nothing.
+// placeGang starts all tasks of a gang or none. Members that wait for others would occupy
+// capacity without doing work.
 func (c *Cell) placeGang(s *stage, view *planView, fitting []candidate, now time.Time) {
 	if len(s.idle) < len(s.tasks) {
 		return
@@ -223,7 +223,8 @@
 	}
 }
 
-// assignGang returns a place for each member of a gang, or fewer if there are none.
+// assignGang returns a candidate for each member of a gang, or fewer if the capacity does not
+// suffice.
 func (c *Cell) assignGang(s *stage, fitting []candidate) []candidate {
 	var assigned []candidate
 	need := s.step.Occupied()
@@ -242,8 +243,8 @@
 	return assigned
 }
 
-// assignGangToRack is seats within one rack, if one has room; otherwise anywhere, as
-// slow work is better than none.
+// assignGangToRack is assignGang within one rack if a rack has enough capacity. Otherwise it
+// uses any workers, as slow work is better than none.
 func (c *Cell) assignGangToRack(s *stage, fitting []candidate) []candidate {
 	byRack := map[string][]candidate{}
 	var racks []string
@@ -261,7 +262,7 @@
 	return c.assignGang(s, fitting)
 }
 
-// start books a run and orders it.
+// start accounts for a run and orders its start.
 func (c *Cell) start(t *task, target candidate, run uint64, now time.Time) {
 	a := &attempt{task: t, run: run, worker: target.w, phase: ordered, orderedAt: now, speedPercent: 100, fromScratch: t.checkpoint == ""}
 	t.lastRun = run
--- a/internal/cell/plan.go
+++ b/internal/cell/plan.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Plan decides what to do now and returns the orders to carry out. Every
-// order's result must be fed back. slots bounds the calls for advice among them.
+// Plan decides what to do now and returns the orders to carry out. The result of every order
+// must be passed back to the cell. slots limits the adviser calls among them.
 func (c *Cell) Plan(now time.Time, slots AdviceSlots) []Order {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -28,7 +28,7 @@
 	return orders
 }
 
-// placeAll goes through the waiting stages in order of urgency.
+// placeAll handles the waiting stages in order of urgency.
 func (c *Cell) placeAll(now time.Time, slots AdviceSlots) {
 	expiring := c.expiring(now)
 	if len(c.waiting) == 0 && !expiring.any() {
@@ -55,7 +55,8 @@
 	c.askExpiring(expiring.finite, view, now)
 }
 
-// checkDue reports whether a waiting stage may start by now, and notes since when.
+// checkDue reports whether a waiting stage may start by now, and sets readyAt when it first
+// may.
 func (c *Cell) checkDue(s *stage, now time.Time) bool {
 	if !s.due(now, c.settings.EarlyStart) {
 		return false
@@ -66,18 +67,18 @@
 	return true
 }
 
-// mayPlace reports whether tasks of a stage that is due may be started now if there is room. It
-// gives the job of a hopeless one up.
+// mayPlace reports whether tasks of a due stage may start now if there is free capacity. It
+// fails the job of a hopeless stage.
 func (c *Cell) mayPlace(s *stage, now time.Time) bool {
 	return !c.heldBack(s) && s.job.final == "" && !c.failHopelessJob(s, now) && !s.backsOff(now) && c.startable(s) > 0
 }
 
-// sortedWaiting sorts the waiting stages. Queues with a lower priority number go first, and within
-// a priority the jobs that are within the share of their workspace. Among those, work that
-// can still meet its objective goes by the time at which it has to start; work that is late
-// anyway goes after it, shortest first, or a burst would make every job late. Of either kind,
-// stages that have begun go before others: new jobs would take the room of those that are
-// half done.
+// sortedWaiting returns the waiting stages in order of urgency. Queues with a lower priority
+// number come first, and within a priority the jobs within the share of their workspace. Work
+// that can still meet its objective is ordered by its latest start. Late work comes after it,
+// shortest first; otherwise a burst would make every job late. Within both groups, stages that
+// have started come before others, so that new jobs do not take the capacity of half-done
+// ones.
 func (c *Cell) sortedWaiting(now time.Time) []*stage {
 	type entry struct {
 		s     *stage
--- a/internal/cell/plan_view.go
+++ b/internal/cell/plan_view.go
@@ -7,37 +7,38 @@
 )
 
 const (
-	// urgentReserve is the share of all processors that only the most urgent queue and
-	// lasting tasks may use. The queue's tasks are short and come in bursts, and without
-	// room each would have to wait for a stop.
+	// urgentReserve is the share of all CPU capacity reserved for the most urgent queue and
+	// for long-running tasks. The tasks of that queue are short and arrive in bursts; without
+	// free capacity, each would have to wait for a run to be stopped.
 	urgentReserve = 0.06
 )
 
-// planView is the view of the workers during one planning pass.
+// planView is a view of the workers for one planning pass.
 type planView struct {
 	// pass is the number of the planning pass.
 	pass   uint64
 	usable []*worker
-	// trialWorkers are workers that are avoided, on which lasting tasks may be tried.
+	// trialWorkers are avoided workers on which long-running tasks may be tried.
 	trialWorkers []*worker
-	// byRack are the usable workers by their racks, once somebody asked for a rack.
+	// byRack groups the usable workers by rack. It is built on first use.
 	byRack map[string][]*worker
-	// totalMilliCPU and freeMilliCPU are thousandths of a core over all usable workers.
+	// totalMilliCPU and freeMilliCPU sum up the CPU capacity of all usable workers, in
+	// thousandths of a core.
 	totalMilliCPU, freeMilliCPU int64
-	// maxFree is the largest free amount of each kind on any worker, so that stages
-	// that fit nowhere are passed over without a look at each worker.
+	// maxFree is the largest free amount on any worker, per resource. Stages that fit nowhere
+	// are skipped without a scan of the workers.
 	maxFree resource.Amount
-	// minCapacity is the smallest capacity of each kind of any worker, so that reservations are
-	// passed over for stages whose tasks are large on none.
+	// minCapacity is the smallest capacity of any worker, per resource. Reservations are
+	// skipped for stages whose tasks are large on no worker.
 	minCapacity resource.Amount
 	slots       AdviceSlots
-	// unreserved says that no processors are kept for the most urgent queue.
+	// unreserved is set if no CPU capacity is reserved for the most urgent queue.
 	unreserved bool
-	// reserved counts the workers that are reserved for each stage.
+	// reserved counts the workers reserved for each stage.
 	reserved map[*stage]int
-	// recoveryDeadline is when the recovery is over at the latest; see recover.
+	// recoveryDeadline is the latest time at which the recovery ends; see recover.
 	recoveryDeadline time.Time
-	// unparkingStages counts the stages that had parked workers unparkingStages.
+	// unparkingStages counts the stages for which this pass considered unparking.
 	unparkingStages int
 }
 
@@ -66,7 +67,7 @@
 	return v
 }
 
-// addTrialWorker notes a worker that is not usable if lasting tasks may be tried there.
+// addTrialWorker adds an avoided worker if long-running tasks may be tried there.
 func (v *planView) addTrialWorker(w *worker, now time.Time) {
 	if !w.isReady(now) || !w.health.allowsTrial(now) {
 		return
@@ -88,8 +89,9 @@
 	return v.byRack[name]
 }
 
-// allowsCPU reports whether a stage may take more processors. No room is kept from lasting
-// tasks: one that waits for others to end is away for as long as these come.
+// allowsCPU reports whether a stage may use more CPU capacity. The reserve is open to
+// long-running tasks: one that had to wait for other tasks to end would be down for as long as
+// new ones arrive.
 func (v *planView) allowsCPU(s *stage, milliCPU int64) bool {
 	if s.job.record.Priority <= 0 || s.step.LongRunning || v.unreserved {
 		return true
--- a/internal/cell/poll.go
+++ b/internal/cell/poll.go
@@ -9,8 +9,8 @@
 	"gentianstand/internal/runner"
 )
 
-// NextPoll returns where and how to look at a worker next; ok is false if the
-// worker is no longer known, or parked.
+// NextPoll returns the target and content of the next poll of a worker; ok is false if the
+// worker is parked or no longer known.
 func (c *Cell) NextPoll(id string, now time.Time) (target runner.Target, poll runner.Poll, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -20,8 +20,8 @@
 	}
 	poll = runner.Poll{Token: c.settings.Term, Acknowledged: w.ackedEnd}
 	if w.clockAt.IsZero() || !w.unresponsiveSince.IsZero() {
-		// A look without an answer may have been carried out. If each one carried
-		// a later lease end, the lease of a lost worker would never be over.
+		// An unanswered poll may have been carried out. If each carried a later lease end, the
+		// lease of a lost worker would never expire.
 		return w.target, poll, true
 	}
 	end := w.extendLease(c.settings.Lease, now)
@@ -32,8 +32,9 @@
 	return w.target, poll, true
 }
 
-// pollWait is how long a look may wait for an end: until a little after the next one is
-// expected. If an answer gets lost, a longer wait would delay every end on its worker.
+// pollWait returns how long a worker may delay its answer until a run ends: until shortly
+// after the next end is expected. If an answer gets lost, a longer wait would delay every end
+// on the worker.
 func (c *Cell) pollWait(w *worker, now time.Time) time.Duration {
 	wait := maxPollWait
 	for a := range w.attempts {
@@ -47,8 +48,8 @@
 	return max(wait, minPollWait).Truncate(time.Millisecond)
 }
 
-// awaitsStopReport reports whether the next report should come at once, because a stop
-// was answered and the run may be one that never began and will not be listed.
+// awaitsStopReport reports whether the next report is needed at once, because a stop was
+// answered and the run may never have begun, so that its end will not be listed.
 func (w *worker) awaitsStopReport() bool {
 	for a := range w.attempts {
 		if a.phase == stopping && !a.stopAnsweredAt.IsZero() && !a.reportedAfterStop {
@@ -58,7 +59,7 @@
 	return false
 }
 
-// Reported takes in a worker's answer to a look that was sent at sentAt.
+// Reported handles a worker's report, which answers a poll sent at sentAt.
 func (c *Cell) Reported(id string, report runner.Report, sentAt, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,7 +68,7 @@
 		return
 	}
 	if w.clockAt.IsZero() {
-		// An earlier owner may have granted a lease just before.
+		// A previous owner may have extended the lease just before.
 		w.leaseEnd = max(w.leaseEnd, report.Clock+c.settings.Lease+clockEstimateError)
 	}
 	w.updateClock(report.Clock, now)
@@ -79,7 +80,7 @@
 	w.failedPolls = 0
 	w.lastReport = now
 	ended := map[runKey]bool{}
-	// complete says that the books on this worker will be right after the report.
+	// complete is set if the accounting of this worker is correct after the report.
 	complete := !endListFull(report)
 	for _, e := range report.Ended {
 		ended[runKey{e.Task, e.Run}] = true
@@ -103,14 +104,14 @@
 	}
 }
 
-// runKey names a run in a report.
+// runKey identifies a run in a report.
 type runKey struct {
 	task string
 	run  uint64
 }
 
-// reconcileRuns compares what the worker runs with the cell's books, and reports
-// whether it could: a run of a job that has yet to be looked for is not booked.
+// reconcileRuns compares a worker's reported runs with the accounted ones. It returns false if
+// it could not account for all: a run whose job is not loaded yet is skipped.
 func (c *Cell) reconcileRuns(w *worker, report runner.Report, ended map[runKey]bool, sentAt, now time.Time) bool {
 	complete := true
 	present := make(map[*attempt]bool, len(report.Running))
@@ -129,7 +130,7 @@
 		}
 	}
 	if endListFull(report) {
-		// A run that is not shown may have an end that is not listed yet.
+		// An unlisted run may have an end that is not listed yet.
 		return complete
 	}
 	for a := range w.attempts {
@@ -140,26 +141,27 @@
 	return complete
 }
 
-// endListFull reports whether a worker may have more ends than it lists.
+// endListFull reports whether a worker may have more ends than the report lists.
 func endListFull(report runner.Report) bool { return len(report.Ended) >= runner.MaxReportedEnds }
 
-// handleUnlisted deals with a booked run that a report, which lists some ends, does not show.
+// handleUnlisted handles an accounted run that is missing from a report. listed is the number
+// of ends in the report.
 func (c *Cell) handleUnlisted(a *attempt, listed int, sentAt, now time.Time) {
 	switch {
 	case !a.stopAnsweredAt.IsZero() && a.stopAnsweredAt.Before(sentAt):
-		// The stop was answered before the look was sent: the run has ended or
-		// can never begin.
+		// The stop was answered before the poll was sent: the run has ended or can never
+		// begin.
 		c.drop(a, "revoked", now)
 	case a.phase == running && !a.confirmedAt.IsZero() && a.confirmedAt.Before(sentAt):
-		// The worker confirmed the run earlier, does not show it now and does not
-		// list its end either. Revoking it makes sure before it starts elsewhere.
+		// The worker confirmed the run earlier, but now lists neither the run nor its end. The
+		// run is revoked before the task starts elsewhere, to be safe.
 		c.log.WithFields(attemptFields(a)).WithFields(logrus.Fields{"born": a.worker.incarnation, "listed": listed,
 			"seen": a.worker.seenEnd, "acknowledged": a.worker.ackedEnd}).Warn("run_vanished")
 		c.stop(a, "vanished", now)
 	}
 }
 
-// PollFailed takes in that a look got no report.
+// PollFailed handles a poll that got no report.
 func (c *Cell) PollFailed(id string, err error, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -182,9 +184,9 @@
 	}
 }
 
-// removeReplaced takes a worker out whose life has ended. Until the roster drops it, news of it
-// there is old: taken for a worker again, it would be stored as one that may have runs,
-// and hold the next owner up.
+// removeReplaced removes a worker whose incarnation has ended. Its roster entry is ignored
+// until the roster drops it. Otherwise the worker would be added again and stored as one that
+// may have runs, and would delay the next owner's recovery.
 func (c *Cell) removeReplaced(w *worker, now time.Time) {
 	c.log.WithFields(workerFields(w)).WithField("runs", len(w.attempts)).Info("worker_replaced")
 	c.dropAllRuns(w, "worker_replaced", now)
@@ -192,7 +194,7 @@
 	c.deleteWorker(w)
 }
 
-// dropAllRuns drops every run of a worker: it is certain that none goes on.
+// dropAllRuns drops all runs of a worker, as they are certain to have ended.
 func (c *Cell) dropAllRuns(w *worker, reason string, now time.Time) {
 	c.logLost(w, reason)
 	for a := range w.attempts {
--- a/internal/cell/poll_order.go
+++ b/internal/cell/poll_order.go
@@ -1,6 +1,6 @@
 package cell
 
-// PollOrder has the owner begin to look at a worker, and store what is unsaved.
+// PollOrder asks the owner to start polling a worker and to store what is not stored yet.
 type PollOrder struct{ Worker string }
 
 func (PollOrder) isOrder() {}
--- a/internal/cell/preempt.go
+++ b/internal/cell/preempt.go
@@ -3,16 +3,17 @@
 import "time"
 
 const (
-	// preemptAfter is how long a stage of the most urgent queue waits for an end of a run
-	// before others are stopped for it.
+	// preemptAfter is how long a stage of the most urgent queue waits for a run to end before
+	// other runs are stopped for it.
 	preemptAfter = 60 * time.Millisecond
-	// preemptInterval is the least time between two looks for victims for one stage. Each looks
-	// through the runs of all workers that the stage may use.
+	// preemptInterval is the least time between two searches for victims for one stage. Each
+	// search scans the runs of all workers that the stage may use.
 	preemptInterval = 30 * time.Millisecond
 )
 
-// preempt stops less urgent runs for the idle tasks of a stage of the most urgent queue,
-// where the next end of a run is too far away.
+// preempt stops less urgent runs for the idle tasks of a stage of the most urgent queue, if
+// the job has waited for preemptAfter. It skips stages that are already late by more than the
+// whole time from the job's acceptance to its objective.
 func (c *Cell) preempt(s *stage, view *planView, now time.Time) {
 	if !c.enabled(Preemption) || s.job.record.Priority > 0 || s.step.Gang || c.startable(s) <= s.preempting || s.job.age(now) < preemptAfter {
 		return
@@ -25,7 +26,7 @@
 	}
 	s.victimsSearchedAt = now
 	wanted := c.startable(s) - s.preempting
-	// The tickets have to outlast a stop.
+	// The tickets must outlast a stop.
 	for _, w := range c.allowed(s, view, now.Add(c.settings.StopGrace)) {
 		if wanted == 0 {
 			return
@@ -43,8 +44,8 @@
 	}
 }
 
-// victim returns the run on a worker whose stop makes room for a task of the
-// stage and loses least: only work that resumes from a checkpoint.
+// victim returns the run on a worker whose stop makes room for a task of the stage at the
+// lowest cost. Only runs that can resume from a checkpoint are considered.
 func (c *Cell) victim(s *stage, w *worker, now time.Time) *attempt {
 	need := s.step.Occupied()
 	var best *attempt
--- a/internal/cell/progress.go
+++ b/internal/cell/progress.go
@@ -7,7 +7,7 @@
 	"gentianstand/internal/job"
 )
 
-// progress returns what is to be stored of a job.
+// progress returns a job's progress in its stored form.
 func (j *jobState) progress() *job.Progress {
 	p := &job.Progress{Final: j.final}
 	if j.final != "" {
@@ -37,7 +37,7 @@
 	return p, len(p.Done) > 0 || len(p.Tasks) > 0
 }
 
-// restore puts stored progress into a new job.
+// restore sets the progress of a newly loaded job from its stored form.
 func (j *jobState) restore(p *job.Progress, now time.Time) {
 	j.final = p.Final
 	j.storedState = p.Final
--- a/internal/cell/quota_wait.go
+++ b/internal/cell/quota_wait.go
@@ -2,14 +2,14 @@
 
 import "gentianstand/internal/resource"
 
-// QuotaWait describes a workspace of which tasks wait for its quota.
+// QuotaWait describes a workspace with tasks that wait for its quota.
 type QuotaWait struct {
 	Workspace string
-	// Used is what it has running, Unconfirmed what it may have running besides on workers that
-	// were not heard since the take-over, and Cap what it may have.
+	// Used is what the workspace has running. Unconfirmed is what it may also have running on
+	// workers that have not reported since the takeover. Cap is its limit.
 	Used, Unconfirmed, Cap resource.Amount
-	// Version is that of the configuration that the cap is from.
+	// Version is the version of the configuration that defines the cap.
 	Version uint64
-	// Tasks is how many tasks wait.
+	// Tasks is the number of waiting tasks.
 	Tasks int
 }
--- a/internal/cell/quotas.go
+++ b/internal/cell/quotas.go
@@ -10,16 +10,16 @@
 	"gentianstand/internal/resource"
 )
 
-// Configure takes in the configuration in force: the quotas of workspaces.
+// Configure applies the quotas of the configuration in force.
 func (c *Cell) Configure(current *catalog.Catalog) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.quotas.Configure(current)
 }
 
-// startable returns how many idle tasks of a stage its workspace's quota lets start now. A
-// job that was accepted under a later configuration than the one known here waits for it:
-// its workspace may be new, or have another cap.
+// startable returns how many idle tasks of a stage may start now under the quota of its
+// workspace. A job that was accepted under a later configuration than the one known here waits
+// for that configuration, as its workspace may be new or have a different cap.
 func (c *Cell) startable(s *stage) int {
 	account := s.job.account
 	if account == nil {
@@ -37,7 +37,8 @@
 	return len(s.idle)
 }
 
-// heldByQuota returns why a stage's workspace may start nothing of it now, or "".
+// heldByQuota returns why the quota of its workspace prevents all starts of a stage now, or ""
+// if it does not.
 func (c *Cell) heldByQuota(s *stage) WaitReason {
 	switch {
 	case len(s.idle) == 0 || c.startable(s) > 0:
@@ -50,8 +51,8 @@
 	return OverQuota
 }
 
-// QuotaWaits returns the workspaces of which tasks wait for their quota, those with most of
-// them first.
+// QuotaWaits returns the workspaces with tasks that wait for their quota, those with most
+// waiting tasks first.
 func (c *Cell) QuotaWaits(now time.Time) []QuotaWait {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,12 +77,12 @@
 	return list
 }
 
-// gangNeed is what all tasks of a gang occupy together.
+// gangNeed returns what all tasks of a gang need together.
 func (s *stage) gangNeed() resource.Amount { return s.step.Need.Times(int64(len(s.tasks))) }
 
-// countUnconfirmed works out what workspaces may have running on workers that this owner has not
-// heard: what an earlier owner can have started there of their jobs, and no more than those
-// workers hold.
+// countUnconfirmed computes what each workspace may have running on workers that have not
+// reported to this owner: the tasks that a previous owner can have started there, limited by
+// the capacity of those workers.
 func (c *Cell) countUnconfirmed(now time.Time) {
 	accounts := c.quotas.Accounts()
 	for _, account := range accounts {
@@ -104,8 +105,8 @@
 	}
 }
 
-// unreportedCapacity returns what the workers hold on which an earlier owner can have started runs
-// that are not booked.
+// unreportedCapacity returns the total capacity of the workers on which a previous owner can
+// have started runs that are not accounted.
 func (c *Cell) unreportedCapacity(now time.Time) resource.Amount {
 	var capacity resource.Amount
 	for _, w := range c.workers {
@@ -113,7 +114,7 @@
 			continue
 		}
 		if !w.entryIsCurrent() || w.Capacity.IsZero() {
-			// Nothing is known of its room.
+			// The worker's capacity is not known.
 			return unknownCapacity
 		}
 		capacity = capacity.Add(w.Capacity)
@@ -121,10 +122,11 @@
 	return capacity
 }
 
-// unknownCapacity stands for more room than any fleet has.
+// unknownCapacity exceeds the capacity of any fleet.
 var unknownCapacity = resource.Amount{MilliCPU: 1 << 50, MemoryMiB: 1 << 50, Accelerators: 1 << 50}
 
-// unaccounted returns what the tasks of a job occupy that are neither done nor booked.
+// unaccounted returns the need of a job's tasks that are neither done nor accounted as running
+// and that a previous owner can have started.
 func (j *jobState) unaccounted() resource.Amount {
 	var sum resource.Amount
 	for _, s := range j.stages {
--- a/internal/cell/recover.go
+++ b/internal/cell/recover.go
@@ -2,13 +2,12 @@
 
 import "time"
 
-// maxUnreportedLogged bounds the lines about workers that a recovery waited for.
+// maxUnreportedLogged bounds the log lines about workers that delayed a recovery.
 const maxUnreportedLogged = 5
 
-// recover ends the time in which runs of an earlier owner may go on unseen: it
-// is over when every known worker has reported or its runs are known from the
-// store, or when the longest lease that the earlier owner can have given must have
-// ended.
+// recover ends the time in which runs of a previous owner may continue unreported. It ends
+// when every known worker has reported or its runs are known from the store, or when the
+// longest lease that the previous owner can have granted must have expired.
 func (c *Cell) recover(now time.Time) {
 	if !c.recovering {
 		return
@@ -22,10 +21,10 @@
 	}
 }
 
-// earlierLeaseLimit is how long runs of an earlier owner may go on where this one
-// cannot see them: every owner grants the same lease, the worker's clock may be
-// slow, and an earlier owner that still lives may extend leases for overtakenFor
-// after it lost its ownership.
+// earlierLeaseLimit returns how long runs of a previous owner may continue without being
+// reported to this one. Every owner grants the same lease, the worker's clock may be slow, and
+// a previous owner that is still alive may extend leases for overtakenOwnerLimit after it lost
+// its ownership.
 func (c *Cell) earlierLeaseLimit() time.Duration {
 	limit := time.Duration(float64(c.settings.Lease)*(1+maxClockDrift)) + clockEstimateError + expiryMargin
 	if c.settings.PreviousOwnerStopped {
@@ -37,8 +36,8 @@
 	return limit + overtakenOwnerLimit
 }
 
-// PreviousOwnerStopped takes in that the earlier owner gives no orders any more from now on,
-// which was not known at the take-over.
+// PreviousOwnerStopped records that the previous owner sends no more orders from now on, if
+// that was not known at the takeover.
 func (c *Cell) PreviousOwnerStopped(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -47,7 +46,7 @@
 	}
 }
 
-// logUnreported logs the workers that held the recovery up.
+// logUnreported logs the workers that delayed the recovery.
 func (c *Cell) logUnreported() {
 	logged := 0
 	for _, w := range c.workers {
@@ -58,8 +57,8 @@
 	}
 }
 
-// mayHaveEarlierRuns reports whether an earlier owner may have left runs on a worker that are not
-// booked.
+// mayHaveEarlierRuns reports whether a previous owner may have left unaccounted runs on a
+// worker.
 func (w *worker) mayHaveEarlierRuns() bool { return !w.parked && !w.reported && !w.accounted }
 
 func (c *Cell) allWorkersAccounted() bool {
@@ -74,10 +73,9 @@
 	return true
 }
 
-// heldBack reports whether a stage's tasks may run unseen under an earlier owner
-// where that would do harm. Jobs accepted under this owner cannot, nor can a
-// stage whose predecessors were seen to end under this owner, and some stages
-// may run twice.
+// heldBack reports whether a stage's tasks must wait because a previous owner's runs of them
+// may continue unreported. That is not so for jobs accepted under this owner, for stages whose
+// predecessors were seen to end under this owner, and for stages that allow duplicates.
 func (c *Cell) heldBack(s *stage) bool {
 	return c.recovering && s.job.inherited && !s.noEarlierRuns && !s.step.AllowDuplicates
 }
--- a/internal/cell/reservation.go
+++ b/internal/cell/reservation.go
@@ -9,28 +9,29 @@
 )
 
 const (
-	// largeShare is the share of a worker, in any dimension, from which a task is large:
-	// two of them never fit together, and some smaller task is nearly always in the way.
+	// largeShare is the share of a worker, in any resource, above which a task is large. Two
+	// large tasks never fit on one worker, and some smaller task nearly always occupies the
+	// capacity they need.
 	largeShare = 0.5
-	// reserveShare bounds the workers that are reserved at the same time, as a share of
-	// the usable ones; one is always allowed. A reserved worker stands partly idle.
+	// reserveShare bounds the workers reserved at the same time, as a share of the usable
+	// ones; one is always allowed. A reserved worker is partly idle.
 	reserveShare = 0.02
-	// maxReservation is how long a reservation lasts at most: the tasks in the way may take
-	// much longer than expected.
+	// maxReservation bounds a reservation, as the tasks that occupy the worker may take much
+	// longer than expected.
 	maxReservation = 8 * time.Second
-	// backfillSafetyFactor is how many times longer than usual a task may take that is started
-	// in front of a reservation.
+	// backfillSafetyFactor multiplies the usual duration of a task when it is checked whether
+	// the task may be backfilled ahead of a reservation.
 	backfillSafetyFactor = 1.3
 )
 
-// reservation keeps the room of one worker for a large task of a stage until what is in
-// the way has ended. Without it the next small task takes the place of each one that ends.
-// Small tasks still pass in front where they will have ended in time, or fit beside.
+// reservation keeps the capacity of one worker for a large task of a stage until enough runs
+// there have ended. Without it, small tasks would take the place of each run that ends. Small
+// tasks are backfilled if they will end in time or fit next to the large one.
 type reservation struct {
 	stage *stage
 	since time.Time
-	// ready is when the room is expected to be free, and spare what is left then
-	// beside the large task. Both are worked out anew in each planning pass.
+	// ready is when the capacity is expected to be free, and spare is what remains then next
+	// to the large task. Both are recomputed in each planning pass.
 	ready time.Time
 	spare resource.Amount
 }
@@ -45,8 +46,7 @@
 		exceeds(need.Accelerators, capacity.Accelerators)
 }
 
-// renewReservations drops the reservations that have no use any more, and works the
-// others out anew.
+// renewReservations drops obsolete reservations and recomputes the others.
 func (c *Cell) renewReservations(view *planView, now time.Time) {
 	for _, w := range c.workers {
 		r := w.reserved
@@ -63,7 +63,8 @@
 	}
 }
 
-// mayReserveOn reports whether a worker may run the stage when it has room.
+// mayReserveOn reports whether a worker could run the stage with free capacity and the stage
+// has no need of a ticket, or the adviser allowed the worker.
 func (c *Cell) mayReserveOn(s *stage, w *worker) bool {
 	if !c.fitsWhenIdle(s, w) {
 		return false
@@ -72,8 +73,8 @@
 	return s.job.record.Advice == nil || v.good
 }
 
-// reserve keeps workers for the large tasks of a stage that found no room, those that
-// will have room first. Tasks of the most urgent queues stop others instead.
+// reserve reserves workers for the large tasks of a stage that found no free capacity,
+// preferring workers that will be free soonest. The most urgent queues use preemption instead.
 func (c *Cell) reserve(s *stage, view *planView, now time.Time) {
 	if !c.enabled(Reservations) || s.job.record.Priority <= 0 || s.step.BestEffort || !s.largeOn(view.minCapacity) || !view.mayReserve() {
 		return
@@ -112,7 +113,7 @@
 	return float64(reserved+1) <= max(1, reserveShare*float64(len(v.usable)))
 }
 
-// estimateReady works out when a reserved worker has room for its large task.
+// estimateReady computes when a reserved worker will have free capacity for its large task.
 func (c *Cell) estimateReady(w *worker, now time.Time) {
 	r := w.reserved
 	need := r.stage.step.Occupied()
@@ -133,8 +134,8 @@
 	r.spare = free.Sub(need)
 }
 
-// likelyRemaining is how long a run will go on: what its progress tells, or what tasks of
-// its queue usually take.
+// likelyRemaining estimates how long a run will continue, from its progress or else from the
+// usual duration of its queue's tasks.
 func (c *Cell) likelyRemaining(a *attempt, now time.Time) time.Duration {
 	step := a.task.stage.step
 	switch {
@@ -153,9 +154,10 @@
 	return c.durations.conservative(s.job.record.Queue, s.step.Estimate, 1)
 }
 
-// allowedByReservation reports whether a stage may take room on a worker although it may be
-// reserved: for itself, for a less urgent queue, or so that the reservation holds. Lasting
-// tasks pass in front of any: what the worker is kept for may never come.
+// allowedByReservation reports whether a stage may use capacity on a worker that may be
+// reserved: because the reservation is its own or for a less urgent queue, or because the
+// reservation still holds. Long-running tasks ignore reservations, as the task for which the
+// worker is reserved may never start.
 func (c *Cell) allowedByReservation(s *stage, w *worker, now time.Time) bool {
 	r := w.reserved
 	if r == nil || r.stage == s || s.step.LongRunning || s.job.record.Priority < r.stage.job.record.Priority {
--- a/internal/cell/restart.go
+++ b/internal/cell/restart.go
@@ -8,15 +8,15 @@
 	"gentianstand/internal/runner"
 )
 
-// checkIncarnation notes which incarnation of a worker answered a look, and reports whether it is
-// the present one.
+// checkIncarnation records which incarnation of a worker answered a poll, and reports whether
+// it is the current one.
 func (c *Cell) checkIncarnation(w *worker, incarnation runner.Incarnation, sentAt, now time.Time) bool {
 	switch {
 	case incarnation == 0 || incarnation == w.incarnation:
 	case w.incarnation == 0:
 		c.setIncarnation(w, incarnation)
 	case w.previous != 0 && sentAt.Before(w.knownSince):
-		// A late answer of one that has ended.
+		// A late answer of a previous incarnation.
 		return false
 	default:
 		c.workerRestarted(w, incarnation, now)
@@ -24,14 +24,14 @@
 	return true
 }
 
-// setIncarnation notes which incarnation of a worker the books are about.
+// setIncarnation sets the current incarnation of a worker.
 func (c *Cell) setIncarnation(w *worker, incarnation runner.Incarnation) {
 	w.incarnation, w.target.Incarnation = incarnation, incarnation
 	c.dirtyChunks.mark(w.ID)
 }
 
-// workerRestarted begins the books on a new incarnation of a worker. The one before has crashed
-// with all that ran there, and no order that was meant for it reaches the new one.
+// workerRestarted starts the accounting of a new incarnation of a worker. The previous one has
+// crashed with all its runs, and no order addressed to it is accepted by the new one.
 func (c *Cell) workerRestarted(w *worker, incarnation runner.Incarnation, now time.Time) {
 	c.log.WithFields(workerFields(w)).WithFields(logrus.Fields{"now_born": incarnation, "runs": len(w.attempts),
 		"seen": w.seenEnd, "acknowledged": w.ackedEnd}).Info("worker_restarted")
@@ -42,10 +42,10 @@
 	c.dropAllRuns(w, "worker_restarted", now)
 	w.incarnationState = &incarnationState{knownSince: now, previous: w.incarnation}
 	w.Draining = false
-	// No earlier owner can have stored this incarnation, and so started anything there.
+	// No previous owner can have stored this incarnation, so none started anything there.
 	w.accounted = true
-	// An overtaken owner may have heard of it, too: the one that can store that it is
-	// known may use it.
+	// An overtaken owner may have learned of the incarnation as well. Only the owner that can
+	// store it may use it.
 	w.stored = false
 	c.setIncarnation(w, incarnation)
 	if w.pendingEntry.Incarnation == incarnation {
--- a/internal/cell/roster.go
+++ b/internal/cell/roster.go
@@ -6,7 +6,7 @@
 	"gentianstand/internal/roster"
 )
 
-// SetRoster takes in the whole list of registered workers.
+// SetRoster replaces the list of registered workers.
 func (c *Cell) SetRoster(all []roster.Worker, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -28,7 +28,7 @@
 	}
 }
 
-// UpdateRoster takes in what has changed in the list.
+// UpdateRoster applies changes to the list of registered workers.
 func (c *Cell) UpdateRoster(change roster.Change, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,20 +65,20 @@
 		c.log.WithFields(workerFields(w)).Info("worker_added")
 	}
 	switch {
-	// The last one is of workers whose entries do not tell.
+	// The last condition covers workers whose entries have no incarnation.
 	case r.Incarnation == w.incarnation, w.incarnation == 0, r.Incarnation == 0 && w.Worker.Incarnation == 0:
 		c.updateEntry(w, r, now)
 	case r.Incarnation > w.incarnation && r.Incarnation != w.previous:
 		c.workerRestarted(w, r.Incarnation, now)
 		c.updateEntry(w, r, now)
 	default:
-		// News that is old, of another writer, or of a worker whose time of day was set
-		// back: the worker itself will tell.
+		// The entry is outdated, was written by another process, or belongs to a worker whose
+		// wall clock was set back. The worker's own report decides.
 		w.pendingEntry = r
 	}
 }
 
-// updateEntry takes in an entry of a worker's present incarnation.
+// updateEntry applies a roster entry of a worker's current incarnation.
 func (c *Cell) updateEntry(w *worker, r roster.Worker, now time.Time) {
 	if r.Incarnation == w.Worker.Incarnation {
 		// A heartbeat that was written before the draining one may be read after it.
@@ -104,7 +104,7 @@
 	}
 }
 
-// WorkersToPoll returns the workers that should be looked at: all but parked ones.
+// WorkersToPoll returns the ids of the workers to poll: all except parked ones.
 func (c *Cell) WorkersToPoll() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,13 +118,13 @@
 	return ids
 }
 
-// forgetWorker drops a worker that is not registered and on which nothing can run.
+// forgetWorker removes a worker that is not registered and on which nothing can run.
 func (c *Cell) forgetWorker(w *worker) {
 	c.deleteWorker(w)
 	c.log.WithFields(workerFields(w)).Info("worker_forgotten")
 }
 
-// deleteWorker ends the books on a worker that has no runs.
+// deleteWorker deletes a worker that has no runs.
 func (c *Cell) deleteWorker(w *worker) {
 	if w.parked {
 		c.parkedCount--
--- a/internal/cell/roster_updates.go
+++ b/internal/cell/roster_updates.go
@@ -3,22 +3,23 @@
 import "time"
 
 const (
-	// outageGap is for how long there is no news of any worker when the store is away:
-	// all of them renew their entries every second or two.
+	// outageGap is how long no update of any worker arrives when the store is unavailable.
+	// Each worker renews its entry every 1 to 2 seconds.
 	outageGap = 2 * time.Second
-	// outageExpiryWindow is how long after an outage entries may be found to have lapsed in it.
+	// outageExpiryWindow is how long after an outage entries may be found to have expired
+	// during it.
 	outageExpiryWindow = 4 * time.Second
 )
 
-// rosterUpdates tells whether entries of workers lapse because the store was away for all.
-// Only workers whose entries lapse in an outage are used without one: one that is cut off
-// alone cannot say that its room has shrunk or that it drains.
+// rosterUpdates detects whether worker entries expired because the store was unavailable to
+// all workers. Only workers whose entries expire in such an outage are used without an entry.
+// A worker that is cut off alone cannot report that its capacity has shrunk or that it drains.
 type rosterUpdates struct {
 	lastAt   time.Time
 	outageAt time.Time
 }
 
-// record takes in that there is news of workers.
+// record notes that updates of workers have arrived.
 func (u *rosterUpdates) record(now time.Time) {
 	if !u.lastAt.IsZero() && now.Sub(u.lastAt) >= outageGap {
 		u.outageAt = now
@@ -26,7 +27,8 @@
 	u.lastAt = now
 }
 
-// duringOutage reports whether an entry that is found to have lapsed did so in an outage.
+// duringOutage reports whether an entry that is found to be expired now expired during an
+// outage.
 func (u *rosterUpdates) duringOutage(now time.Time) bool {
 	return !u.outageAt.IsZero() && now.Sub(u.outageAt) < outageExpiryWindow
 }
--- a/internal/cell/settings.go
+++ b/internal/cell/settings.go
@@ -2,63 +2,63 @@
 
 import "time"
 
-// Settings are the figures of one cell. The platform's bounds give most of
-// them; the rest are named below with their reasons.
+// Settings configures one cell. The platform's bounds determine most values; the constants
+// below state their reasons.
 type Settings struct {
-	// Term is the fencing token of this ownership; it rises with each owner.
+	// Term is the fencing token of this ownership. It rises with each owner.
 	Term uint64
-	// Lease is how far a worker's lease is extended with each look.
+	// Lease is how far each poll extends a worker's lease.
 	Lease time.Duration
-	// PreviousOwnerStopped says that the earlier owner is known to extend no lease any
-	// more, because its process ended or it gave the cell up.
+	// PreviousOwnerStopped is set if the previous owner is known to extend no more leases,
+	// because its process ended or it handed the cell over.
 	PreviousOwnerStopped bool
-	// StopGrace is the longest time a stop may take on the worker.
+	// StopGrace is the longest time a worker takes to stop a run.
 	StopGrace time.Duration
-	// SpareWorkers is how many idle workers are kept ready at least; idle workers
-	// beyond are parked. 0 parks none.
+	// SpareWorkers is the minimum number of idle workers to keep in use. Further idle workers
+	// are parked. 0 disables parking.
 	SpareWorkers int
-	// RemoteDataFactor is how many times as long a task takes far from its data; 0 and 1 mean
-	// that this makes no difference.
+	// RemoteDataFactor is how many times longer a task takes when it is remote from its data.
+	// 0 and 1 mean that it makes no difference.
 	RemoteDataFactor float64
-	// EarlyStart is how much before its time an occurrence may start.
+	// EarlyStart is how long before its due time an occurrence may start.
 	EarlyStart time.Duration
-	// Disabled names the mechanisms that are switched off.
+	// Disabled is the set of disabled mechanisms.
 	Disabled MechanismSet
-	// ObserveWait is told how long a task has waited for its first start, with the priority
-	// of its queue; nil is nobody. It is called under the cell's lock.
+	// ObserveWait, if not nil, is called with a task's wait for its first start and the
+	// priority of its queue. The cell's lock is held during the call.
 	ObserveWait func(priority int, wait time.Duration)
 }
 
 const (
-	// maxClockDrift is how much slower than ours a worker's steady clock may run;
-	// the platform promises 2%.
+	// maxClockDrift is how much slower than the owner's clock a worker's monotonic clock may
+	// run. The platform guarantees 2%.
 	maxClockDrift = 0.02
-	// expiryMargin is added when a lease is taken as over, for rounding to whole
-	// milliseconds and late timers.
+	// expiryMargin is added to the expiry of a lease, for rounding to whole milliseconds and
+	// for late timers.
 	expiryMargin = 50 * time.Millisecond
-	// clockEstimateError is how much later than meant a lease can end because an earlier
-	// owner guessed the worker's clock from an old report.
+	// clockEstimateError is how much later than intended a lease can end because a previous
+	// owner estimated the worker's clock from an old report.
 	clockEstimateError = 150 * time.Millisecond
-	// overtakenOwnerLimit is how long an overtaken owner may go on extending leases: it
-	// stops when nobody confirmed its ownership for this long.
+	// overtakenOwnerLimit is how long an overtaken owner may continue to extend leases. It
+	// stops when its ownership was not confirmed for this long.
 	overtakenOwnerLimit = 1500 * time.Millisecond
-	// maxReportAge is how old a worker's last report may be for new starts. A
-	// report comes at least every longLook; a missed one means trouble.
+	// maxReportAge is the maximum age of a worker's last report for new starts. Reports arrive
+	// at least every maxPollWait, so an older one indicates a problem.
 	maxReportAge = 1500 * time.Millisecond
-	// maxPollWait and shortLook bound how long a worker may hold the answer to a look.
-	// Shorter costs looks, longer delays the news of a stalled task, of a lost
-	// look and the lease.
+	// maxPollWait and minPollWait bound how long a worker may delay the answer to a poll. A
+	// shorter wait costs more polls; a longer one delays the detection of stalled tasks and
+	// lost polls, and the extension of the lease.
 	maxPollWait = time.Second
 	minPollWait = 300 * time.Millisecond
 	// pollSlack is added to the time at which the next end is expected.
 	pollSlack = 150 * time.Millisecond
-	// unlistedGrace keeps a worker in the books that vanished from the roster but still
-	// answers, and usable if its entry lapsed in an outage of the store: those return
-	// within 2 s.
+	// unlistedGrace is how long a worker that disappeared from the roster but still answers is
+	// kept. It also stays usable if its entry expired in an outage of the store; such entries
+	// return within 2 s.
 	unlistedGrace = 4 * time.Second
-	// ticketMargin is taken off a ticket's validity for the way to the worker.
+	// ticketMargin is subtracted from a ticket's validity for the transfer to the worker.
 	ticketMargin = 250 * time.Millisecond
-	// runsPerTerm spaces the run numbers of successive owners, so that a new
-	// owner's runs are higher than any that an old one ordered unseen.
+	// runsPerTerm separates the run numbers of successive owners, so that a new owner's run
+	// numbers exceed any that a previous owner used without being noticed.
 	runsPerTerm = 32
 )
--- a/internal/cell/speculative.go
+++ b/internal/cell/speculative.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	// maxConcurrentRuns bounds the runs of one task that exist at the same time.
+	// maxConcurrentRuns bounds the concurrent runs of one task.
 	maxConcurrentRuns = 2
-	// speculateMinElapsed is the least time a run must have been going before it is judged
-	// whether a copy pays: two looks at a short task.
+	// speculateMinElapsed is how long a run must have progressed before a speculative run is
+	// considered: two polls of a short task.
 	speculateMinElapsed = 600 * time.Millisecond
-	// speculateFactor is how many times longer than a copy a run has to need, and
-	// copyMargin how much longer besides, for orders and the estimate's error.
+	// speculateFactor is how many times longer than a speculative run a run must need, and
+	// speculateMargin is an additional margin for the orders and the error of the estimate.
 	speculateFactor = 1.5
 	speculateMargin = 300 * time.Millisecond
 )
 
-// speculate has another run of a task placed while one is doubtful, where the task
-// may run twice. Whichever ends first counts, and the other one is stopped. Others have to
-// wait for a stop or the end of a lease.
+// speculate adds a speculative run for a task with an uncertain run, if the task allows
+// duplicates. The first run to end counts, and the other is stopped. Tasks that do not allow
+// duplicates have to wait for a stop or the expiry of a lease.
 func (c *Cell) speculate(a *attempt, now time.Time) {
 	t := a.task
 	s := t.stage
@@ -27,7 +27,7 @@
 		return
 	}
 	if t.crashes.losses() > 1 {
-		// The copy would be lost like the others.
+		// A speculative run would be lost like the others.
 		return
 	}
 	if !a.uncertain(now) || !s.addIdle(t.index) {
@@ -38,9 +38,9 @@
 	c.updateWaiting(s)
 }
 
-// speculationPays reports whether a copy of a run would end well before it. A copy costs room
-// alone, so it pays sooner than a move: the stop of a short task takes as long as the
-// task.
+// speculationPays reports whether a speculative run would end well before the given run. It
+// costs only capacity and therefore pays sooner than a move: stopping a short task takes as
+// long as the task itself.
 func (c *Cell) speculationPays(a *attempt) bool {
 	if a.progressedAt.Sub(a.confirmedAt) < speculateMinElapsed || a.percent <= 0 {
 		return false
@@ -48,13 +48,13 @@
 	return a.projectedRemaining() > time.Duration(speculateFactor*float64(c.freshDuration(a)))+speculateMargin
 }
 
-// uncertain reports whether a run may not end, or much later than elsewhere.
+// uncertain reports whether a run may never end, or much later than it would elsewhere.
 func (a *attempt) uncertain(now time.Time) bool {
 	return a.phase == stopping || a.slow || a.worker.unresponsive(now)
 }
 
-// allowsWorker reports whether a worker may get a run of a task: never one beside another
-// run of the same task.
+// allowsWorker reports whether a worker may get a run of a task. It never gets two runs of the
+// same task.
 func (t *task) allowsWorker(w *worker) bool {
 	return !slices.ContainsFunc(t.attempts, func(a *attempt) bool { return a.worker == w })
 }
--- a/internal/cell/stage.go
+++ b/internal/cell/stage.go
@@ -7,39 +7,39 @@
 	"gentianstand/internal/job"
 )
 
-// stage is one step of one occurrence.
+// stage is one step of one occurrence of a job.
 type stage struct {
 	id           job.StageID
 	job          *jobState
 	step         *job.Step
 	predecessors []*stage
 	tasks        []*task
-	// idle are the indexes of tasks to place, ascending: those without a run that are
-	// not done, and those that are to have another one.
+	// idle holds the indexes of tasks to place, in ascending order: tasks that are not done
+	// and have no run, and tasks that get a speculative run.
 	idle []int
 	done int
-	// readyAt is when its tasks could first have been started.
+	// readyAt is when its tasks could first have started.
 	readyAt time.Time
 	// remainingPath is the ideal time from the stage's start to the end of the job.
 	remainingPath time.Duration
 	// remainingDepth is the number of stages on the longest chain to the end of the job.
 	remainingDepth int
-	// runsPerWorker counts runs on each worker, for limits per worker.
+	// runsPerWorker counts the stage's runs on each worker, for MaxPerWorker.
 	runsPerWorker map[*worker]int
 	advice        adviceState
-	// expiring is, while it is asked about, how many of its runs are about to be lost.
+	// expiring is the number of its runs that are about to be lost. It is set only while an
+	// adviser call for them is considered.
 	expiring int
-	// noEarlierRuns says that no earlier owner can have started the stage.
+	// noEarlierRuns is set if no previous owner can have started the stage.
 	noEarlierRuns bool
-	// lostWorkers says that a worker was lost while one of its tasks was starting. Few
-	// stages are, so the others' tasks need not be looked through in each planning pass.
+	// lostWorkers is set if a worker was lost while one of its tasks was starting. It is rare,
+	// so the tasks of other stages need not be scanned in each planning pass.
 	lostWorkers bool
-	// unparkRetryAt is when parked workers are looked for again, after there were none that
-	// could hold a task.
+	// unparkRetryAt is when parked workers are considered again, after none could hold a task.
 	unparkRetryAt time.Time
-	// preempting is how many runs are being stopped to make room for the stage.
+	// preempting is the number of runs being stopped to make room for the stage.
 	preempting int
-	// victimsSearchedAt is when victims were last looked for.
+	// victimsSearchedAt is when victims were last searched for.
 	victimsSearchedAt time.Time
 }
 
@@ -56,7 +56,7 @@
 	return s
 }
 
-// ideal returns how long the stage takes when all its tasks start at once.
+// ideal returns how long the stage takes if all its tasks start at once.
 func (s *stage) ideal() time.Duration {
 	d := s.step.Estimate
 	if cost := s.job.record.Advice; cost != nil {
@@ -82,20 +82,20 @@
 	return at.IsZero() || !now.Before(at.Add(-early/2))
 }
 
-// latestStart returns when the stage has to start for the job to meet its
-// objective, as far as the caller's estimates and the queue's durations tell.
+// latestStart returns when the stage must start for the job to meet its objective, according
+// to the caller's estimates and the queue's usual durations.
 func (s *stage) latestStart(d *durations) time.Time {
 	remaining := d.conservative(s.job.record.Queue, s.remainingPath, s.remainingDepth) - s.checkpointedWork()
 	return s.job.objective(s, d).Add(-remaining)
 }
 
-// hasStarted reports whether a task of the stage has run.
+// hasStarted reports whether any task of the stage has had a run.
 func (s *stage) hasStarted() bool {
 	return len(s.idle) < len(s.tasks) || s.tasks[s.idle[0]].lastRun > 0
 }
 
-// checkpointedWork returns how much less than usual its idle tasks take, as they go on from
-// checkpoints.
+// checkpointedWork returns how much less than usual the stage's idle tasks take because they
+// resume from checkpoints.
 func (s *stage) checkpointedWork() time.Duration {
 	least := 100
 	for _, index := range s.idle {
@@ -104,7 +104,7 @@
 	return s.step.Estimate * time.Duration(least) / 100
 }
 
-// removeIdle removes a task from the idle ones.
+// removeIdle removes a task from the idle tasks.
 func (s *stage) removeIdle(index int) {
 	at := sort.SearchInts(s.idle, index)
 	if at < len(s.idle) && s.idle[at] == index {
@@ -112,7 +112,7 @@
 	}
 }
 
-// addIdle puts a task among the idle ones and reports whether it was not there.
+// addIdle adds a task to the idle tasks and reports whether it was missing.
 func (s *stage) addIdle(index int) bool {
 	at := sort.SearchInts(s.idle, index)
 	if at < len(s.idle) && s.idle[at] == index {
@@ -124,7 +124,7 @@
 	return true
 }
 
-// runCount returns how many runCount of the stage exist.
+// runCount returns the number of runs of the stage.
 func (s *stage) runCount() int {
 	n := 0
 	for _, t := range s.tasks {
--- a/internal/cell/start_order.go
+++ b/internal/cell/start_order.go
@@ -5,7 +5,7 @@
 	"gentianstand/internal/runner"
 )
 
-// StartOrder starts a run.
+// StartOrder starts a run on a worker.
 type StartOrder struct {
 	Worker runner.Target
 	Task   job.TaskID
--- a/internal/cell/stats.go
+++ b/internal/cell/stats.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Stats counts what a cell has decided since it began, for metrics.
+// Stats counts a cell's decisions since it began and describes its current state, for metrics.
 type Stats struct {
 	Starts uint64
 	Done   uint64
 	Failed uint64
 	Lost   uint64
-	// PoisonJobs counts the jobs that were ended because of a poison task.
+	// PoisonJobs counts the jobs that failed because of a poison task.
 	PoisonJobs      uint64
 	Stops           uint64
 	Preemptions     uint64
@@ -21,9 +21,9 @@
 	Usable          int
 	Parked          int
 	WaitingTasks    int
-	// FreeShare is the share of the usable workers' processors that is free.
+	// FreeShare is the free share of the usable workers' CPU capacity.
 	FreeShare float64
-	// FreeMemoryShare is the same of their memory.
+	// FreeMemoryShare is the free share of the usable workers' memory.
 	FreeMemoryShare float64
 }
 
--- a/internal/cell/stop_order.go
+++ b/internal/cell/stop_order.go
@@ -5,7 +5,7 @@
 	"gentianstand/internal/runner"
 )
 
-// StopOrder ends a run.
+// StopOrder stops a run on a worker.
 type StopOrder struct {
 	Worker runner.Target
 	Task   job.TaskID
--- a/internal/cell/suspect_run.go
+++ b/internal/cell/suspect_run.go
@@ -6,17 +6,18 @@
 type suspectRun struct {
 	task *task
 	run  uint64
-	// confirmed says that the run is known to have begun.
+	// confirmed is set if the run is known to have begun.
 	confirmed bool
-	// immediate says that the worker fell silent as soon as the run had begun.
+	// immediate is set if the worker became unresponsive as soon as the run had begun.
 	immediate bool
 }
 
-// cleared reports whether another run of the task has survived since.
+// cleared reports whether another run of the task has survived since, or the loss was
+// reverted.
 func (r suspectRun) cleared() bool { return !slices.Contains(r.task.crashes.unresponsive, r.run) }
 
-// hasBegun reports whether the run counts as one that has hasBegun.
+// hasBegun reports whether the run counts as begun, even if its start was never confirmed.
 func (r suspectRun) hasBegun() bool { return r.confirmed || r.task.crashes.lostMany() }
 
-// repeated reports whether other workers were lost under the task, too.
+// repeated reports whether other workers were also lost under the task.
 func (r suspectRun) repeated() bool { return r.task.crashes.losses() > 1 }
--- a/internal/cell/task.go
+++ b/internal/cell/task.go
@@ -12,22 +12,22 @@
 	stage *stage
 	index int
 	done  bool
-	// startConfirmed says that a run of it was confirmed under this owner.
+	// startConfirmed is set once a run of the task was confirmed under this owner.
 	startConfirmed bool
-	// attempts are its runs: at most one, but for copies that may run twice.
+	// attempts are the task's runs: at most one, or two with a speculative run.
 	attempts []*attempt
-	// failedRuns are the runs that ended as failed, each counted once. A new owner
-	// hears of them in any order, and of some again.
+	// failedRuns are the failed runs, each counted once. A new owner receives their ends in
+	// any order, and some of them repeatedly.
 	failedRuns []uint64
 	lastRun    uint64
 	checkpoint string
-	// checkpointPercent is how far the run with that checkpoint had come, as far as is known.
+	// checkpointPercent is the last known progress of the run that wrote the checkpoint.
 	checkpointPercent int
-	// crashes tells of the workers that were lost while it was starting.
+	// crashes records the workers that were lost while the task was starting.
 	crashes crashHistory
-	// lastWorkingAt is when a lasting task was last reported at work.
+	// lastWorkingAt is when a long-running task was last reported as working.
 	lastWorkingAt time.Time
-	// failedOn are the workers of failed runs, avoided for the next ones.
+	// failedOn are the workers of failed runs. The next runs avoid them.
 	failedOn []string
 }
 
@@ -36,7 +36,7 @@
 	return job.TaskID{Job: s.Job, Occurrence: s.Occurrence, Step: s.Step, Index: t.index}
 }
 
-// find returns the attempt with a run on a worker, or nil.
+// find returns the attempt of a run on a worker, or nil.
 func (t *task) find(w *worker, run uint64) *attempt {
 	for _, a := range t.attempts {
 		if a.worker == w && a.run == run {
@@ -55,16 +55,17 @@
 	return true
 }
 
-// maxKeptFailures is how many failures of a lasting task are kept: those of which a new owner may
-// hear again, and workers to avoid.
+// maxKeptFailures bounds the kept failures of a long-running task. They identify failures that
+// a new owner may receive again, and workers to avoid.
 const maxKeptFailures = 10
 
-// trimFailures bounds what is kept of a lasting task, which has no limit of attempts.
+// trimFailures bounds the kept failures of a long-running task, which has no limit of
+// attempts.
 func (t *task) trimFailures() {
 	if !t.stage.step.LongRunning {
 		return
 	}
-	// A commit may still hold the list, so it is not changed in place.
+	// A commit may still hold the list, so it must not be changed in place.
 	t.failedRuns = slices.Clone(t.failedRuns[max(0, len(t.failedRuns)-maxKeptFailures):])
 	t.failedOn = slices.Clone(t.failedOn[max(0, len(t.failedOn)-maxKeptFailures):])
 }
@@ -77,9 +78,9 @@
 	return t.crashes.backsOff(now)
 }
 
-// isPoison reports whether the task is a poison task; see crashHistory.isPoison. A
-// lasting task is not limited in its attempts, and fewer than mostCrashes count only if
-// they came as soon as it began.
+// isPoison reports whether the task is a poison task; see crashHistory.isPoison. The attempts
+// of a long-running task are not limited, and fewer than maxCrashes crashes count only if
+// enough of them came immediately after a start.
 func (t *task) isPoison(onlySuspect, correlated bool) bool {
 	h := &t.crashes
 	if t.stage.step.LongRunning && len(h.crashed) < maxCrashes && h.immediate < maxCrashesSoleSuspect {
@@ -90,8 +91,7 @@
 
 func (t *task) failures() int { return len(t.failedRuns) }
 
-// nextRun returns a run number higher than any that this or an earlier owner
-// can have ordered.
+// nextRun returns a run number higher than any that this or a previous owner can have used.
 func (t *task) nextRun(term uint64) uint64 {
 	return max(t.lastRun, (term-1)*runsPerTerm) + 1
 }
--- a/internal/cell/throttle.go
+++ b/internal/cell/throttle.go
@@ -9,21 +9,22 @@
 )
 
 const (
-	// tailThreshold is the share of its target at which a serving task's tail makes
-	// fillers beside it slow down. The reported tail is rough and half a second
-	// old, and load on it changes within seconds.
+	// tailThreshold is the share of its target at which a latency-sensitive task's tail
+	// latency causes best-effort tasks on its worker to be throttled. The reported value is
+	// rough and half a second old, and the load changes within seconds.
 	tailThreshold = 0.8
-	// slowDownFactor and paceUp are the steps of the feedback: down fast, because a
-	// target missed for seconds is harm, up slowly, because the tail follows late.
+	// slowDownFactor and speedUpStep are the steps of the feedback loop. It slows down fast,
+	// because missing a target for seconds does harm, and speeds up slowly, because the tail
+	// latency reacts late.
 	slowDownFactor = 0.5
 	speedUpStep    = 15
-	// throttleInterval is the time between two steps: an order needs 100 ms to take
-	// effect, and the report covers half a second.
+	// throttleInterval is the time between two steps. An order takes 100 ms to take effect,
+	// and a report covers half a second.
 	throttleInterval = 700 * time.Millisecond
 )
 
-// throttleBestEffort slows the filling tasks of a worker while a serving task there
-// comes near its tail target, and lets them go faster while none does.
+// throttleBestEffort throttles the best-effort tasks of a worker while a latency-sensitive
+// task there is close to its tail latency target, and speeds them up otherwise.
 func (c *Cell) throttleBestEffort(w *worker, now time.Time) {
 	worst := 0.0
 	for a := range w.attempts {
@@ -42,8 +43,8 @@
 	}
 }
 
-// nextSpeed is the feedback rule: above the target all filling stops, near it it
-// halves, and well below it it grows.
+// nextSpeed is the feedback rule: at or above the target best-effort tasks are suspended, near
+// it their speed is halved, and well below it their speed increases.
 func nextSpeed(speed int, worst float64) int {
 	switch {
 	case speed < 0:
@@ -58,7 +59,8 @@
 	return speed
 }
 
-// restoreSpeed lets fillers go on at full speed where no serving task is left.
+// restoreSpeed lets best-effort tasks run at full speed when no latency-sensitive task is left
+// on the worker.
 func (c *Cell) restoreSpeed(w *worker, now time.Time) {
 	for a := range w.attempts {
 		if a.task.stage.step.BestEffort && a.phase == running && a.speedPercent != 100 && now.Sub(a.throttledAt) >= throttleInterval {
--- a/internal/cell/trial_workers.go
+++ b/internal/cell/trial_workers.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// usesTrialWorkers reports whether a stage's tasks are tried on avoided workers: lasting ones
-// are, where no other worker that may run them has room. Their failures use up no attempts,
-// and a worker that runs lasting tasks alone never shows a success.
+// usesTrialWorkers reports whether a stage's tasks may be tried on avoided workers. That
+// applies to long-running tasks if no other worker that may run them has free capacity. Their
+// failures use up no attempts, and a worker that runs only long-running tasks never shows a
+// success.
 func (c *Cell) usesTrialWorkers(s *stage, view *planView, now time.Time) bool {
 	if !s.step.LongRunning || s.step.Gang || len(view.trialWorkers) == 0 {
 		return false
@@ -17,7 +18,7 @@
 	return !c.canUnparkFor(s, now)
 }
 
-// canUnparkFor reports whether parked workers may run a stage, or are coming.
+// canUnparkFor reports whether parked workers may run a stage, or are being unparked.
 func (c *Cell) canUnparkFor(s *stage, now time.Time) bool {
 	if c.settings.SpareWorkers == 0 {
 		return false
@@ -30,8 +31,7 @@
 	return false
 }
 
-// advised returns those of some workers for which the stage needs no ticket or has a valid
-// one.
+// advised returns the workers for which the stage needs no ticket or holds a valid one.
 func (s *stage) advised(workers []*worker, now time.Time) []*worker {
 	if s.job.record.Advice == nil {
 		return workers
--- a/internal/cell/unknown_jobs.go
+++ b/internal/cell/unknown_jobs.go
@@ -2,10 +2,10 @@
 
 import "gentianstand/internal/job"
 
-// UnknownJobs returns the jobs that workers report and that this cell does not know.
-// An overtaken owner can have begun a job that was accepted after this one had
-// read the store. Their ends are not taken in, and so not acknowledged, until
-// the job is loaded, or Absent says that there is none.
+// UnknownJobs returns the jobs that workers report and that this cell does not know. An
+// overtaken owner can have started a job that was accepted after this one read the store. The
+// ends of such jobs are not recorded, and so not acknowledged, until the job is loaded or
+// MarkAbsent is called.
 func (c *Cell) UnknownJobs() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -16,7 +16,7 @@
 	return ids
 }
 
-// MarkAbsent takes in that the store has no such job, so that its runs are stopped.
+// MarkAbsent records that the store has no such job, so that its runs are stopped.
 func (c *Cell) MarkAbsent(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -24,9 +24,8 @@
 	c.absentJobs[id] = struct{}{}
 }
 
-// knowsJob reports whether a task's job is known or known to be absent;
-// otherwise the job is put among the missing. A name that no job can have
-// belongs to an absent one.
+// knowsJob reports whether a task's job is known or known to be absent. Otherwise it adds the
+// job to the unknown jobs. A task name that cannot be parsed counts as absent.
 func (c *Cell) knowsJob(task string) bool {
 	id, err := job.ParseTaskID(task)
 	if err != nil || c.jobs[id.Job] != nil {
--- a/internal/cell/wait_reason.go
+++ b/internal/cell/wait_reason.go
@@ -1,23 +1,23 @@
 package cell
 
-// WaitReason is why a stage has waited for long.
+// WaitReason is why a stage has been waiting for long.
 type WaitReason string
 
 const (
-	// NoWorkerFits says that no known worker could hold one task, even when idle.
+	// NoWorkerFits means that no known worker could hold a task, even when idle.
 	NoWorkerFits WaitReason = "no_worker_fits"
-	// AllWorkersDenied says that the adviser refused every worker that could.
+	// AllWorkersDenied means that the adviser denied every worker that could hold a task.
 	AllWorkersDenied WaitReason = "advice_denies"
-	// GangTooLarge says that a gang has more members than the workers that may run it
-	// hold when they are idle.
+	// GangTooLarge means that a gang has more members than fit on the workers that may run it,
+	// even when they are idle.
 	GangTooLarge WaitReason = "too_few_places"
-	// OverQuota says that the workspace has as much running as it may.
+	// OverQuota means that the workspace has used up its quota.
 	OverQuota WaitReason = "over_quota"
-	// QuotaTooSmall says that a gang needs more than its workspace may have running.
+	// QuotaTooSmall means that a gang needs more than the quota of its workspace.
 	QuotaTooSmall WaitReason = "quota_too_small"
-	// CatalogBehind says that the owner does not know yet the configuration under which the
+	// CatalogBehind means that the owner does not have the configuration yet under which the
 	// job was accepted.
 	CatalogBehind WaitReason = "catalog_behind"
-	// WaitsForCapacity says that the stage could run, and others use the room.
+	// WaitsForCapacity means that the stage could run, but other tasks occupy the capacity.
 	WaitsForCapacity WaitReason = "no_room"
 )
--- a/internal/cell/watch.go
+++ b/internal/cell/watch.go
@@ -7,40 +7,39 @@
 )
 
 const (
-	// watchPeriod is how often the runs are looked through. Nothing there is
-	// decided within less than some hundred milliseconds.
+	// watchPeriod is how often the runs are checked. All of watch's limits are some 100 ms or
+	// more.
 	watchPeriod = 40 * time.Millisecond
-	// stopResendAfter is the time after which an unanswered stop is sent again; a call
-	// to a worker takes a few milliseconds. Each stop that is lost delays the next
-	// start of its task by this.
+	// stopResendAfter is when an unanswered stop is sent again. A call to a worker takes a few
+	// milliseconds. Each lost stop delays the next start of its task by this time.
 	stopResendAfter = 250 * time.Millisecond
-	// minStall is the least time without progress that counts as a stall.
-	// Reports come every second at least and progress moves in whole percents.
+	// minStall is the least time without progress that counts as a stall. Reports arrive at
+	// least every second, and progress is reported in whole percents.
 	minStall = 1800 * time.Millisecond
-	// stallShare of the estimate without progress counts as a stall, as progress
-	// in whole percents of a long task moves rarely.
+	// stallShare is the share of the estimate that counts as a stall if it passes without
+	// progress. The progress of a long task changes rarely, as it is reported in whole
+	// percents.
 	stallShare = 0.25
-	// minFreshStall and freshShare of the estimate are the same for a run that began
-	// without a checkpoint and has made no progress at all: the first percent shows soon,
-	// also on a worker that is several times slower.
+	// minFreshStall and freshStallShare replace minStall and stallShare for a run that began
+	// without a checkpoint and has made no progress yet. Its first percent is reported soon,
+	// even on a worker that is several times slower.
 	minFreshStall   = 800 * time.Millisecond
 	freshStallShare = 0.1
-	// slowFactor is how much longer than a fresh start elsewhere a run has to
-	// need before it is moved: stopping and the estimate's error cost something.
+	// slowFactor is how many times longer than a fresh run elsewhere a run must need to be
+	// moved. It covers the cost of stopping and the error of the estimate.
 	slowFactor = 1.6
-	// slowWorkerFactor is how many times longer than usual a run takes whose worker is
-	// likely slow: tasks of one queue differ by up to 2.5 times.
+	// slowWorkerFactor is how many times longer than usual a run takes if its worker is
+	// probably slow. Tasks of one queue differ by a factor of up to 2.5.
 	slowWorkerFactor = 3
-	// minSiblingPercent is the progress in percent from which a sibling's speed tells
-	// something; progress is reported in whole percents.
+	// minSiblingPercent is the progress from which a sibling's speed is meaningful, as
+	// progress is reported in whole percents.
 	minSiblingPercent = 10
-	// minSlowElapsed is the least time a run must have been going before its speed is
-	// judged.
+	// minSlowElapsed is how long a run must have progressed before its speed is rated.
 	minSlowElapsed = 1200 * time.Millisecond
 )
 
-// watch looks after the runs on one worker: ends of leases, stops without an
-// answer, stalled and slow runs, leaving workers, and tail targets.
+// watch checks the runs on one worker: expired leases, unanswered stops, stalled and slow
+// runs, draining workers, and tail latency targets.
 func (c *Cell) watch(w *worker, now time.Time) {
 	if w.parked {
 		c.watchParked(w, now)
@@ -73,19 +72,19 @@
 	}
 }
 
-// watchParked forgets a parked worker that left.
+// watchParked forgets a parked worker that has left the roster.
 func (c *Cell) watchParked(w *worker, now time.Time) {
 	if !w.unlistedAt.IsZero() && now.Sub(w.unlistedAt) > unlistedGrace {
 		c.forgetWorker(w)
 	}
 }
 
-// watchLease drops the runs of a worker whose lease must have ended, and
-// forgets workers that left. It reports whether nothing else is to be done.
+// watchLease drops the runs of a worker whose lease must have expired, and forgets workers
+// that have left. It returns true if the worker needs no further checks.
 func (c *Cell) watchLease(w *worker, now time.Time) bool {
 	if w.reported && !w.unlistedAt.IsZero() && !w.unresponsiveSince.IsZero() && len(w.attempts) == 0 {
-		// It has left: the books are complete, and nothing of ours can run there. A
-		// worker that stayed among the known ones would hold a new owner back.
+		// The worker has left: its accounting is complete, and no run can exist there. If it
+		// stayed in the store, it would delay a new owner's recovery.
 		c.forgetWorker(w)
 		return true
 	}
@@ -109,8 +108,8 @@
 	return true
 }
 
-// watchProgress stops a run that stands still, or that would be done sooner if
-// it started again elsewhere.
+// watchProgress stops a run that is stalled, or that would end sooner if it restarted
+// elsewhere.
 func (c *Cell) watchProgress(a *attempt, now time.Time) {
 	step := a.task.stage.step
 	if step.Gang || step.LongRunning || step.BestEffort || a.progressedAt.IsZero() {
@@ -118,7 +117,7 @@
 	}
 	still := now.Sub(a.progressedAt)
 	limit := a.stallLimit()
-	// A worker whose reports stop coming is not a stalled task.
+	// If the worker's reports stop arriving, the task is not known to be stalled.
 	if still > limit && a.worker.lastReport.Sub(a.progressedAt) > limit {
 		c.blameWorker(a, now)
 		c.move(a, "stalled", still, now)
@@ -139,7 +138,7 @@
 	a.slow = a.slow || step.AllowDuplicates && c.speculationPays(a)
 }
 
-// move stops a run so that its task starts elsewhere.
+// move stops a run so that its task restarts elsewhere.
 func (c *Cell) move(a *attempt, reason string, after time.Duration, now time.Time) {
 	if !c.enabled(Moves) {
 		return
@@ -149,8 +148,8 @@
 	c.stop(a, reason, now)
 }
 
-// stallLimit returns how long a run may go without progress. What is started on a worker
-// that stands still is late by this limit.
+// stallLimit returns how long a run may go without progress. A run on a stalled worker is
+// delayed by this time.
 func (a *attempt) stallLimit() time.Duration {
 	estimate := float64(a.task.stage.step.Estimate)
 	if a.fromScratch && a.percent == 0 {
@@ -159,7 +158,7 @@
 	return max(minStall, time.Duration(stallShare*estimate))
 }
 
-// isSlow reports whether a run would take much longer here than a fresh one.
+// isSlow reports whether a run would take much longer than a fresh run elsewhere.
 func (c *Cell) isSlow(a *attempt) bool {
 	if a.progressedAt.Sub(a.confirmedAt) < minSlowElapsed || a.percent <= 0 || a.percent >= 90 {
 		return false
@@ -168,7 +167,7 @@
 	return a.projectedRemaining() > time.Duration(slowFactor*float64(fresh+c.settings.StopGrace))+minSlowElapsed
 }
 
-// suggestsSlowWorker reports whether a run goes so slowly that its worker is likely at fault.
+// suggestsSlowWorker reports whether a run is so slow that its worker is probably at fault.
 // Short tasks are not moved off such a worker, but it should not get urgent ones.
 func (c *Cell) suggestsSlowWorker(a *attempt) bool {
 	elapsed := a.progressedAt.Sub(a.confirmedAt)
@@ -178,7 +177,7 @@
 	return elapsed+a.projectedRemaining() > slowWorkerFactor*c.usualDuration(a)
 }
 
-// blameWorker counts a run against its worker's health, once.
+// blameWorker counts a run against its worker's health, at most once.
 func (c *Cell) blameWorker(a *attempt, now time.Time) {
 	if a.blamed {
 		return
@@ -187,15 +186,15 @@
 	c.recordFailure(a.worker, a.task.stage.id.Job, now)
 }
 
-// recordFailure counts a failure of a job's run against a worker's health.
+// recordFailure counts a failed run of a job against a worker's health.
 func (c *Cell) recordFailure(w *worker, jobID string, now time.Time) {
 	if c.enabled(Quarantine) {
 		w.health.failed(jobID, now)
 	}
 }
 
-// projectedRemaining returns how long a run with some progress still needs at its speed
-// so far.
+// projectedRemaining returns how long a run with some progress still needs at its speed so
+// far.
 func (a *attempt) projectedRemaining() time.Duration {
 	elapsed := a.progressedAt.Sub(a.confirmedAt)
 	return time.Duration(float64(elapsed) * float64(100-a.percent) / float64(a.percent))
@@ -210,9 +209,9 @@
 	return fresh
 }
 
-// usualDuration returns how long a fresh run of the attempt's task would take: what its
-// siblings on other workers show, or, without any, the longer of the estimate and one and
-// a half times what the queue's tasks usually take. Estimates alone are far off.
+// usualDuration returns how long a fresh run of the attempt's task would take. It uses the
+// progress of siblings on other workers. Without any, it returns the longer of the estimate
+// and 1.5 times the usual duration of the queue's tasks, as estimates alone are far off.
 func (c *Cell) usualDuration(a *attempt) time.Duration {
 	fastest := time.Duration(0)
 	for _, sibling := range a.task.stage.tasks {
@@ -233,8 +232,8 @@
 	return max(estimate, c.durations.mean[a.task.stage.job.record.Queue]*3/2)
 }
 
-// watchDraining moves a run off a worker that is about to leave, unless it will
-// be done before.
+// watchDraining moves a run off a draining worker unless the run will end before the worker
+// leaves.
 func (c *Cell) watchDraining(a *attempt, now time.Time) {
 	w := a.worker
 	step := a.task.stage.step
@@ -246,7 +245,7 @@
 	c.stop(a, "worker_leaving", now)
 }
 
-// expectedRemaining guesses how long a run still needs.
+// expectedRemaining estimates how long a run still needs.
 func (c *Cell) expectedRemaining(a *attempt, now time.Time) time.Duration {
 	if a.percent > 5 && !a.confirmedAt.IsZero() {
 		perPercent := a.progressedAt.Sub(a.confirmedAt) / time.Duration(a.percent)
