--- a/internal/cell/worker.go
+++ b/internal/cell/worker.go
@@ -10,55 +10,55 @@
 	"gentianstand/internal/runner"
 )
 
-// worker is a worker and the cell's books about it.
+// worker is a worker and its accounting.
 type worker struct {
-	// Worker is its entry in the roster, which may still be one of an incarnation before.
+	// Worker is the roster entry. It may still describe a previous incarnation.
 	roster.Worker
 	*incarnationState
-	// idHash is drawn by its id, for choices among equals.
+	// idHash is a hash of the worker's id that breaks ties between equal workers.
 	idHash uint64
-	// pendingEntry is an entry of an incarnation that is not known yet, or has ended.
+	// pendingEntry is a roster entry of an incarnation that is not known yet or has ended.
 	pendingEntry roster.Worker
 	target       runner.Target
 	used         resource.Amount
-	// attempts are the runs that are or may be on the worker.
+	// attempts are the runs that exist or may exist on the worker.
 	attempts map[*attempt]struct{}
-	// stored says that the store names the worker among those on which runs may be
-	// started.
+	// stored is set if the store lists the worker as one on which runs may be started.
 	stored bool
-	// storedByPreviousOwner says that an earlier owner had stored the worker.
+	// storedByPreviousOwner is set if a previous owner had stored the worker.
 	storedByPreviousOwner bool
-	// cordoned says that nothing is started here until the worker is open again, and
-	// that the store was or is being told so.
+	// cordoned is set while no run is started here. The store lists the worker as cordoned, or
+	// is about to.
 	cordoned bool
-	// accounted says that the runs that an earlier owner can have left here are
-	// booked, also if the worker has not reported.
+	// accounted is set if all runs that a previous owner can have left here are accounted for,
+	// even if the worker has not reported.
 	accounted bool
-	// earlierLeaseUntil is when, as an earlier owner told, every lease that was given before
-	// this owner must have ended, or zero.
+	// earlierLeaseUntil is when every lease granted before this ownership must have expired,
+	// according to the previous owner. It is zero if unknown.
 	earlierLeaseUntil time.Time
-	// evacuating says that the worker gets nothing new and is emptied, because its
-	// machine is about to have its upkeep.
+	// evacuating is set while the worker gets no new runs and is emptied because its machine
+	// is about to be maintained.
 	evacuating bool
-	// parked says that the worker is out of use until it is needed; wokenAt is when
-	// it was needed last, and idleSince since when it has no runs.
+	// parked is set while the worker is out of use until it is needed. unparkedAt is when it
+	// was last needed, and idleSince is since when it has had no runs.
 	parked     bool
 	unparkedAt time.Time
 	idleSince  time.Time
-	// unlistedAt is when it vanished from the roster, or zero; lapsedInOutage says that the
-	// store had been away then.
+	// unlistedAt is when the worker disappeared from the roster, or zero. expiredInOutage is
+	// set if the store had been unavailable then.
 	unlistedAt      time.Time
 	expiredInOutage bool
-	// reserved keeps the worker's room for a large task, or is nil.
+	// reserved is the reservation of the worker's capacity for a large task, or nil.
 	reserved *reservation
-	// isolatedFor is the job of which a task with a crash history is starting here, or nil.
+	// isolatedFor is the job with a task that has a crash history and is starting here, or
+	// nil.
 	isolatedFor *jobState
 	// usablePass is the last planning pass in which the worker was usable.
 	usablePass uint64
-	// trialPass is the last planning pass in which the worker could be tried although it was
-	// avoided.
+	// trialPass is the last planning pass in which the worker was a trial worker.
 	trialPass uint64
-	// bestEffort and latencySensitive count runs that fill and runs with a tail target.
+	// bestEffort counts the best-effort runs, and latencySensitive the runs with a tail
+	// latency target.
 	bestEffort, latencySensitive int
 }
 
@@ -70,10 +70,10 @@
 	return runner.Target{ID: r.ID, Incarnation: r.Incarnation, Address: r.Address, Zone: r.Zone}
 }
 
-// free returns what is left of the worker's capacity.
+// free returns the unused part of the worker's capacity.
 func (w *worker) free() resource.Amount { return w.Capacity.Sub(w.used) }
 
-// addAttempt books an attempt.
+// addAttempt accounts for an attempt on the worker and in its workspace's quota.
 func (w *worker) addAttempt(a *attempt) {
 	w.attempts[a] = struct{}{}
 	step := a.task.stage.step
@@ -90,7 +90,7 @@
 	}
 }
 
-// removeAttempt takes an attempt out of the books.
+// removeAttempt removes an attempt from the accounting.
 func (w *worker) removeAttempt(a *attempt) {
 	if _, ok := w.attempts[a]; !ok {
 		return
@@ -113,7 +113,7 @@
 // usable reports whether new runs may be placed on the worker.
 func (w *worker) usable(now time.Time) bool { return w.isReady(now) && !w.health.avoided(now) }
 
-// isReady reports whether the worker can carry out new runs, however runs end there.
+// isReady reports whether the worker can carry out new runs, regardless of its health.
 func (w *worker) isReady(now time.Time) bool {
 	if !w.reported || !w.entryIsCurrent() || !w.stored || w.cordoned || w.Draining || w.evacuating || now.Sub(w.lastReport) > maxReportAge {
 		return false
@@ -121,31 +121,31 @@
 	return w.unlistedAt.IsZero() || w.expiredInOutage && now.Sub(w.unlistedAt) <= unlistedGrace
 }
 
-// entryIsCurrent reports whether the worker's entry in the roster is one of its present
-// incarnation: the next one may have other room and another kind.
+// entryIsCurrent reports whether the roster entry describes the worker's current incarnation.
+// The next incarnation may have a different capacity and different labels.
 func (w *worker) entryIsCurrent() bool {
 	return w.Worker.Incarnation == 0 || w.Worker.Incarnation == w.incarnation
 }
 
-// estimateClock returns our best guess of the worker's clock.
+// estimateClock returns the estimated reading of the worker's clock at now.
 func (w *worker) estimateClock(now time.Time) time.Duration {
 	return w.clock + now.Sub(w.clockAt)
 }
 
-// leaseExpired reports whether the worker's lease must have ended, even if its clock
-// runs as slow as the platform allows.
+// leaseExpired reports whether the worker's lease must have expired, even if its clock runs as
+// slowly as the platform allows.
 func (w *worker) leaseExpired(now time.Time) bool {
 	return !w.clockAt.IsZero() && !now.Before(w.leaseOverAt())
 }
 
-// leaseOverAt returns when the lease must have ended of a worker whose clock is known.
+// leaseOverAt returns when the lease of a worker whose clock is known must have expired.
 func (w *worker) leaseOverAt() time.Time {
 	remaining := w.leaseEnd + expiryMargin - w.clock
 	return w.clockAt.Add(time.Duration(float64(remaining) / (1 - maxClockDrift)))
 }
 
-// updateClock takes in the worker's clock from a report that arrived at now. It may be 0 right
-// after the start.
+// updateClock records the worker's clock from a report that arrived at now. The clock may be 0
+// right after the worker's start.
 func (w *worker) updateClock(clock time.Duration, now time.Time) {
 	if w.clockAt.IsZero() || clock > w.clock {
 		w.clock = clock
@@ -153,14 +153,14 @@
 	}
 }
 
-// updateClockFromAnswer is sawClock for the answer to an order, which may have none.
+// updateClockFromAnswer is updateClock for the answer to an order, which may lack a clock.
 func (w *worker) updateClockFromAnswer(answer runner.Answer, now time.Time) {
 	if answer.Clock > 0 {
 		w.updateClock(answer.Clock, now)
 	}
 }
 
-// extendLease returns a new lease end and books it before it is sent.
+// extendLease returns a new lease end and records it before it is sent.
 func (w *worker) extendLease(lease time.Duration, now time.Time) time.Duration {
 	w.leaseEnd = max(w.leaseEnd, w.estimateClock(now)+lease).Truncate(time.Millisecond)
 	return w.leaseEnd
--- a/internal/cell/worker_chunk.go
+++ b/internal/cell/worker_chunk.go
@@ -1,6 +1,6 @@
 package cell
 
-// WorkerChunk is a part of the known workers, to be stored.
+// WorkerChunk is one chunk of the known workers to store.
 type WorkerChunk struct {
 	Number  int
 	Workers []KnownWorker
