--- a/internal/cell/ask_order.go
+++ b/internal/cell/ask_order.go
@@ -38,8 +38,8 @@
 
 // tieBreak mixes two hashes into a pseudo-random order key.
 func tieBreak(a, b uint64) uint64 {
-	const odd = 0x9e3779b97f4a7c15
-	mixed := (a ^ b) * odd
+	const multiplier = 0x9e3779b97f4a7c15
+	mixed := (a ^ b) * multiplier
 	return mixed ^ mixed>>32
 }
 
--- a/internal/cell/evacuate.go
+++ b/internal/cell/evacuate.go
@@ -17,13 +17,13 @@
 func (c *Cell) SetEvacuating(workers []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	named := make(map[string]bool, len(workers))
+	evacuating := make(map[string]bool, len(workers))
 	for _, id := range workers {
-		named[id] = true
+		evacuating[id] = true
 	}
 	for id, w := range c.workers {
-		if w.evacuating != named[id] {
-			w.evacuating = named[id]
+		if w.evacuating != evacuating[id] {
+			w.evacuating = evacuating[id]
 			c.log.WithFields(workerFields(w)).WithField("runs", len(w.attempts)).WithField("emptied", w.evacuating).Info("worker_evacuation")
 		}
 	}
--- a/internal/cell/preempt.go
+++ b/internal/cell/preempt.go
@@ -18,7 +18,7 @@
 	if !c.enabled(Preemption) || s.job.record.Priority > 0 || s.step.Gang || c.startable(s) <= s.preempting || s.job.age(now) < preemptAfter {
 		return
 	}
-	if tooLate := s.job.objective(s, &c.durations).Sub(s.job.record.AcceptedAt); s.latestStart(&c.durations).Add(tooLate).Before(now) {
+	if allowance := s.job.objective(s, &c.durations).Sub(s.job.record.AcceptedAt); s.latestStart(&c.durations).Add(allowance).Before(now) {
 		return
 	}
 	if now.Sub(s.victimsSearchedAt) < preemptInterval {
--- a/internal/cell/stage.go
+++ b/internal/cell/stage.go
@@ -97,11 +97,11 @@
 // checkpointedWork returns how much less than usual the stage's idle tasks take because they
 // resume from checkpoints.
 func (s *stage) checkpointedWork() time.Duration {
-	least := 100
+	leastPercent := 100
 	for _, index := range s.idle {
-		least = min(least, s.tasks[index].checkpointPercent)
+		leastPercent = min(leastPercent, s.tasks[index].checkpointPercent)
 	}
-	return s.step.Estimate * time.Duration(least) / 100
+	return s.step.Estimate * time.Duration(leastPercent) / 100
 }
 
 // removeIdle removes a task from the idle tasks.
--- a/internal/cell/watch.go
+++ b/internal/cell/watch.go
@@ -115,12 +115,12 @@
 	if step.Gang || step.LongRunning || step.BestEffort || a.progressedAt.IsZero() {
 		return
 	}
-	still := now.Sub(a.progressedAt)
+	sinceProgress := now.Sub(a.progressedAt)
 	limit := a.stallLimit()
 	// If the worker's reports stop arriving, the task is not known to be stalled.
-	if still > limit && a.worker.lastReport.Sub(a.progressedAt) > limit {
+	if sinceProgress > limit && a.worker.lastReport.Sub(a.progressedAt) > limit {
 		c.blameWorker(a, now)
-		c.move(a, "stalled", still, now)
+		c.move(a, "stalled", sinceProgress, now)
 		return
 	}
 	if c.suggestsSlowWorker(a) {
