--- a/internal/cell/mechanism_set.go
+++ b/internal/cell/mechanism_set.go
@@ -6,27 +6,27 @@
 	"strings"
 )
 
-// MechanismSet is a set of mechanisms that are switched off. It implements flag.Value.
+// MechanismSet is the set of disabled mechanisms. It implements flag.Value.
 type MechanismSet map[Mechanism]struct{}
 
-// String returns the set as Set takes it.
-func (w MechanismSet) String() string {
+// String returns the set in the form that Set accepts.
+func (s MechanismSet) String() string {
 	var names []string
-	for m := range w {
+	for m := range s {
 		names = append(names, string(m))
 	}
 	slices.Sort(names)
 	return strings.Join(names, ",")
 }
 
-// Has reports whether a mechanism is switched off.
-func (w MechanismSet) Has(m Mechanism) bool {
-	_, off := w[m]
+// Has reports whether a mechanism is disabled.
+func (s MechanismSet) Has(m Mechanism) bool {
+	_, off := s[m]
 	return off
 }
 
-// Set takes names with commas between them; an empty text is the empty set.
-func (w *MechanismSet) Set(text string) error {
+// Set parses a comma-separated list of names. An empty text is the empty set.
+func (s *MechanismSet) Set(text string) error {
 	set := MechanismSet{}
 	for name := range strings.SplitSeq(text, ",") {
 		m := Mechanism(strings.TrimSpace(name))
@@ -34,9 +34,9 @@
 		case slices.Contains(Mechanisms, m):
 			set[m] = struct{}{}
 		case m != "":
-			return fmt.Errorf("%q is no mechanism; there are %s", m, allNames())
+			return fmt.Errorf("unknown mechanism %q; the mechanisms are %s", m, mechanismNames())
 		}
 	}
-	*w = set
+	*s = set
 	return nil
 }
--- a/internal/cell/plan_view.go
+++ b/internal/cell/plan_view.go
@@ -7,92 +7,94 @@
 )
 
 const (
-	// urgentReserve is the share of all processors that only the most urgent queue and
-	// lasting tasks may use. The queue's tasks are short and come in bursts, and without
-	// room each would have to wait for a stop.
+	// urgentReserve is the share of all CPU capacity reserved for the most urgent queue and
+	// for long-running tasks. The tasks of that queue are short and arrive in bursts; without
+	// free capacity, each would have to wait for a run to be stopped.
 	urgentReserve = 0.06
 )
 
-// planView is the view of the workers during one planning pass.
+// planView is a view of the workers for one planning pass.
 type planView struct {
 	// pass is the number of the planning pass.
 	pass   uint64
 	usable []*worker
-	// trialWorkers are workers that are avoided, on which lasting tasks may be tried.
+	// trialWorkers are avoided workers on which long-running tasks may be tried.
 	trialWorkers []*worker
-	// byRack are the usable workers by their racks, once somebody asked for a rack.
+	// byRack groups the usable workers by rack. It is built on first use.
 	byRack map[string][]*worker
-	// total and free are thousandths of a core over all usable workers.
-	total, free int64
-	// maxFree is the largest free amount of each kind on any worker, so that stages
-	// that fit nowhere are passed over without a look at each worker.
+	// totalMilliCPU and freeMilliCPU sum up the CPU capacity of all usable workers, in
+	// thousandths of a core.
+	totalMilliCPU, freeMilliCPU int64
+	// maxFree is the largest free amount on any worker, per resource. Stages that fit nowhere
+	// are skipped without a scan of the workers.
 	maxFree resource.Amount
-	// minCapacity is the smallest capacity of each kind of any worker, so that reservations are
-	// passed over for stages whose tasks are large on none.
+	// minCapacity is the smallest capacity of any worker, per resource. Reservations are
+	// skipped for stages whose tasks are large on no worker.
 	minCapacity resource.Amount
 	slots       AdviceSlots
-	// unreserved says that no processors are kept for the most urgent queue.
+	// unreserved is set if no CPU capacity is reserved for the most urgent queue.
 	unreserved bool
-	// reserved counts the workers that are reserved for each stage.
+	// reserved counts the workers reserved for each stage.
 	reserved map[*stage]int
-	// recoveryDeadline is when the recovery is over at the latest; see recover.
+	// recoveryDeadline is the latest time at which the recovery ends; see recover.
 	recoveryDeadline time.Time
-	// unparkingStages counts the stages that had parked workers unparkingStages.
+	// unparkingStages counts the stages for which this pass considered unparking.
 	unparkingStages int
 }
 
 func (c *Cell) newPlanView(now time.Time) *planView {
 	c.pass++
-	r := &planView{pass: c.pass, usable: c.usableBuf[:0], reserved: map[*stage]int{}, unreserved: !c.enabled(UrgentReserve)}
+	v := &planView{pass: c.pass, usable: c.usableBuf[:0], reserved: map[*stage]int{}, unreserved: !c.enabled(UrgentReserve)}
 	for _, w := range c.workers {
 		if !w.usable(now) {
-			r.addTrialWorker(w, now)
+			v.addTrialWorker(w, now)
 			continue
 		}
 		w.usablePass = c.pass
 		w.isolatedFor = nil
-		r.usable = append(r.usable, w)
-		r.total += w.Capacity.MilliCPU
+		v.usable = append(v.usable, w)
+		v.totalMilliCPU += w.Capacity.MilliCPU
 		free := w.free()
-		r.free += max(0, free.MilliCPU)
-		r.maxFree = r.maxFree.Max(free)
-		if len(r.usable) == 1 {
-			r.minCapacity = w.Capacity
+		v.freeMilliCPU += max(0, free.MilliCPU)
+		v.maxFree = v.maxFree.Max(free)
+		if len(v.usable) == 1 {
+			v.minCapacity = w.Capacity
 		}
-		r.minCapacity = r.minCapacity.Min(w.Capacity)
+		v.minCapacity = v.minCapacity.Min(w.Capacity)
 	}
-	c.usableBuf = r.usable
+	c.usableBuf = v.usable
 	c.markIsolated()
-	return r
+	return v
 }
 
-// addTrialWorker notes a worker that is not usable if lasting tasks may be tried there.
-func (r *planView) addTrialWorker(w *worker, now time.Time) {
+// addTrialWorker adds an avoided worker if long-running tasks may be tried there.
+func (v *planView) addTrialWorker(w *worker, now time.Time) {
 	if !w.isReady(now) || !w.health.allowsTrial(now) {
 		return
 	}
-	w.trialPass = r.pass
+	w.trialPass = v.pass
 	w.isolatedFor = nil
-	r.trialWorkers = append(r.trialWorkers, w)
-	r.maxFree = r.maxFree.Max(w.free())
+	v.trialWorkers = append(v.trialWorkers, w)
+	v.maxFree = v.maxFree.Max(w.free())
 }
 
 // rack returns the usable workers of a rack.
-func (r *planView) rack(name string) []*worker {
-	if r.byRack == nil {
-		r.byRack = map[string][]*worker{}
-		for _, w := range r.usable {
-			r.byRack[w.Rack] = append(r.byRack[w.Rack], w)
+func (v *planView) rack(name string) []*worker {
+	if v.byRack == nil {
+		v.byRack = map[string][]*worker{}
+		for _, w := range v.usable {
+			v.byRack[w.Rack] = append(v.byRack[w.Rack], w)
 		}
 	}
-	return r.byRack[name]
+	return v.byRack[name]
 }
 
-// allowsCPU reports whether a stage may take more processors. No room is kept from lasting
-// tasks: one that waits for others to end is away for as long as these come.
-func (r *planView) allowsCPU(s *stage, milliCPU int64) bool {
-	if s.job.record.Priority <= 0 || s.step.LongRunning || r.unreserved {
+// allowsCPU reports whether a stage may use more CPU capacity. The reserve is open to
+// long-running tasks: one that had to wait for other tasks to end would be down for as long as
+// new ones arrive.
+func (v *planView) allowsCPU(s *stage, milliCPU int64) bool {
+	if s.job.record.Priority <= 0 || s.step.LongRunning || v.unreserved {
 		return true
 	}
-	return float64(r.free-milliCPU) >= urgentReserve*float64(r.total)
+	return float64(v.freeMilliCPU-milliCPU) >= urgentReserve*float64(v.totalMilliCPU)
 }
--- a/internal/cell/progress.go
+++ b/internal/cell/progress.go
@@ -7,7 +7,7 @@
 	"gentianstand/internal/job"
 )
 
-// progress returns what is to be stored of a job.
+// progress returns a job's progress in its stored form.
 func (j *jobState) progress() *job.Progress {
 	p := &job.Progress{Final: j.final}
 	if j.final != "" {
@@ -37,7 +37,7 @@
 	return p, len(p.Done) > 0 || len(p.Tasks) > 0
 }
 
-// restore puts stored progress into a new job.
+// restore sets the progress of a newly loaded job from its stored form.
 func (j *jobState) restore(p *job.Progress, now time.Time) {
 	j.final = p.Final
 	j.storedState = p.Final
@@ -70,6 +70,6 @@
 		t.lastRun = kept.LastRun
 		t.checkpoint = kept.Checkpoint
 		t.crashes = crashHistory{crashed: kept.CrashedRuns, immediate: kept.CrashedAtStart, unresponsive: kept.LostRuns, lostAt: lostAtFrom(kept.LostAtMillis, now)}
-		s.lostWorkers = s.lostWorkers || t.crashes.any()
+		s.lostWorkers = s.lostWorkers || t.crashes.hasLosses()
 	}
 }
--- a/internal/cell/stats.go
+++ b/internal/cell/stats.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Stats counts what a cell has decided since it began, for metrics.
+// Stats counts a cell's decisions since it began and describes its current state, for metrics.
 type Stats struct {
 	Starts uint64
 	Done   uint64
 	Failed uint64
 	Lost   uint64
-	// PoisonJobs counts the jobs that were ended because of a poison task.
+	// PoisonJobs counts the jobs that failed because of a poison task.
 	PoisonJobs      uint64
 	Stops           uint64
 	Preemptions     uint64
@@ -21,9 +21,9 @@
 	Usable          int
 	Parked          int
 	WaitingTasks    int
-	// FreeShare is the share of the usable workers' processors that is free.
+	// FreeShare is the free share of the usable workers' CPU capacity.
 	FreeShare float64
-	// FreeMemoryShare is the same of their memory.
+	// FreeMemoryShare is the free share of the usable workers' memory.
 	FreeMemoryShare float64
 }
 
@@ -38,10 +38,10 @@
 	for st := range c.waiting {
 		s.WaitingTasks += len(st.idle)
 	}
-	r := c.newPlanView(now)
-	s.Usable = len(r.usable)
-	s.FreeShare = float64(r.free) / float64(max(1, r.total))
-	s.FreeMemoryShare = freeMemoryShare(r.usable)
+	view := c.newPlanView(now)
+	s.Usable = len(view.usable)
+	s.FreeShare = float64(view.freeMilliCPU) / float64(max(1, view.totalMilliCPU))
+	s.FreeMemoryShare = freeMemoryShare(view.usable)
 	return s
 }
 
