--- a/internal/celljobs/doc.go
+++ b/internal/celljobs/doc.go
@@ -1,13 +1,11 @@
-// Package celljobs keeps the jobs of a cell in the store. The accepting
-// instance writes a job's record once, a cancellation is a row beside it, and
-// the cell's owner rewrites the progress.
+// Package celljobs stores the jobs of a cell. The accepting instance writes the record of a job
+// once, a cancellation is a row beside it, and the owner of the cell rewrites the progress.
 //
-// Progress is in the cell's own partition, beside the claim, so that the owner's
-// writes can demand that its ownership still holds; it has one writer, which
-// stores many jobs at once. Each of its writes also replaces the sequence row: a
-// write without an answer that takes effect after a later one would otherwise bring
-// old progress back. Records have many writers and are spread over
-// jobPartitions others.
+// Progress is in the cell's own partition, together with the claim, so that the owner's writes
+// can require that its ownership still holds. It has one writer, which stores many jobs at once.
+// Each of its writes also replaces the sequence row; otherwise a write without an answer that
+// takes effect after a later one would restore old progress. Records have many writers and are
+// spread over jobPartitions other partitions.
 package celljobs
 
 import (
@@ -17,39 +15,39 @@
 	"strings"
 )
 
-// jobPartitions is over how many partitions records are spread. A partition
-// applies its transactions one after the other, and refuses what would wait for more
-// than a second, which is little in a slow store. So many keep a partition far below
-// what it can do, and can still be read in a few rounds at a take-over.
+// jobPartitions is the number of partitions over which records are spread. A partition applies
+// its transactions one after the other, and refuses those that would wait for more than 1 s,
+// which is little in a slow store. With this number each partition stays far below its capacity,
+// and all of them can still be read in a few rounds in a take-over.
 const jobPartitions = 128
 
-// The tables, and the keys in the table of jobs.
+// Tables, and keys in the jobs table.
 const (
 	TableJobs     = "jobs"
 	TableProgress = "progress"
 	jobPrefix     = "job/"
 	cancelPrefix  = "cancel/"
 	workersPrefix = "workers/"
-	// SequenceKey is the key, in the table of progress, of the row that every write
-	// of the owner replaces.
+	// SequenceKey is the key, in the progress table, of the row that every write of the owner
+	// replaces.
 	SequenceKey = "sequence"
 )
 
 // recordPartition returns the partition of a job's record and cancellation.
 func recordPartition(cell, id string) string {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(id)) // a hash never fails
+	_, _ = h.Write([]byte(id)) // Write of a hash never returns an error
 	return partitionName(cell, int(h.Sum32()%jobPartitions))
 }
 
+// partitionName returns the name of the n-th partition for records of a cell.
 func partitionName(cell string, n int) string { return fmt.Sprintf("%s/%03d", cell, n) }
 
-// WorkersKey returns the key of a chunk of the known workers, in the table of
-// progress.
+// WorkersKey returns the key, in the progress table, of a chunk of the known workers.
 func WorkersKey(chunk int) string { return fmt.Sprintf("%s%02d", workersPrefix, chunk) }
 
-// ParseWorkersKey reports whether a key of the table of progress is of a chunk of
-// the known workers, and of which.
+// ParseWorkersKey returns the number of the chunk in a key of the progress table. ok is false if
+// the key is not that of a chunk of known workers.
 func ParseWorkersKey(key string) (chunk int, ok bool) {
 	text, ok := strings.CutPrefix(key, workersPrefix)
 	if !ok {
@@ -65,7 +63,8 @@
 // CancelKey returns the key of a job's cancellation.
 func CancelKey(id string) string { return cancelPrefix + id }
 
-// ParseKey splits a key of the table of jobs.
+// ParseKey splits a key of the jobs table into a job id and whether it is the key of a
+// cancellation. ok is false for other keys.
 func ParseKey(key string) (id string, cancel, ok bool) {
 	if id, ok = strings.CutPrefix(key, jobPrefix); ok {
 		return id, false, true
--- a/internal/celljobs/jobs_test.go
+++ b/internal/celljobs/jobs_test.go
@@ -12,9 +12,8 @@
 	"gentianstand/internal/store"
 )
 
-// lossy is a store of one row that loses the answers to its first writes, or
-// refuses them.
-type lossy struct {
+// lossyStore is a store with one row. It loses the answers to its first writes, or refuses them.
+type lossyStore struct {
 	store.Store
 	row    store.Row
 	losses int
@@ -22,7 +21,7 @@
 	calls  int
 }
 
-func (l *lossy) Commit(_ context.Context, tx store.Tx) (uint64, error) {
+func (l *lossyStore) Commit(_ context.Context, tx store.Tx) (uint64, error) {
 	l.calls++
 	if l.refuse > 0 {
 		l.refuse--
@@ -39,28 +38,29 @@
 	return l.row.Version, nil
 }
 
-func newJobs(l *lossy) *Jobs { return New(store.NewWatched(l), "cell") }
+func newJobs(l *lossyStore) *Jobs { return New(store.NewWatched(l), "cell") }
 
 func record() *job.Record {
 	return &job.Record{ID: "5c0e7a21d94b36f8", Steps: []job.Step{{Count: 1}}}
 }
 
-// Failure: a caller was told that its job was not accepted, and it ran; or a job began
-// seconds late.
-func TestCreateSettlesALostAnswer(t *testing.T) {
-	l := &lossy{losses: 1}
+// A lost answer must be resolved by another attempt: a caller got the answer that its job was not
+// accepted, and it ran; or a job began seconds late.
+func TestCreateResolvesALostAnswer(t *testing.T) {
+	l := &lossyStore{losses: 1}
 	created, err := newJobs(l).Create(t.Context(), record())
 	if err != nil || !created {
-		t.Errorf("created %v, error %v; want accepted, and told as new", created, err)
+		t.Errorf("created %v, error %v; want accepted as new", created, err)
 	}
 	if l.calls != 2 {
 		t.Errorf("%d calls, want 2", l.calls)
 	}
 }
 
-// Failure: a task runs twice around a take-over.
+// The record of an earlier submission must not count as new; otherwise a task could run twice
+// around a take-over.
 func TestRecordOfAnEarlierSubmissionIsNotNew(t *testing.T) {
-	l := &lossy{}
+	l := &lossyStore{}
 	jobs := newJobs(l)
 	first, repeat := record(), record()
 	first.Submission, repeat.Submission = 1, 2
@@ -69,20 +69,20 @@
 	}
 	l.losses = 1
 	if created, err := jobs.Create(t.Context(), repeat); err != nil || created {
-		t.Errorf("repeat: created %v, error %v; want accepted, and not told as new", created, err)
+		t.Errorf("repeat: created %v, error %v; want accepted, but not as new", created, err)
 	}
 }
 
-// slow is a store that answers each write after some time.
-type slow struct {
-	*lossy
+// slowStore answers each write after a given time.
+type slowStore struct {
+	*lossyStore
 	mu    sync.Mutex
 	takes []time.Duration
 }
 
-func (s *slow) Commit(ctx context.Context, tx store.Tx) (uint64, error) {
+func (s *slowStore) Commit(ctx context.Context, tx store.Tx) (uint64, error) {
 	s.mu.Lock()
-	version, err := s.lossy.Commit(ctx, tx)
+	version, err := s.lossyStore.Commit(ctx, tx)
 	takes := s.takes[min(s.calls, len(s.takes))-1]
 	s.mu.Unlock()
 	select {
@@ -93,11 +93,11 @@
 	}
 }
 
-// Failure: in the first second of a slow store jobs are accepted after 1.3 s instead of
-// 0.7 s.
+// An attempt must continue while the next one is in progress: in the first second of a slow
+// store, jobs were accepted after 1.3 s instead of 0.7 s.
 func TestAnswerToTheFirstAttemptCountsWhileTheSecondIsUnderWay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &slow{lossy: &lossy{}, takes: []time.Duration{700 * time.Millisecond}}
+		s := &slowStore{lossyStore: &lossyStore{}, takes: []time.Duration{700 * time.Millisecond}}
 		began := time.Now()
 		created, err := New(store.NewWatched(s), "cell").Create(t.Context(), record())
 		if err != nil || !created {
@@ -109,10 +109,11 @@
 	})
 }
 
-// Failure: a caller waits for its whole deadline although the store is well.
-func TestSecondAttemptOvertakesASilentConnection(t *testing.T) {
+// An attempt without an answer must not delay the next one: a caller waited for its whole
+// deadline although the store was healthy.
+func TestSecondAttemptSucceedsOnUnresponsiveConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &slow{lossy: &lossy{}, takes: []time.Duration{time.Hour, 4 * time.Millisecond}}
+		s := &slowStore{lossyStore: &lossyStore{}, takes: []time.Duration{time.Hour, 4 * time.Millisecond}}
 		began := time.Now()
 		created, err := New(store.NewWatched(s), "cell").Create(t.Context(), record())
 		if err != nil || !created {
@@ -124,33 +125,34 @@
 	})
 }
 
-// Failure: a caller was told "never runs" about a job that ran.
+// A refusal after a lost answer leaves the outcome unknown: a caller got the answer "never runs"
+// for a job that ran.
 func TestRefusalAfterALostAnswerIsNoRefusal(t *testing.T) {
-	l := &lossy{losses: 1}
+	l := &lossyStore{losses: 1}
 	jobs := newJobs(l)
-	ctx, cancel := context.WithTimeout(t.Context(), 3*unknownRetry)
+	ctx, cancel := context.WithTimeout(t.Context(), 3*unknownRetryDelay)
 	defer cancel()
 	l.row.Version = 0
-	first := &refusingLater{lossy: l}
+	first := &refusesAfterLoss{lossyStore: l}
 	jobs.store = store.NewWatched(first)
 	_, err := jobs.Create(ctx, record())
 	if errors.Is(err, store.ErrUnavailable) || !errors.Is(err, store.ErrUnknown) {
-		t.Errorf("error %v, want an open outcome", err)
+		t.Errorf("error %v, want an unknown outcome", err)
 	}
 }
 
-// refusingLater loses the answer to the first write and refuses all others.
-type refusingLater struct{ *lossy }
+// refusesAfterLoss loses the answer to the first write and refuses all others.
+type refusesAfterLoss struct{ *lossyStore }
 
-func (r *refusingLater) Commit(ctx context.Context, tx store.Tx) (uint64, error) {
+func (r *refusesAfterLoss) Commit(ctx context.Context, tx store.Tx) (uint64, error) {
 	if r.calls > 0 {
 		r.refuse = 1
 	}
-	return r.lossy.Commit(ctx, tx)
+	return r.lossyStore.Commit(ctx, tx)
 }
 
-func TestRefusalIsToldAtOnce(t *testing.T) {
-	l := &lossy{refuse: 1}
+func TestRefusalIsReturnedAtOnce(t *testing.T) {
+	l := &lossyStore{refuse: 1}
 	began := time.Now()
 	_, err := newJobs(l).Create(t.Context(), record())
 	if !errors.Is(err, store.ErrUnavailable) || l.calls != 1 {
@@ -159,7 +161,7 @@
 }
 
 func TestRecordsAreSpreadOverPartitions(t *testing.T) {
-	jobs := newJobs(&lossy{})
+	jobs := newJobs(&lossyStore{})
 	seen := map[string]bool{}
 	for n := range 2000 {
 		id := string([]byte{byte('a' + n%16), byte('0' + n/16%10), byte('0' + n/160)})
--- a/internal/celljobs/read.go
+++ b/internal/celljobs/read.go
@@ -9,31 +9,31 @@
 )
 
 const (
-	// mostReaders is how many partitions are read at the same time at most: all instances
-	// together may make two thousand reads a second or more, and rounds of reads add up
-	// in a slow store. leastReaders is what the smallest link is given.
-	mostReaders  = 64
-	leastReaders = 4
-	// partitionBytes is about what the read of a partition takes of the link.
+	// maxReaders is the maximum number of partitions that are read at the same time. The store
+	// serves at least 2000 reads per second for all instances together, and in a slow store each
+	// further round of reads takes long. minReaders is the number for the slowest link.
+	maxReaders = 64
+	minReaders = 4
+	// partitionBytes is roughly how much a read of one partition transfers over the link.
 	partitionBytes = 6 << 10
-	// readAhead is how long the answers that are under way may take of the link together.
-	readAhead = 200 * time.Millisecond
+	// linkTimeBudget is how long the answers in transfer may occupy the link together.
+	linkTimeBudget = 200 * time.Millisecond
 )
 
-// ReadersFor returns how many partitions to read at the same time over a link of some
-// Mbit/s; 0 is one that nobody has limited. Answers that stand in line on a narrow link
-// are given up and asked for again, and pings stand in the same line.
+// ReadersFor returns the number of partitions to read at the same time over a link of the given
+// Mbit/s, where 0 is an unlimited link. Answers that queue up on a narrow link time out and are
+// requested again, and pings wait in the same queue.
 func ReadersFor(linkMbps float64) int {
 	if linkMbps <= 0 {
-		return mostReaders
+		return maxReaders
 	}
-	bytes := linkMbps * 1e6 / 8 * readAhead.Seconds()
-	return min(max(int(bytes/partitionBytes), leastReaders), mostReaders)
+	bytes := linkMbps * 1e6 / 8 * linkTimeBudget.Seconds()
+	return min(max(int(bytes/partitionBytes), minReaders), maxReaders)
 }
 
-// Records reads all records and cancellations of the cell, and the version from
-// which a feed of the table of jobs misses nothing.
-func (b *Jobs) Records(ctx context.Context) ([]store.Row, uint64, error) {
+// Records reads all records and cancellations of the cell. It also returns the version from which
+// a feed of the jobs table misses nothing.
+func (j *Jobs) Records(ctx context.Context) ([]store.Row, uint64, error) {
 	results := make([]partitionRead, jobPartitions)
 	next := make(chan int, jobPartitions)
 	for n := range jobPartitions {
@@ -41,11 +41,11 @@
 	}
 	close(next)
 	var wg sync.WaitGroup
-	for range b.readers {
+	for range j.readers {
 		wg.Go(func() {
 			for n := range next {
 				r := &results[n]
-				r.rows, r.version, r.err = store.ReadAll(ctx, store.Persistent{Store: b.store}, TableJobs, partitionName(b.cell, n))
+				r.rows, r.version, r.err = store.ReadAll(ctx, store.Persistent{Store: j.store}, TableJobs, partitionName(j.cell, n))
 			}
 		})
 	}
@@ -53,15 +53,14 @@
 	return joinReads(results)
 }
 
-// partitionRead is what one partition held.
+// partitionRead is the result of reading one partition.
 type partitionRead struct {
 	rows    []store.Row
 	version uint64
 	err     error
 }
 
-// joinReads returns all rows and the lowest version, at which no partition had
-// been read yet.
+// joinReads returns all rows and the lowest version, at which no partition had been read yet.
 func joinReads(results []partitionRead) ([]store.Row, uint64, error) {
 	var rows []store.Row
 	version := results[0].version
--- a/internal/celljobs/workers.go
+++ b/internal/celljobs/workers.go
@@ -8,20 +8,20 @@
 	"gentianstand/internal/cell"
 )
 
-// EncodeWorkers returns the bytes of a chunk of the known workers.
+// EncodeWorkers encodes a chunk of the known workers.
 func EncodeWorkers(workers []cell.KnownWorker) ([]byte, error) {
 	data, err := cbor.Marshal(workers)
 	if err != nil {
-		return nil, fmt.Errorf("known workers: %w", err)
+		return nil, fmt.Errorf("encode known workers: %w", err)
 	}
 	return data, nil
 }
 
-// DecodeWorkers reads what EncodeWorkers wrote.
+// DecodeWorkers decodes a chunk that EncodeWorkers encoded.
 func DecodeWorkers(data []byte) ([]cell.KnownWorker, error) {
 	var workers []cell.KnownWorker
 	if err := cbor.Unmarshal(data, &workers); err != nil {
-		return nil, fmt.Errorf("known workers: %w", err)
+		return nil, fmt.Errorf("decode known workers: %w", err)
 	}
 	return workers, nil
 }
