--- a/internal/cellleader/announce_test.go
+++ b/internal/cellleader/announce_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Failure: an instance that had stopped still told others of its claim.
+// An instance must not announce its claim after it has stopped.
 func TestStoppedInstanceAnnouncesNothing(t *testing.T) {
 	members := group(t, 3)
 	first := owner(t, members)
--- a/internal/cellleader/claim.go
+++ b/internal/cellleader/claim.go
@@ -19,18 +19,17 @@
 	Holder      string `cbor:"1,keyasint"`
 	Address     string `cbor:"2,keyasint"`
 	Incarnation string `cbor:"3,keyasint"`
-	// Term rises by one with every owner.
+	// Term increases by 1 with every owner.
 	Term uint64 `cbor:"4,keyasint"`
-	// Released says that the holder gave the cell up.
+	// Released is true if the holder gave up the cell.
 	Released bool `cbor:"5,keyasint,omitempty"`
-	// Returned says that the holder's process before this one held the cell, too.
+	// Returned is true if the previous process of the holder owned the cell, too.
 	Returned bool `cbor:"6,keyasint,omitempty"`
-	// Doubtful says that an owner before this one may have been alive when the claim
-	// was made.
-	Doubtful bool `cbor:"7,keyasint,omitempty"`
-	// Hurried is how many owners in a row, up to this one, followed one that was silent
-	// after a short ownership; see silence.
-	Hurried uint32 `cbor:"8,keyasint,omitempty"`
+	// PredecessorMayAct is true if a previous owner may have been alive when the claim was made.
+	PredecessorMayAct bool `cbor:"7,keyasint,omitempty"`
+	// ShortOwnerships counts the consecutive owners, up to this one, that replaced an owner that
+	// was unresponsive after a short ownership; see suspicion.
+	ShortOwnerships uint32 `cbor:"8,keyasint,omitempty"`
 	// version is the row's version, 0 if there is no row.
 	version uint64
 }
@@ -41,19 +40,19 @@
 		return c, nil
 	}
 	if err := cbor.Unmarshal(row.Value, &c); err != nil {
-		return c, fmt.Errorf("claim of %s: %w", row.Partition, err)
+		return c, fmt.Errorf("decode claim in partition %q: %w", row.Partition, err)
 	}
 	return c, nil
 }
 
-// message returns the claim as other instances are told of it. Doubtful is left out:
-// it counts in a take-over, which reads the row.
+// message returns the claim in the form that is sent to other instances. PredecessorMayAct is
+// left out, because it matters only in a take-over, which reads the row.
 func (c *claim) message() *cellpb.Claim {
 	return &cellpb.Claim{Holder: c.Holder, Address: c.Address, Incarnation: c.Incarnation, Term: c.Term,
-		Released: c.Released, Returned: c.Returned, Version: c.version, Hurried: c.Hurried}
+		Released: c.Released, Returned: c.Returned, Version: c.version, Hurried: c.ShortOwnerships}
 }
 
 func claimFrom(m *cellpb.Claim) claim {
 	return claim{Holder: m.Holder, Address: m.Address, Incarnation: m.Incarnation, Term: m.Term,
-		Released: m.Released, Returned: m.Returned, version: m.Version, Hurried: m.Hurried}
+		Released: m.Released, Returned: m.Returned, version: m.Version, ShortOwnerships: m.Hurried}
 }
--- a/internal/cellleader/claim_test.go
+++ b/internal/cellleader/claim_test.go
@@ -6,8 +6,9 @@
 	"gentianstand/internal/cellpeer"
 )
 
-// Failure: after a restart of all instances nobody planned for 0.3 s more than needed,
-// or a process that died again and again kept the cell for itself.
+// A restarted owner must take the cell back at once, but only once. Otherwise nothing was planned
+// for 0.3 s longer than necessary after a restart of all instances, or a process that crashed
+// repeatedly kept the cell.
 func TestReplacedOwnerReturnsOnce(t *testing.T) {
 	self := cellpeer.Instance{Name: "edge-1", Incarnation: "new"}
 	l := &Leader{directory: cellpeer.NewDirectory(self, nil, nil)}
@@ -22,8 +23,8 @@
 		"of another instance":      {claim{version: 3, Holder: "edge-2", Incarnation: "old"}, false},
 		"given up before it ended": {claim{version: 3, Holder: "edge-1", Incarnation: "old", Released: true}, false},
 	} {
-		if got := l.returns(c.claim); got != c.want {
-			t.Errorf("claim %s: returns %v, want %v", name, got, c.want)
+		if got := l.replacesOwner(c.claim); got != c.want {
+			t.Errorf("claim %s: replaces the owner %v, want %v", name, got, c.want)
 		}
 	}
 }
--- a/internal/cellleader/confirmations.go
+++ b/internal/cellleader/confirmations.go
@@ -5,59 +5,59 @@
 	"time"
 )
 
-// confirmations tell whether an ownership holds, as far as others have told lately.
-// Without the store more than half of all instances have to be heard, counting the owner:
-// two that are cut off together must not confirm one another while the others have a new
-// owner.
+// confirmations records the recent confirmations of an ownership, by the store and by other
+// instances. Without the store, more than half of all instances must have confirmed it, the owner
+// included: two instances that are cut off together must not confirm each other while the others
+// have a new owner.
 type confirmations struct {
 	mu sync.Mutex
-	// claimAt is when the store last said that the claim holds.
-	claimAt time.Time
-	// heard is when other instances last asked as ones that know of no later owner.
-	heard map[string]time.Time
+	// claimVerifiedAt is the start of the last read of the store that found the claim unchanged.
+	claimVerifiedAt time.Time
+	// pingedAt holds the time of the last ping of each instance that knows of no later owner.
+	pingedAt map[string]time.Time
 }
 
 func newConfirmations(now time.Time) *confirmations {
-	return &confirmations{claimAt: now, heard: map[string]time.Time{}}
+	return &confirmations{claimVerifiedAt: now, pingedAt: map[string]time.Time{}}
 }
 
-// claimHeld takes in that the store was asked at a time and named this ownership.
-func (c *confirmations) claimHeld(asked time.Time) {
+// claimVerified records that a read of the store, started at asked, found this ownership.
+func (c *confirmations) claimVerified(asked time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if asked.After(c.claimAt) {
-		c.claimAt = asked
+	if asked.After(c.claimVerifiedAt) {
+		c.claimVerifiedAt = asked
 	}
 }
 
-// heardFrom takes in a ping of an instance that knows this ownership.
-func (c *confirmations) heardFrom(instance string, now time.Time) {
+// pingReceived records a ping of an instance that knows this ownership.
+func (c *confirmations) pingReceived(instance string, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.heard[instance] = now
+	c.pingedAt[instance] = now
 }
 
-// hold reports whether the ownership holds. others counts the other instances; linked
-// returns those that confirmed it over a link since some time.
-func (c *confirmations) hold(others func() int, linked func(since time.Time) []string, now time.Time) bool {
+// valid reports whether the ownership is confirmed. others returns the number of other instances,
+// and linked those that confirmed the ownership over a link since a given time.
+func (c *confirmations) valid(others func() int, linked func(since time.Time) []string, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now.Sub(c.claimAt) < confirmedFor {
+	if now.Sub(c.claimVerifiedAt) < confirmationTTL {
 		return true
 	}
-	for _, name := range linked(now.Add(-confirmedFor)) {
-		if _, pinged := c.heard[name]; !pinged {
-			// As old as it may be: the next time it is asked for again.
-			c.heard[name] = now.Add(-confirmedFor + 1)
+	for _, name := range linked(now.Add(-confirmationTTL)) {
+		if _, pinged := c.pingedAt[name]; !pinged {
+			// The oldest time that still counts, so that the link is asked again next time.
+			c.pingedAt[name] = now.Add(-confirmationTTL + 1)
 		}
 	}
-	heard := 0
-	for name, at := range c.heard {
-		if now.Sub(at) >= confirmedFor {
-			delete(c.heard, name)
+	recent := 0
+	for name, at := range c.pingedAt {
+		if now.Sub(at) >= confirmationTTL {
+			delete(c.pingedAt, name)
 			continue
 		}
-		heard++
+		recent++
 	}
-	return heard > 0 && 2*(heard+1) > others()+1
+	return recent > 0 && 2*(recent+1) > others()+1
 }
--- a/internal/cellleader/confirmations_test.go
+++ b/internal/cellleader/confirmations_test.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// Failure: a task runs twice, on a worker that only an overtaken owner reaches.
+// Guards against a minority of instances that confirm a superseded owner: a task would run twice,
+// on a worker that only this owner reaches.
 func TestOwnershipWithoutTheStoreNeedsMostInstances(t *testing.T) {
 	for _, test := range []struct {
-		others, heard int
-		want          bool
+		others, pinged int
+		want           bool
 	}{
 		{8, 1, false}, {8, 3, false}, {8, 4, true}, {8, 8, true},
 		{1, 0, false}, {1, 1, true}, {2, 1, true}, {0, 0, false},
@@ -18,15 +19,15 @@
 		others := func() int { return test.others }
 		began := time.Now()
 		c := newConfirmations(began)
-		now := began.Add(confirmedFor)
-		for i := range test.heard {
-			c.heardFrom(fmt.Sprint(i), now.Add(-time.Millisecond))
+		now := began.Add(confirmationTTL)
+		for i := range test.pinged {
+			c.pingReceived(fmt.Sprint(i), now.Add(-time.Millisecond))
 		}
-		if got := c.hold(others, nobody, now); got != test.want {
-			t.Errorf("%d others of which %d ask: holds %v", test.others, test.heard, got)
+		if got := c.valid(others, noLinked, now); got != test.want {
+			t.Errorf("%d others, of which %d ping: valid %v", test.others, test.pinged, got)
 		}
-		if c.hold(others, nobody, now.Add(confirmedFor)) {
-			t.Errorf("%d others: holds long after the last question", test.others)
+		if c.valid(others, noLinked, now.Add(confirmationTTL)) {
+			t.Errorf("%d others: valid long after the last ping", test.others)
 		}
 	}
 }
@@ -35,40 +36,40 @@
 	began := time.Now()
 	c := newConfirmations(began)
 	many := func() int { return 8 }
-	c.claimHeld(began.Add(time.Second))
-	c.claimHeld(began)
-	if !c.hold(many, nobody, began.Add(time.Second+confirmedFor-1)) || c.hold(many, nobody, began.Add(time.Second+confirmedFor)) {
-		t.Error("the claim counts for another time than since it was asked for")
+	c.claimVerified(began.Add(time.Second))
+	c.claimVerified(began)
+	if !c.valid(many, noLinked, began.Add(time.Second+confirmationTTL-1)) || c.valid(many, noLinked, began.Add(time.Second+confirmationTTL)) {
+		t.Error("the claim is not valid for exactly confirmationTTL after the start of its read")
 	}
 }
 
-func nobody(time.Time) []string { return nil }
+func noLinked(time.Time) []string { return nil }
 
-// Failure: in an outage of the store the owner stops giving orders, although all others
-// serve it as relays.
+// Links must confirm an ownership like pings: in an outage of the store the owner sent no more
+// orders, although all other instances served it as relays.
 func TestLinksConfirmAnOwnershipLikePings(t *testing.T) {
 	others := func() int { return 8 }
 	began := time.Now()
-	now := began.Add(confirmedFor)
+	now := began.Add(confirmationTTL)
 	for _, test := range []struct {
 		linked, pinged int
 		want           bool
 	}{{4, 0, true}, {3, 0, false}, {2, 2, true}, {2, 1, false}} {
 		c := newConfirmations(began)
 		for i := range test.pinged {
-			c.heardFrom(fmt.Sprint("pinged-", i), now)
+			c.pingReceived(fmt.Sprint("pinged-", i), now)
 		}
 		linked := func(since time.Time) []string {
-			if !since.Equal(now.Add(-confirmedFor)) {
-				t.Errorf("asked for links since %v ago, want %v", now.Sub(since), confirmedFor)
+			if !since.Equal(now.Add(-confirmationTTL)) {
+				t.Errorf("asked for links since %v ago, want %v", now.Sub(since), confirmationTTL)
 			}
 			return []string{"linked-0", "linked-1", "linked-2", "linked-3"}[:test.linked]
 		}
-		if got := c.hold(others, linked, now); got != test.want {
-			t.Errorf("%d over links, %d by pings: holds %v", test.linked, test.pinged, got)
+		if got := c.valid(others, linked, now); got != test.want {
+			t.Errorf("%d over links, %d by pings: valid %v", test.linked, test.pinged, got)
 		}
-		if c.hold(others, nobody, now.Add(time.Millisecond)) {
-			t.Errorf("%d over links, %d by pings: holds when the links are silent", test.linked, test.pinged)
+		if c.valid(others, noLinked, now.Add(time.Millisecond)) {
+			t.Errorf("%d over links, %d by pings: valid without frames on the links", test.linked, test.pinged)
 		}
 	}
 }
--- a/internal/cellleader/doc.go
+++ b/internal/cellleader/doc.go
@@ -1,7 +1,6 @@
-// Package cellleader decides which instance owns a cell. The owner is named in
-// one row of the store; its term is the fencing token of all its orders, so a
-// wrong take-over costs calls and never correctness. The others ping the owner
-// and take over when it is silent, when it no longer reaches the store while
-// they do, or when it says that it is stopping. An owner acts only while
-// somebody confirmed its ownership lately.
+// Package cellleader elects the instance that owns a cell. One row of the store names the owner.
+// Its term is the fencing token of all its orders, so a wrong take-over costs calls but never
+// correctness. The other instances ping the owner. They take over if it is unresponsive, if it
+// cannot reach the store while they can, or if it announces that it is stopping. An owner acts
+// only while its ownership was confirmed recently.
 package cellleader
--- a/internal/cellleader/follow.go
+++ b/internal/cellleader/follow.go
@@ -9,186 +9,189 @@
 	"gentianstand/internal/cellpeer/cellpb"
 )
 
-// followDue reports whether it is this instance's turn to ask after the owner. Those
-// that would succeed it last ask less often, and not at all while they hear it over a
-// link, unless it refuses connections.
-func (l *Leader) followDue(now time.Time) bool {
+// pingDue reports whether this instance has to ping the owner now. Instances that would succeed
+// the owner last ping it less often, and not at all while they receive its frames over a link,
+// unless it refuses connections.
+func (l *Leader) pingDue(now time.Time) bool {
 	l.mu.Lock()
-	known, since, refusals := l.known, now.Sub(l.followedAt), l.refusals
+	known, since, refusals := l.known, now.Sub(l.ownerPingedAt), l.refusals
 	l.mu.Unlock()
-	if refusals > 0 || l.place(known.Term).eager() {
+	if refusals > 0 || l.rank(known.Term).pingsOften() {
 		return true
 	}
-	return since >= crowdPeriod && !l.heardOverLink(known, now)
+	return since >= slowPingInterval && !l.seenOverLink(known, now)
 }
 
-// heardOverLink takes in that the owner was heard over a link lately, and reports
-// whether it was.
-func (l *Leader) heardOverLink(known claim, now time.Time) bool {
+// seenOverLink reports whether the owner was seen over a link recently, and records when.
+func (l *Leader) seenOverLink(known claim, now time.Time) bool {
 	at := l.links.HeardOwner(known.Term)
-	if now.Sub(at) >= linkHeardFor {
+	if now.Sub(at) >= linkFreshFor {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.known.version == known.version && at.After(l.heardAt) {
-		l.heardAt = at
-		l.vacantFrom = time.Time{}
+	if l.known.version == known.version && at.After(l.ownerSeenAt) {
+		l.ownerSeenAt = at
+		l.vacantSince = time.Time{}
 	}
 	return true
 }
 
-// follow watches the owner and takes over when it is gone.
+// follow monitors the owner and takes over if it is gone.
 func (l *Leader) follow(ctx context.Context) {
 	l.mu.Lock()
 	known := l.known
-	l.followedAt = time.Now()
+	l.ownerPingedAt = time.Now()
 	l.mu.Unlock()
-	if l.returns(known) {
-		l.take(ctx, known, takeOver{reason: "the owner's process was replaced", earlierStopped: true})
+	if l.replacesOwner(known) {
+		l.tryTakeOver(ctx, known, takeOver{reason: "the owner's process was replaced", previousStopped: true})
 		return
 	}
 	if l.ownerless(known) {
-		l.contest(ctx, known, takeOver{reason: "the cell has no owner", earlierStopped: true})
+		l.takeVacant(ctx, known, takeOver{reason: "the cell has no owner", previousStopped: true})
 		return
 	}
 	reply, err := l.pingOwner(ctx, known)
 	now := time.Now()
 	switch {
 	case err != nil:
-		l.ownerSilent(ctx, known, err, now)
+		l.ownerUnresponsive(ctx, known, err, now)
 	case reply.Term > known.Term:
 		l.refresh(ctx)
 	case !reply.Owner:
 		if l.refresh(ctx); l.current().version > known.version {
 			return
 		}
-		if !disowns(reply, known.Term, l.vacantFor(now)) {
+		if !disclaimsOwnership(reply, known.Term, l.vacantFor(now)) {
 			return
 		}
-		l.contest(ctx, known, takeOver{reason: "the named owner does not own the cell", earlierStopped: true})
+		l.takeVacant(ctx, known, takeOver{reason: "the named owner does not own the cell", previousStopped: true})
 	default:
-		l.heard(ctx, known, reply, now)
+		l.ownerResponded(ctx, known, reply, now)
 	}
 }
 
-// returns reports whether this process replaces the one that owned the cell. It
-// then takes the cell back at once: the others would wait for one another, and the
-// holder was the strongest of them. It does so once; a process that ends again and
-// again would otherwise keep the cell from all others.
-func (l *Leader) returns(c claim) bool {
+// replacesOwner reports whether this process replaces the one that owned the cell. It then takes
+// the cell back at once: the other instances would wait for each other, and the holder was the
+// strongest of them. It does so only once; otherwise a process that crashes repeatedly would keep
+// the cell from all others.
+func (l *Leader) replacesOwner(c claim) bool {
 	self := l.directory.Self()
 	return c.version > 0 && !c.Released && !c.Returned && c.Holder == self.Name && c.Incarnation != self.Incarnation
 }
 
-// ownerless reports whether a claim names no living owner: there is none, it
-// was released, or an earlier process of this instance made it.
+// ownerless reports whether a claim names no living owner: there is no claim, it was released, or
+// an earlier process of this instance made it.
 func (l *Leader) ownerless(c claim) bool {
 	self := l.directory.Self()
 	return c.version == 0 || c.Released || (c.Holder == self.Name && c.Incarnation != self.Incarnation)
 }
 
-func (l *Leader) heard(ctx context.Context, known claim, reply *cellpb.PingReply, now time.Time) {
+// ownerResponded handles the answer of the owner, and takes over if the owner cannot reach the
+// store while this instance can.
+func (l *Leader) ownerResponded(ctx context.Context, known claim, reply *cellpb.PingReply, now time.Time) {
 	l.mu.Lock()
-	l.heardAt = now
-	l.vacantFrom = time.Time{}
+	l.ownerSeenAt = now
+	l.vacantSince = time.Time{}
 	l.refusals = 0
 	l.mu.Unlock()
 	lost := time.Duration(reply.StoreLostMillis) * time.Millisecond
-	limit := max(storelessLimit, l.store.Limit(), l.silenceFrom(now).patience()) + l.delay(known.Term)
-	if lost > limit && l.store.GoodFor(now) > storeBackWithin {
-		l.take(ctx, known, takeOver{reason: "the owner does not reach the store", silent: true})
+	limit := max(storeLossTimeout, l.store.Limit(), l.currentSuspicion(now).timeout()) + l.takeOverDelay(known.Term)
+	if lost > limit && l.store.GoodFor(now) > storeRecoverySkew {
+		l.tryTakeOver(ctx, known, takeOver{reason: "the owner does not reach the store", unresponsive: true})
 	}
 }
 
-func (l *Leader) ownerSilent(ctx context.Context, known claim, err error, now time.Time) {
+// ownerUnresponsive handles a failed ping of the owner, and takes over if the owner has been
+// unresponsive for too long.
+func (l *Leader) ownerUnresponsive(ctx context.Context, known claim, err error, now time.Time) {
 	l.clients.CloseIdle(known.Address)
 	if cellpeer.ConnectionRefused(err) {
-		// In a slow store a read takes long; take reads the claim
-		// before anything is decided by it.
-		l.refreshBeside(ctx)
+		// A read takes long in a slow store. tryTakeOver reads the claim before it acts on it.
+		l.refreshAsync(ctx)
 	} else {
 		l.refresh(ctx)
 	}
 	if l.current().version > known.version {
 		return
 	}
-	silence := l.noteSilence(err, now)
-	silent, heard := silence.limits()
-	if now.Sub(silence.from) < silent+l.delay(known.Term) {
+	suspicion := l.recordPingFailure(err, now)
+	ownerTimeout, seenWithin := suspicion.limits()
+	if now.Sub(suspicion.since) < ownerTimeout+l.takeOverDelay(known.Term) {
 		return
 	}
-	if !l.survey(ctx, known, heard).allows(l.store.GoodFor(time.Now())) {
+	if !l.surveyInstances(ctx, known, seenWithin).allowsTakeOver(l.store.GoodFor(time.Now())) {
 		return
 	}
-	l.take(ctx, known, takeOver{reason: "the owner is silent", silent: true})
+	l.tryTakeOver(ctx, known, takeOver{reason: "the owner is silent", unresponsive: true})
 }
 
-// noteSilence takes in that a ping failed. After a refusal the next one follows soon.
-func (l *Leader) noteSilence(err error, now time.Time) silence {
+// recordPingFailure records a failed ping. After a refused connection the next ping follows soon.
+func (l *Leader) recordPingFailure(err error, now time.Time) suspicion {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if cellpeer.ConnectionRefused(err) {
 		l.refusals++
-		time.AfterFunc(refusedPause, l.stepSoon)
+		time.AfterFunc(refusedPause, l.triggerStep)
 	} else {
 		l.refusals = 0
 	}
-	return l.silenceLocked(now)
+	return l.suspicionLocked(now)
 }
 
-// silenceFrom returns what is known of the owner's silence.
-func (l *Leader) silenceFrom(now time.Time) silence {
+// currentSuspicion returns what is known about an unresponsive owner.
+func (l *Leader) currentSuspicion(now time.Time) suspicion {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.silenceLocked(now)
+	return l.suspicionLocked(now)
 }
 
-func (l *Leader) silenceLocked(now time.Time) silence {
-	from := l.heardAt
+// suspicionLocked is currentSuspicion for callers that hold l.mu.
+func (l *Leader) suspicionLocked(now time.Time) suspicion {
+	from := l.ownerSeenAt
 	if from.IsZero() {
-		if l.vacantFrom.IsZero() {
-			l.vacantFrom = now
+		if l.vacantSince.IsZero() {
+			l.vacantSince = now
 		}
-		from = l.vacantFrom
+		from = l.vacantSince
 	}
-	return silence{from: from, refusals: l.refusals, slowest: l.answers.lately(now),
-		hurried: l.known.Hurried, brief: now.Sub(l.knownAt) < briefOwnership}
+	return suspicion{since: from, refusals: l.refusals, slowestResponse: l.responseTimes.slowestRecent(now),
+		shortOwnerships: l.known.ShortOwnerships, newOwner: now.Sub(l.knownAt) < shortOwnershipLimit}
 }
 
-// disowns reports whether the answer of a claim's holder says that it does not own the
-// cell. In a slow store others read a claim before its holder has the answer to its write;
-// until then it knows the term before and owns nothing yet, which is no reason to overtake
-// it. After the time that it may be silent it is taken for one that never will.
-func disowns(reply *cellpb.PingReply, term uint64, vacant time.Duration) bool {
-	return reply.Term >= term || vacant >= vacantLimit
+// disclaimsOwnership reports whether the answer of a claim's holder means that it does not own
+// the cell. In a slow store others can read a claim before its holder receives the answer to its
+// write. Until then the holder knows only the previous term and owns nothing yet, which is no
+// reason to replace it. After vacancyTimeout it counts as a holder that will never own the cell.
+func disclaimsOwnership(reply *cellpb.PingReply, term uint64, vacant time.Duration) bool {
+	return reply.Term >= term || vacant >= vacancyTimeout
 }
 
-// vacantFor returns for how long nobody is known to own the cell.
+// vacantFor returns how long no owner of the cell has been known.
 func (l *Leader) vacantFor(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.vacantFrom.IsZero() {
-		l.vacantFrom = now
+	if l.vacantSince.IsZero() {
+		l.vacantSince = now
 	}
-	return now.Sub(l.vacantFrom)
+	return now.Sub(l.vacantSince)
 }
 
-// contest takes an ownerless cell over after this instance's delay.
-func (l *Leader) contest(ctx context.Context, known claim, why takeOver) {
+// takeVacant takes over a cell without an owner after this instance's delay.
+func (l *Leader) takeVacant(ctx context.Context, known claim, why takeOver) {
 	l.mu.Lock()
-	if l.vacantFrom.IsZero() {
-		l.vacantFrom = time.Now()
+	if l.vacantSince.IsZero() {
+		l.vacantSince = time.Now()
 	}
-	from := l.vacantFrom
+	from := l.vacantSince
 	l.mu.Unlock()
-	if time.Since(from) >= l.delay(known.Term) {
-		l.take(ctx, known, why)
+	if time.Since(from) >= l.takeOverDelay(known.Term) {
+		l.tryTakeOver(ctx, known, why)
 	}
 }
 
-// survey asks the other instances whether they heard the owner lately.
-func (l *Leader) survey(ctx context.Context, known claim, lately time.Duration) survey {
+// surveyInstances asks the other instances whether they have seen the owner recently.
+func (l *Leader) surveyInstances(ctx context.Context, known claim, within time.Duration) survey {
 	callCtx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
 	others := slices.DeleteFunc(l.directory.Others(), func(i cellpeer.Instance) bool { return i.Name == known.Holder })
@@ -201,42 +204,43 @@
 			continue
 		}
 		result.reached++
-		heard := answer.Reply.HeardMillis
-		if answer.Reply.Term == known.Term && heard >= 0 && heard < lately.Milliseconds() {
-			result.heard = true
+		seenAgo := answer.Reply.HeardMillis
+		if answer.Reply.Term == known.Term && seenAgo >= 0 && seenAgo < within.Milliseconds() {
+			result.ownerSeen = true
 			break
 		}
 	}
 	return result
 }
 
-// pong is the outcome of a ping.
-type pong struct {
+// pingResult is the outcome of a ping.
+type pingResult struct {
 	reply *cellpb.PingReply
 	err   error
 }
 
-// pingOwner pings the holder of a claim and returns its answer if that comes within
-// followTimeout. A later one is taken in beside, if none is waited for already.
+// pingOwner pings the holder of a claim and returns its answer if that arrives within
+// ownerPingTimeout. A later answer is still recorded, unless another ping already waits for a
+// late answer.
 func (l *Leader) pingOwner(ctx context.Context, known claim) (*cellpb.PingReply, error) {
-	limit := followTimeout
-	waits := l.awaiting.CompareAndSwap(false, true)
-	if waits {
-		limit = lateTimeout
+	limit := ownerPingTimeout
+	acceptsLate := l.lateAnswerPending.CompareAndSwap(false, true)
+	if acceptsLate {
+		limit = lateAnswerTimeout
 	}
 	sent := time.Now()
-	answer := make(chan pong, 1)
+	answer := make(chan pingResult, 1)
 	go func() {
 		reply, err := l.ping(ctx, known, limit)
-		if waits {
-			l.awaiting.Store(false)
+		if acceptsLate {
+			l.lateAnswerPending.Store(false)
 		}
 		if err == nil {
-			l.noteAnswer(known, reply, sent, time.Now())
+			l.recordAnswer(known, reply, sent, time.Now())
 		}
-		answer <- pong{reply, err}
+		answer <- pingResult{reply, err}
 	}()
-	timer := time.NewTimer(followTimeout)
+	timer := time.NewTimer(ownerPingTimeout)
 	defer timer.Stop()
 	select {
 	case got := <-answer:
@@ -252,16 +256,16 @@
 	return l.clients.To(known.Address).Ping(callCtx, &cellpb.PingRequest{From: l.directory.Self().Name, Term: known.Term})
 }
 
-// noteAnswer takes in an answer of the holder of a claim, however late: it lived when it
-// was sent for.
-func (l *Leader) noteAnswer(c claim, reply *cellpb.PingReply, sent, now time.Time) {
+// recordAnswer records an answer of the holder of a claim, however late: the holder was alive
+// after the ping was sent.
+func (l *Leader) recordAnswer(c claim, reply *cellpb.PingReply, sent, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if c.version != l.known.version || !reply.Owner || reply.Term != c.Term {
 		return
 	}
-	l.answers.note(now.Sub(sent), now)
-	if sent.After(l.heardAt) {
-		l.heardAt = sent
+	l.responseTimes.record(now.Sub(sent), now)
+	if sent.After(l.ownerSeenAt) {
+		l.ownerSeenAt = sent
 	}
 }
--- a/internal/cellleader/hand_over_test.go
+++ b/internal/cellleader/hand_over_test.go
@@ -11,7 +11,8 @@
 	"gentianstand/platform/standin"
 )
 
-// Failure: a planned restart of the owner stalled all work for seconds.
+// A stopping owner must hand over the cell: without that, a planned restart stalled all work for
+// seconds.
 func TestStoppingOwnerHandsOver(t *testing.T) {
 	members := group(t, 3)
 	first := owner(t, members)
@@ -20,13 +21,13 @@
 		t.Error("the owner still owns the cell")
 	}
 	next := owner(t, without(members, first))
-	if next.term.Load() != first.term.Load()+1 || !next.earlier.Load() {
-		t.Errorf("term %d after %d, earlier owner known to have stopped: %v", next.term.Load(), first.term.Load(), next.earlier.Load())
+	if next.term.Load() != first.term.Load()+1 || !next.previousStopped.Load() {
+		t.Errorf("term %d after %d, previous owner known to have stopped: %v", next.term.Load(), first.term.Load(), next.previousStopped.Load())
 	}
 }
 
-// Failure: a planned restart of the owner in a slow store stalls all work until others find
-// it silent.
+// Guards against a hand-over in a slow store that stalls all work until other instances find the
+// owner unresponsive.
 func TestStoppingOwnerHandsOverInASlowStore(t *testing.T) {
 	members := group(t, 3)
 	first := owner(t, members)
@@ -42,12 +43,13 @@
 		return self
 	})
 	if !taken {
-		t.Error("nobody has taken the cell over when the hand-over ends")
+		t.Error("no instance has taken over the cell when the hand-over ends")
 	}
 }
 
-// Failure: a task runs twice.
-func TestHandOverWaitsUntilTheSilentOwnerCannotAct(t *testing.T) {
+// A hand-over must wait until an unresponsive previous owner can no longer act; otherwise a task
+// could run twice.
+func TestHandOverWaitsUntilTheUnresponsiveOwnerCannotAct(t *testing.T) {
 	members := group(t, 3)
 	first := owner(t, members)
 	first.front.Cut(true, true)
@@ -55,15 +57,15 @@
 	overtakenAt := time.Now()
 	second.leader.HandOver(t.Context())
 	third := owner(t, without(without(members, first), second))
-	if third.term.Load() <= second.term.Load() || !third.earlier.Load() {
-		t.Errorf("term %d after %d, earlier owners known to have stopped: %v", third.term.Load(), second.term.Load(), third.earlier.Load())
+	if third.term.Load() <= second.term.Load() || !third.previousStopped.Load() {
+		t.Errorf("term %d after %d, previous owners known to have stopped: %v", third.term.Load(), second.term.Load(), third.previousStopped.Load())
 	}
 	if passed := time.Since(overtakenAt); passed < time.Second {
 		t.Errorf("handed over %v after the take-over; the first owner could act for 1.5 s", passed)
 	}
 }
 
-// Failure: after a moment without the strong instances everything is slow for good.
+// A weak owner must yield: after a short absence of the strong instances, everything stayed slow.
 func TestWeakOwnerYieldsToAStrongerInstance(t *testing.T) {
 	backing := httptest.NewServer(standin.NewStore())
 	t.Cleanup(backing.Close)
@@ -76,7 +78,7 @@
 	if !strong.owns() || weak.owns() {
 		t.Fatalf("strong owns %v, weak owns %v", strong.owns(), weak.owns())
 	}
-	if !strong.earlier.Load() {
-		t.Error("the new owner does not know that the earlier one has stopped")
+	if !strong.previousStopped.Load() {
+		t.Error("the new owner does not know that the previous one has stopped")
 	}
 }
--- a/internal/cellleader/leader.go
+++ b/internal/cellleader/leader.go
@@ -13,7 +13,7 @@
 	"gentianstand/internal/store"
 )
 
-// Leader takes part in the choice of a cell's owner, for one instance.
+// Leader takes part in the election of the owner of a cell, for one instance.
 type Leader struct {
 	partition string
 	directory *cellpeer.Directory
@@ -23,33 +23,34 @@
 	links     Links
 	log       logrus.FieldLogger
 
-	// refreshing says that refreshBeside is at work.
+	// refreshing is true while refreshAsync is running.
 	refreshing atomic.Bool
-	// pinged says that another instance has pinged this one.
-	pinged atomic.Bool
+	// pingReceived is true once another instance has pinged this one.
+	pingReceived atomic.Bool
 
 	mu sync.Mutex
-	// known is the newest claim seen, since knownAt; its term never falls.
+	// known is the newest claim seen, and knownAt the time since which it is known. Its term
+	// never decreases.
 	known   claim
 	knownAt time.Time
-	// followedAt is when this instance last asked after the owner.
-	followedAt time.Time
-	// heardAt is when the owner last confirmed that it is one.
-	heardAt time.Time
-	// refusals is how many pings of the owner in a row were refused.
+	// ownerPingedAt is when this instance last checked the owner.
+	ownerPingedAt time.Time
+	// ownerSeenAt is when the owner last confirmed that it is the owner.
+	ownerSeenAt time.Time
+	// refusals is the number of consecutive pings of the owner that were refused.
 	refusals int
-	// answers are those of the owner of the known claim.
-	answers answers
-	// awaiting says that the answer to a ping is waited for beyond followTimeout.
-	awaiting atomic.Bool
-	// vacantFrom is since when nobody is known to own the cell.
-	vacantFrom time.Time
-	term       *term
-	stopping   bool
-	// ended says that Run is over; announcing are the announcements under way.
+	// responseTimes are those of the owner of the known claim.
+	responseTimes responseTimes
+	// lateAnswerPending is true while a ping waits for its answer beyond ownerPingTimeout.
+	lateAnswerPending atomic.Bool
+	// vacantSince is the time since which no owner of the cell is known.
+	vacantSince time.Time
+	term        *term
+	stopping    bool
+	// ended is true once Run has stopped. announcing tracks the announcements in progress.
 	ended      bool
 	announcing sync.WaitGroup
-	// wake has the next step taken at once.
+	// wake triggers the next step at once.
 	wake chan struct{}
 }
 
@@ -59,19 +60,19 @@
 		links = noLinks{}
 	}
 	return &Leader{partition: partition, directory: d, clients: c, store: s, newOwner: n, links: links, log: log,
-		vacantFrom: time.Now(), wake: make(chan struct{}, 1)}
+		vacantSince: time.Now(), wake: make(chan struct{}, 1)}
 }
 
-// Run takes part until ctx ends.
+// Run takes part in the election until ctx ends.
 func (l *Leader) Run(ctx context.Context) {
 	l.refresh(ctx)
 	l.mu.Lock()
-	returns := l.returns(l.known)
+	returns := l.replacesOwner(l.known)
 	l.mu.Unlock()
 	if returns {
 		l.step(ctx)
 	}
-	ticker := time.NewTicker(pingPeriod)
+	ticker := time.NewTicker(pingInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -92,33 +93,34 @@
 	}
 }
 
-// stepSoon has the next step taken without waiting for its turn.
-func (l *Leader) stepSoon() {
+// triggerStep triggers the next step without waiting for the ticker.
+func (l *Leader) triggerStep() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-// step is one round: an owner verifies its claim, another instance follows.
+// step is one round: the owner verifies its claim, any other instance monitors the owner.
 func (l *Leader) step(ctx context.Context) {
 	l.mu.Lock()
 	t, stopping := l.term, l.stopping
 	l.mu.Unlock()
 	switch {
 	case t != nil && !t.Confirmed():
-		l.askAround(ctx, t)
+		l.checkLaterTerm(ctx, t)
 	case t != nil:
 		l.verify(ctx, t)
 	case stopping:
-	case l.followDue(time.Now()):
+	case l.pingDue(time.Now()):
 		l.follow(ctx)
 	}
 }
 
-// verify reads the owner's own row once in a while, and looks for a stronger owner.
+// verify reads the claim of this owner once per verifyInterval, and yields to a stronger
+// instance.
 func (l *Leader) verify(ctx context.Context, t *term) {
-	if time.Since(t.verifiedAt) < verifyPeriod {
+	if time.Since(t.verifiedAt) < verifyInterval {
 		return
 	}
 	asked := time.Now()
@@ -129,18 +131,18 @@
 			l.log.WithError(err).Debug("claim_not_read")
 			return
 		}
-		l.learn(c)
+		l.updateClaim(c)
 		if c.Term == t.number && c.Incarnation == l.directory.Self().Incarnation {
-			t.confirmations.claimHeld(asked)
+			t.confirmations.claimVerified(asked)
 		}
 	}()
 	l.yield(ctx, t)
 }
 
-// askAround asks the others for a later term. An owner that lacks the store and
-// that nobody pings any more has probably been overtaken: its successor is pinged
-// instead, and the store cannot tell.
-func (l *Leader) askAround(ctx context.Context, t *term) {
+// checkLaterTerm asks the other instances for a later term. An owner that cannot reach the store
+// and that no instance pings any more has probably been replaced: the others ping its successor
+// instead, and the store cannot be asked.
+func (l *Leader) checkLaterTerm(ctx context.Context, t *term) {
 	callCtx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
 	for answer := range l.pingAll(callCtx, l.directory.Others(), t.number) {
@@ -166,29 +168,28 @@
 	return decodeClaim(row)
 }
 
-// refresh reads the claim, or asks the others for it where the store cannot be
-// read: without the store this instance could not answer its callers at all if it
-// did not know the owner.
+// refresh reads the claim, or asks other instances for it if the store cannot be read. An
+// instance that knows neither the store nor the owner could not serve its callers at all.
 func (l *Leader) refresh(ctx context.Context) {
 	if l.store.Reachable() {
 		c, err := l.readClaim(ctx)
 		if err == nil {
-			l.learn(c)
+			l.updateClaim(c)
 			return
 		}
 		l.log.WithError(err).Info("claim_not_read")
 	}
 	callCtx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
-	for answer := range l.pingAll(callCtx, l.directory.Sample(claimSample), 0) {
+	for answer := range l.pingAll(callCtx, l.directory.Sample(claimSampleSize), 0) {
 		if answer.Reply.GetClaim() != nil {
-			l.learn(claimFrom(answer.Reply.Claim))
+			l.updateClaim(claimFrom(answer.Reply.Claim))
 		}
 	}
 }
 
-// refreshBeside refreshes without waiting for it, unless that is under way.
-func (l *Leader) refreshBeside(ctx context.Context) {
+// refreshAsync calls refresh in the background, unless a call is in progress.
+func (l *Leader) refreshAsync(ctx context.Context) {
 	if !l.refreshing.CompareAndSwap(false, true) {
 		return
 	}
@@ -205,8 +206,9 @@
 	return l.known
 }
 
-// learn takes in a claim. A newer one ends this instance's own term.
-func (l *Leader) learn(c claim) {
+// updateClaim records a claim, unless a newer one is known. A claim of another owner or term ends
+// this instance's own term.
+func (l *Leader) updateClaim(c claim) {
 	self := l.directory.Self()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -215,10 +217,10 @@
 	}
 	if c.version > l.known.version {
 		l.log.WithFields(logrus.Fields{"owner": c.Holder, "term": c.Term, "released": c.Released}).Info("owner_known")
-		l.heardAt = time.Time{}
+		l.ownerSeenAt = time.Time{}
 		l.refusals = 0
-		l.answers = answers{}
-		l.vacantFrom = time.Now()
+		l.responseTimes = responseTimes{}
+		l.vacantSince = time.Now()
 		l.knownAt = time.Now()
 		l.links.Learned(c.Term)
 	}
@@ -227,15 +229,15 @@
 		return
 	}
 	if c.Term != l.term.number || c.Incarnation != self.Incarnation {
-		l.drop("another claim was found")
+		l.endTermLocked("another claim was found")
 	}
 }
 
-// drop ends this instance's term; l.mu is held.
-func (l *Leader) drop(why string) {
+// endTermLocked ends this instance's term. The caller holds l.mu.
+func (l *Leader) endTermLocked(why string) {
 	t := l.term
 	l.term = nil
 	t.cancel()
-	l.vacantFrom = time.Now()
+	l.vacantSince = time.Now()
 	l.log.WithFields(logrus.Fields{"term": t.number, "why": why}).Warn("ownership_lost")
 }
--- a/internal/cellleader/leader_test.go
+++ b/internal/cellleader/leader_test.go
@@ -27,18 +27,18 @@
 	leader *cellleader.Leader
 	server *httptest.Server
 	proxy  *standin.Proxy
-	// front is what the other members call.
-	front   *standin.Proxy
-	cancel  context.CancelFunc
-	done    chan struct{}
-	stopped bool
-	term    atomic.Uint64
-	earlier atomic.Bool
+	// front is the proxy through which the other members call this one.
+	front           *standin.Proxy
+	cancel          context.CancelFunc
+	done            chan struct{}
+	stopped         bool
+	term            atomic.Uint64
+	previousStopped atomic.Bool
 }
 
 func (m *member) owns() bool { return m.leader.LocalOwner() != nil }
 
-// die ends the member as a crash does.
+// die stops the member like a crash.
 func (m *member) die() {
 	if m.stopped {
 		return
@@ -51,7 +51,7 @@
 	<-m.done
 }
 
-// group starts members over one store.
+// group starts n members with one store.
 func group(t *testing.T, n int) []*member {
 	t.Helper()
 	backing := httptest.NewServer(standin.NewStore())
@@ -68,7 +68,7 @@
 	return joinWith(t, name, storeAddress, 1)
 }
 
-// joinWith starts a member with some processor.
+// joinWith starts a member with the given number of cores.
 func joinWith(t *testing.T, name, storeAddress string, cores float64) *member {
 	t.Helper()
 	logger := logrus.New()
@@ -93,9 +93,9 @@
 	directory := cellpeer.NewDirectory(self, watched, log)
 	clients := cellpeer.NewClients()
 	ownerMetrics := cellowner.NewMetrics(metrics.NewSet())
-	newOwner := func(term uint64, earlierStopped bool, claim store.Check, l cellowner.Leadership) *cellowner.Owner {
+	newOwner := func(term uint64, previousStopped bool, claim store.Check, l cellowner.Leadership) *cellowner.Owner {
 		m.term.Store(term)
-		m.earlier.Store(earlierStopped)
+		m.previousStopped.Store(previousStopped)
 		return cellowner.New(cell.Settings{Term: term, Lease: time.Second}, claim, cellowner.Deps{
 			Store: watched, Jobs: jobs, Roster: platform.RosterIn(watched, log), Runner: platform.NewWorkers(),
 			Advisers: cellpeer.NewAdvicePool(directory, clients, nil, nil), Catalog: (&catalog.Current{}).Get, Leadership: l, Metrics: ownerMetrics, Log: log,
@@ -144,8 +144,9 @@
 	return left
 }
 
-// Failure: nobody planned any more; or two owners extended leases at once.
-func TestDeadOwnerIsOvertaken(t *testing.T) {
+// Guards against a cell without an owner after a crash, or with two owners that extend leases at
+// the same time.
+func TestCrashedOwnerIsReplaced(t *testing.T) {
 	members := group(t, 3)
 	first := owner(t, members)
 	term := first.term.Load()
@@ -154,13 +155,13 @@
 	if next.term.Load() <= term {
 		t.Errorf("term %d after term %d", next.term.Load(), term)
 	}
-	if next.earlier.Load() {
-		t.Error("an owner that refuses connections was taken for one that gives no orders any more")
+	if next.previousStopped.Load() {
+		t.Error("an owner that refuses connections was treated as stopped")
 	}
 }
 
-// Failure: nobody planned any more.
-func TestSilentOwnerIsOvertaken(t *testing.T) {
+// Guards against a cell in which nothing is planned because its owner is unresponsive.
+func TestUnresponsiveOwnerIsReplaced(t *testing.T) {
 	members := group(t, 3)
 	first := owner(t, members)
 	term := first.term.Load()
@@ -169,13 +170,13 @@
 	if next.term.Load() <= term {
 		t.Errorf("term %d after term %d", next.term.Load(), term)
 	}
-	if next.earlier.Load() {
-		t.Error("a silent owner was taken for one that gives no orders any more")
+	if next.previousStopped.Load() {
+		t.Error("an unresponsive owner was treated as stopped")
 	}
 }
 
-// Failure: all work stops for seconds in a burst.
-func TestLateOwnerIsNotOvertaken(t *testing.T) {
+// A slow owner must not be replaced: in a burst, all work stopped for seconds.
+func TestSlowOwnerIsNotReplaced(t *testing.T) {
 	members := group(t, 3)
 	first := owner(t, members)
 	term := first.term.Load()
@@ -183,13 +184,14 @@
 	time.Sleep(4 * time.Second)
 	for _, m := range members {
 		if got := m.term.Load(); got > term {
-			t.Errorf("an owner that answers late in term %d was overtaken in term %d", term, got)
+			t.Errorf("slow owner of term %d was replaced in term %d", term, got)
 		}
 	}
 }
 
-// Failure: jobs were accepted and their ends never shown.
-func TestOwnerWithoutTheStoreIsOvertaken(t *testing.T) {
+// An owner that cannot reach the store must be replaced: jobs were accepted and their ends never
+// became visible.
+func TestOwnerWithoutTheStoreIsReplaced(t *testing.T) {
 	members := group(t, 3)
 	first := owner(t, members)
 	term := first.term.Load()
@@ -204,9 +206,9 @@
 	}
 }
 
-// Failure: two instances owned the cell, each confirmed, for as long as the store was
-// away from one of them.
-func TestOwnerThatKnowsNobodyIsOvertaken(t *testing.T) {
+// Guards against two instances that each own the cell, both confirmed, for as long as one of them
+// cannot reach the store.
+func TestOwnerThatKnowsNoOtherInstanceIsReplaced(t *testing.T) {
 	backing := httptest.NewServer(standin.NewStore())
 	t.Cleanup(backing.Close)
 	first := join(t, "edge-0", backing.Listener.Addr().String())
@@ -223,8 +225,8 @@
 	}
 }
 
-// Failure: for as long as an instance lacked the store, its callers got 503 for every
-// question about a job, and what they handed in was noticed late.
+// An instance without the store must learn the new owner from others: its callers got 503 for
+// every query about a job, and the jobs that they submitted were noticed late.
 func TestInstanceWithoutTheStoreLearnsTheNewOwner(t *testing.T) {
 	for name, storeFirst := range map[string]bool{"store lost first": true, "owner lost first": false} {
 		t.Run(name, func(t *testing.T) {
@@ -254,7 +256,7 @@
 	}
 }
 
-// Failure: the cell's owner changed again and again.
+// An outage of the store for all instances must not change the owner again and again.
 func TestOwnerStaysInAnOutageForAll(t *testing.T) {
 	members := group(t, 2)
 	first := owner(t, members)
@@ -267,6 +269,6 @@
 		m.proxy.Refuse(false)
 	}
 	if got := owner(t, members); got != first {
-		t.Error("the owner changed in an outage that it shares with all")
+		t.Error("the owner changed in an outage that affected all instances")
 	}
 }
--- a/internal/cellleader/new_owner.go
+++ b/internal/cellleader/new_owner.go
@@ -5,6 +5,6 @@
 	"gentianstand/internal/store"
 )
 
-// NewOwner makes an owner for a term. earlierStopped says that the earlier owner
-// gives no orders any more. The row of the claim is checked by all writes.
-type NewOwner func(term uint64, earlierStopped bool, claim store.Check, l cellowner.Leadership) *cellowner.Owner
+// NewOwner creates the owner for a term. previousStopped is true if the previous owner sends no
+// more orders. All writes of the owner check the row of the claim.
+type NewOwner func(term uint64, previousStopped bool, claim store.Check, l cellowner.Leadership) *cellowner.Owner
--- a/internal/cellleader/questions.go
+++ b/internal/cellleader/queries.go
@@ -8,17 +8,17 @@
 	"gentianstand/internal/job"
 )
 
-// Owner returns the name and address of the cell's owner as far as known; self
-// says that it is this instance.
+// Owner returns the address of the owner of the cell, as far as known. self is true if the owner
+// is this instance.
 func (l *Leader) Owner() (address string, self bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.known.Address, l.term != nil
 }
 
-// LocalOwner returns the owner of this instance if it has loaded the cell and its
-// ownership was confirmed lately, or nil. What an owner knows that may have been
-// overtaken is out of date, and news that is told to it is lost.
+// LocalOwner returns the owner of this instance if it has loaded the cell and its ownership was
+// confirmed recently, or nil otherwise. An owner that may have been superseded has outdated
+// state, and updates that are sent to it are lost.
 func (l *Leader) LocalOwner() *cellowner.Owner {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/cellleader/candidates_test.go
+++ b/internal/cellleader/rank_test.go
@@ -20,12 +20,13 @@
 	return all
 }
 
-// Failure: nothing starts for five seconds after most instances lost power for 2.5 s.
+// Weak instances must leave strong ones time to restart: after most instances had lost power for
+// 2.5 s, no task started for 5 s.
 func TestWeakInstancesLeaveTimeForARestartOfTheStrongOnes(t *testing.T) {
 	all := candidates(6, 29)
 	slowestStrong, quickestWeak := time.Duration(0), time.Hour
 	for _, i := range all {
-		delay := placeAmong(i, append([]cellpeer.Instance(nil), all...), 7).delay()
+		delay := rankAmong(i, append([]cellpeer.Instance(nil), all...), 7).takeOverDelay()
 		if i.Cores == 0.8 {
 			slowestStrong = max(slowestStrong, delay)
 			continue
@@ -37,13 +38,12 @@
 	}
 }
 
-// Failure: a site of equal instances, or of weak ones alone, is without an owner for
-// seconds.
+// Guards against a site of equal instances, or of weak ones only, that has no owner for seconds.
 func TestEqualInstancesDoNotWaitForStrongerOnes(t *testing.T) {
 	for _, all := range [][]cellpeer.Instance{candidates(9, 0), candidates(0, 9)} {
 		quickest := time.Hour
 		for _, i := range all {
-			quickest = min(quickest, placeAmong(i, append([]cellpeer.Instance(nil), all...), 7).delay())
+			quickest = min(quickest, rankAmong(i, append([]cellpeer.Instance(nil), all...), 7).takeOverDelay())
 		}
 		if quickest != 0 {
 			t.Errorf("the first of %d equal instances waits %v", len(all), quickest)
@@ -51,21 +51,21 @@
 	}
 }
 
-// Failure: the owner of a large site spends its processor on pings. Load: 44 instances
-// follow one owner. Limit: as few as succeed it first ask often.
-func TestFewInstancesAskOftenAfterTheOwner(t *testing.T) {
+// If all of 44 instances ping the owner of a large site often, it spends its CPU on answering.
+// Only those that would succeed it first may do so.
+func TestFewInstancesPingTheOwnerOften(t *testing.T) {
 	all := candidates(9, 35)
-	eager := 0
+	frequent := 0
 	for _, i := range all {
-		p := placeAmong(i, append([]cellpeer.Instance(nil), all...), 7)
-		if p.eager() {
-			eager++
+		p := rankAmong(i, append([]cellpeer.Instance(nil), all...), 7)
+		if p.pingsOften() {
+			frequent++
 		}
-		if p.eager() && p.weak {
-			t.Errorf("%s is eager, and weak", i.Name)
+		if p.pingsOften() && p.weaker {
+			t.Errorf("%s pings often although it is weak", i.Name)
 		}
 	}
-	if eager != eagerPlaces {
-		t.Errorf("%d of %d are eager", eager, len(all))
+	if frequent != frequentPingers {
+		t.Errorf("%d of %d instances ping often", frequent, len(all))
 	}
 }
--- a/internal/cellleader/settings.go
+++ b/internal/cellleader/settings.go
@@ -3,93 +3,95 @@
 import "time"
 
 const (
-	// pingPeriod is how often the owner is pinged by each of the eagerPlaces instances
-	// that would succeed it first, crowdPeriod how often by each of the others, as there may
-	// be hundreds.
-	pingPeriod  = 125 * time.Millisecond
-	crowdPeriod = 500 * time.Millisecond
-	eagerPlaces = 3
-	// linkHeardFor is how long an owner that was heard over a link is not pinged by
-	// instances that succeed it last: it looks at each worker every second at least, and
-	// an instance is the relay of several.
-	linkHeardFor = crowdPeriod
-	// followTimeout bounds a ping of the owner, pingTimeout one of any other instance;
-	// calls between instances take milliseconds, more at one that is short of processor.
-	followTimeout = 200 * time.Millisecond
-	pingTimeout   = 350 * time.Millisecond
-	// silentLimit is how long the owner may be silent. Two pings in a row, the second
-	// one over a new connection, have failed then, and no other instance has heard it
-	// for heardLately.
-	silentLimit = 500 * time.Millisecond
-	// briefOwnership is how long an owner needs at most to hear all workers, on a small
-	// machine and in a slow store; one that is silent before may be at that yet. After it
-	// the next silence counts as one of its own.
-	briefOwnership = 10 * time.Second
-	// maxDoublings bounds how much harder a take-over gets: 8 s.
+	// pingInterval is how often each of the frequentPingers instances that would succeed the
+	// owner first pings it. Each of the others pings it every slowPingInterval, as there may be
+	// hundreds of them.
+	pingInterval     = 125 * time.Millisecond
+	slowPingInterval = 500 * time.Millisecond
+	frequentPingers  = 3
+	// linkFreshFor is how long after a frame of the owner over a link the instances that would
+	// succeed it last do not ping it. The owner polls each worker at least every second, and an
+	// instance is the relay of several workers.
+	linkFreshFor = slowPingInterval
+	// ownerPingTimeout bounds a ping of the owner, and pingTimeout a ping of any other instance.
+	// Calls between instances take milliseconds, and longer at an instance that is short of CPU.
+	ownerPingTimeout = 200 * time.Millisecond
+	pingTimeout      = 350 * time.Millisecond
+	// baseOwnerTimeout is how long the owner may be unresponsive. By then two consecutive pings
+	// have failed, the second over a new connection, and no other instance has seen the owner for
+	// ownerSeenWithin.
+	baseOwnerTimeout = 500 * time.Millisecond
+	// shortOwnershipLimit is how long an owner needs at most to reach all workers, on a small machine
+	// and in a slow store. An owner that is unresponsive earlier may still be doing that. After
+	// this time the count of short ownerships starts again at 0.
+	shortOwnershipLimit = 10 * time.Second
+	// maxDoublings bounds how often the timeout doubles with repeated take-overs: up to 8 s.
 	maxDoublings = 4
-	// slowFactor times its slowest answer of the last slowFor is what an owner may be
-	// silent for at least, up to patienceMost.
-	slowFactor   = 3
-	slowFor      = 5 * time.Second
-	patienceMost = silentLimit << maxDoublings
-	// lateTimeout is how long the answer to a ping is waited for after followTimeout,
-	// to learn that the owner lives and how slow it is. One such ping is under way at a
-	// time: more would load a busy owner further.
-	lateTimeout = 2 * time.Second
-	// vacantLimit is how long the holder of a new claim may not know of it, as the answer
-	// of a slow store takes time.
-	vacantLimit = 900 * time.Millisecond
-	// storeTrusted is how long the store must have served an instance that most others
-	// do not answer for it to believe that they are away, and not itself.
-	storeTrusted = 900 * time.Millisecond
-	// refusalsEnough pings that are refused in a row, refusedPause apart, make an owner
-	// count as gone after refusedLimit: one refusal may come from a restart of less
-	// than that.
-	refusalsEnough = 2
+	// responseFactor times its slowest answer within responseWindow is the least time for which
+	// an owner may be unresponsive, up to maxOwnerTimeout.
+	responseFactor  = 3
+	responseWindow  = 5 * time.Second
+	maxOwnerTimeout = baseOwnerTimeout << maxDoublings
+	// lateAnswerTimeout bounds a ping that waits for its answer beyond ownerPingTimeout, to find
+	// out whether the owner is alive and how slow it is. Only one such ping is in progress at a
+	// time, because more would add to the load of a busy owner.
+	lateAnswerTimeout = 2 * time.Second
+	// vacancyTimeout is how long the holder of a new claim may not know of it, because a slow
+	// store takes time to answer.
+	vacancyTimeout = 900 * time.Millisecond
+	// minStoreUptime is how long the store must have served an instance for it to conclude, if
+	// most other instances do not answer, that they are unavailable and that it is not cut off
+	// itself.
+	minStoreUptime = 900 * time.Millisecond
+	// minRefusals consecutive refused pings, refusedPause apart, make an owner count as gone
+	// after refusedTimeout. A single refusal may come from a restart that takes less than that.
+	minRefusals    = 2
 	refusedPause   = 100 * time.Millisecond
-	refusedLimit   = 300 * time.Millisecond
-	// refusedHeard is heardLately for an owner that refuses connections. The eager
-	// instances ping it every pingPeriod, so one that reaches it has heard it within.
-	refusedHeard = 250 * time.Millisecond
-	// storelessLimit is how long the store may not serve the owner while it serves
-	// the asking instance. In a slow store some call is answered more often than that, and a
-	// take-over, which reads everything, takes long.
-	storelessLimit = 600 * time.Millisecond
-	// storeBackWithin is within how long of one another instances notice that the
-	// store is back.
-	storeBackWithin = 300 * time.Millisecond
-	// stagger spaces the attempts of the instances, in an order that changes with
-	// every term, so that one of them usually takes over alone.
+	refusedTimeout = 300 * time.Millisecond
+	// refusedSeenWithin is used instead of ownerSeenWithin for an owner that refuses connections.
+	// The frequent pingers ping it every pingInterval, so an instance that reaches the owner has
+	// seen it within that time.
+	refusedSeenWithin = 250 * time.Millisecond
+	// storeLossTimeout is how long the owner may be without the store while the store serves the
+	// instance that asks. Even in a slow store some call is answered more often than that. A
+	// take-over reads everything and takes long.
+	storeLossTimeout = 600 * time.Millisecond
+	// storeRecoverySkew is the maximum difference between the times at which instances notice
+	// that the store is available again.
+	storeRecoverySkew = 300 * time.Millisecond
+	// stagger is the delay between the take-over attempts of instances. Their order changes with
+	// every term. Usually one of them takes over alone.
 	stagger = 120 * time.Millisecond
-	// firstCandidates are spaced by stagger; the others follow them closely, so
-	// that among hundreds of instances the last does not wait for half a minute.
-	firstCandidates = 8
-	crowdStagger    = 5 * time.Millisecond
-	// weakDelay is added for instances that are weaker than the strongest one. Load
-	// pattern: most instances lose power for a moment; a weak one takes over, and needs
-	// longer to hear all workers than a strong one needs to come back.
+	// staggeredCandidates is the number of instances whose attempts are stagger apart. Those of
+	// the others are lateStagger apart, so that the last of hundreds of instances does not wait
+	// for 30 s.
+	staggeredCandidates = 8
+	lateStagger         = 5 * time.Millisecond
+	// weakDelay is added for instances that are weaker than the strongest one. If most instances
+	// lose power for a moment, a weak one would take over, and it needs longer to reach all
+	// workers than a strong one needs to restart.
 	weakDelay = 2 * time.Second
-	// claimSample is how many others are asked for the claim where the store cannot
-	// be read. One in three of them knowing it is enough to hear of it at once.
-	claimSample = 8
-	// heardLately is how lately another instance must have heard the owner for
-	// this one to believe that it is itself the one that is cut off: three pings of an
-	// eager one. Less than silentLimit by more than pingPeriod, so that instances that
-	// lost the owner at the same time do not wait for one another.
-	heardLately = 350 * time.Millisecond
-	// confirmedFor is how long a confirmation of the ownership lasts. The cell
-	// counts on it: see overtakenFor there.
-	confirmedFor = 1500 * time.Millisecond
-	// verifyPeriod is how often the owner reads its own row.
-	verifyPeriod = time.Second
+	// claimSampleSize is the number of instances that are asked for the claim if the store cannot
+	// be read. The sample usually succeeds at once even if only 1 in 3 instances knows the claim.
+	claimSampleSize = 8
+	// ownerSeenWithin is how recently another instance must have seen the owner for this one to
+	// conclude that it is cut off itself: three pings of a frequent pinger. It is less than
+	// baseOwnerTimeout by more than pingInterval, so that instances that lose the owner at the
+	// same time do not wait for each other.
+	ownerSeenWithin = 350 * time.Millisecond
+	// confirmationTTL is how long a confirmation of the ownership is valid. Package cell relies
+	// on it: see overtakenFor there.
+	confirmationTTL = 1500 * time.Millisecond
+	// verifyInterval is how often the owner reads its own claim.
+	verifyInterval = time.Second
 	// storeTimeout bounds one call to the store about the ownership.
 	storeTimeout = time.Second
-	// yieldAfter is how long an owner keeps the cell at least before it hands it over
-	// to a stronger instance: until no owner before it can act any more.
-	yieldAfter = confirmedFor
-	// flushTimeout bounds the last writes of a stopping owner. Nothing is started until a
-	// successor has taken over, and leases run out meanwhile.
+	// minOwnership is how long an owner keeps the cell at least before it hands the cell over to
+	// a stronger instance: until no previous owner can act any more.
+	minOwnership = confirmationTTL
+	// flushTimeout bounds the last writes of a stopping owner. No task starts until a successor
+	// has taken over, and leases expire meanwhile.
 	flushTimeout = 300 * time.Millisecond
-	// handOverTimeout bounds the questions to successors after them.
+	// handOverTimeout bounds the calls to successors after the flush.
 	handOverTimeout = 1500 * time.Millisecond
 )
--- a/internal/cellleader/stop.go
+++ b/internal/cellleader/stop.go
@@ -11,7 +11,7 @@
 	"gentianstand/internal/cellpeer/cellpb"
 )
 
-// HandOver gives the cell up for a planned stop.
+// HandOver gives up the cell for a planned stop.
 func (l *Leader) HandOver(ctx context.Context) {
 	l.mu.Lock()
 	l.stopping = true
@@ -21,25 +21,25 @@
 		return
 	}
 	t.awaitSoleOwnership(ctx)
-	l.giveUp(ctx, t, known, l.successors(ctx, known))
+	l.handOverTo(ctx, t, known, l.successors(ctx, known))
 }
 
-// awaitSoleOwnership waits until no owner before this one can act any more, so that a
-// successor need not reckon with them.
+// awaitSoleOwnership waits until no previous owner can act any more, so that a successor does not
+// have to consider any of them.
 func (t *term) awaitSoleOwnership(ctx context.Context) {
-	if t.earlierStopped {
+	if t.previousStopped {
 		return
 	}
 	select {
 	case <-ctx.Done():
-	case <-time.After(time.Until(t.began.Add(confirmedFor))):
+	case <-time.After(time.Until(t.began.Add(confirmationTTL))):
 	}
 }
 
-// giveUp ends this instance's term: it stores what is not stored, and has the first
-// of the successors that can take over at once. They are asked for before, because
-// nothing is started from the end of the term on.
-func (l *Leader) giveUp(ctx context.Context, t *term, known claim, successors []cellpeer.Instance) {
+// handOverTo ends this instance's term. It stores what is not stored yet, and asks the successors
+// in turn to take over at once. The caller determines them beforehand, because no task starts
+// after the end of the term.
+func (l *Leader) handOverTo(ctx context.Context, t *term, known claim, successors []cellpeer.Instance) {
 	t.end()
 	t.flush(ctx)
 	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
@@ -58,16 +58,15 @@
 		l.log.WithField("to", next.Name).WithError(err).Info("hand_over_refused")
 	}
 	released := known
-	released.Released, released.Doubtful = true, false
+	released.Released, released.PredecessorMayAct = true, false
 	if _, err := l.write(ctx, released, known.version); err != nil {
-		// The others find this instance silent, or that it owns nothing.
+		// The other instances find that this one is unresponsive or owns nothing.
 		l.log.WithError(err).Warn("ownership_not_released")
 	}
 }
 
-// successors returns the instances that can take over, the strongest first, and
-// the youngest among equals: when instances are restarted one after the other,
-// the youngest is the one that will not be restarted again.
+// successors returns the instances that can take over, the strongest first, and among equals the
+// youngest first: in a rolling restart the youngest is the one that will not be restarted again.
 func (l *Leader) successors(ctx context.Context, known claim) []cellpeer.Instance {
 	callCtx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
@@ -86,8 +85,8 @@
 	return list
 }
 
-// TakeOver makes this instance the owner because the owner of a term gives the cell
-// up, and reports whether it became one.
+// TakeOver makes this instance the owner because the owner of a term gives up the cell. It
+// reports whether the cell has a later owner.
 func (l *Leader) TakeOver(ctx context.Context, from string, term uint64) bool {
 	l.mu.Lock()
 	known, stopping := l.known, l.stopping
@@ -102,29 +101,29 @@
 		l.mu.Unlock()
 	}
 	if known.Term > term {
-		// Somebody has taken over already, which is what the caller wants.
+		// Another instance has taken over already, which is what the caller wants.
 		return true
 	}
 	if known.Term != term || known.Holder != from {
 		return false
 	}
-	return l.take(ctx, known, takeOver{reason: "the owner gave the cell up", earlierStopped: true, handedOver: true})
+	return l.tryTakeOver(ctx, known, takeOver{reason: "the owner gave the cell up", previousStopped: true, handedOver: true})
 }
 
-// Ping answers another instance.
+// Ping answers a ping of another instance.
 func (l *Leader) Ping(r *cellpb.PingRequest) *cellpb.PingReply {
 	if r.From != l.directory.Self().Name {
-		l.pinged.Store(true)
+		l.pingReceived.Store(true)
 	}
 	if r.Claim != nil {
-		l.learn(claimFrom(r.Claim))
+		l.updateClaim(claimFrom(r.Claim))
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	reply := &cellpb.PingReply{Claim: l.known.message(), Term: l.known.Term, Owner: l.term != nil, StoreOk: l.store.Reachable(), HeardMillis: -1,
 		Stopping: l.stopping, StoreLostMillis: l.store.LostFor(time.Now()).Milliseconds()}
-	if !l.heardAt.IsZero() {
-		reply.HeardMillis = time.Since(l.heardAt).Milliseconds()
+	if !l.ownerSeenAt.IsZero() {
+		reply.HeardMillis = time.Since(l.ownerSeenAt).Milliseconds()
 	}
 	if l.term != nil {
 		if r.Term > l.term.number {
@@ -133,7 +132,7 @@
 			reply.Owner = false
 			return reply
 		}
-		l.term.heardOf(r, time.Now())
+		l.term.pingReceived(r, time.Now())
 	}
 	return reply
 }
--- a/internal/cellleader/survey.go
+++ b/internal/cellleader/survey.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// survey is what other instances say of an owner that is silent here.
+// survey is what other instances report about an owner that is unresponsive here.
 type survey struct {
-	// heard says that one of them heard it lately.
-	heard bool
-	// asked is how many were asked; reached how many of them answered, or refused
-	// the connection.
+	// ownerSeen is true if one of them has seen the owner recently.
+	ownerSeen bool
+	// asked is the number of instances asked, and reached the number of those that answered or
+	// refused the connection.
 	asked, reached int
 }
 
-// allows reports whether this instance may take the cell over. It may not if the owner is
-// heard elsewhere, or if it is more likely that this instance is cut off itself: most
-// others are silent, too, and the store has just come back or is away. After such a cut
-// its old connections stay dead for one more timeout.
-func (s survey) allows(storeGoodFor time.Duration) bool {
-	if s.heard {
+// allowsTakeOver reports whether this instance may take over the cell. It may not if another
+// instance has seen the owner, or if this instance is more likely to be cut off itself: most
+// others do not answer, and the store is unavailable or has only just become available. After a
+// network partition the old connections of this instance fail for one more timeout.
+func (s survey) allowsTakeOver(storeGoodFor time.Duration) bool {
+	if s.ownerSeen {
 		return false
 	}
-	return 2*s.reached > s.asked || storeGoodFor >= storeTrusted
+	return 2*s.reached > s.asked || storeGoodFor >= minStoreUptime
 }
--- a/internal/cellleader/take_over.go
+++ b/internal/cellleader/take_over.go
@@ -11,79 +11,78 @@
 	"gentianstand/internal/store"
 )
 
-// takeOver is why an instance takes a cell over.
+// takeOver describes why an instance takes over a cell.
 type takeOver struct {
 	reason string
-	// earlierStopped says that the earlier owner gives no orders any more: its
-	// process ended, or it said that it does not own the cell.
-	earlierStopped bool
-	// handedOver says that it gave the cell up when no owner before it could act any
-	// more either.
+	// previousStopped is true if the previous owner sends no more orders: its process ended, or
+	// it reported that it does not own the cell.
+	previousStopped bool
+	// handedOver is true if the previous owner gave up the cell at a time when no owner before it
+	// could act any more.
 	handedOver bool
-	// silent says that the earlier owner lives as far as anyone knows, and was silent.
-	silent bool
-	// beside is the only earlier holder that may still act, if there is just one.
-	beside string
+	// unresponsive is true if the previous owner is alive as far as known, but did not respond or
+	// could not reach the store.
+	unresponsive bool
+	// onlyPredecessor is the only previous holder that may still act, if there is just one.
+	onlyPredecessor string
 }
 
-// after returns a take-over with what follows from the claim before it, which has been
-// known for some time: whether no owner up to that one can act any more, and if not, which
-// one can. That the last one has ended says nothing of the one before it, which may still
-// act.
-func (t takeOver) after(c claim, known time.Duration) takeOver {
-	// Whoever was alive when the claim was made was overtaken by it, and may act as
-	// long as a confirmation lasts.
-	doubtful := c.Doubtful && !t.handedOver && known < confirmedFor
-	t.earlierStopped = t.earlierStopped && !doubtful
-	if !t.earlierStopped && !doubtful {
-		t.beside = c.Holder
+// withClaim adds what follows from the previous claim, which has been known for the given time:
+// whether any owner up to that one may still act and, if just one may, which. If the last owner
+// has stopped, the one before it may still act.
+func (t takeOver) withClaim(c claim, known time.Duration) takeOver {
+	// An owner that was alive when the claim was made was superseded by it, and may act until its
+	// confirmations expire.
+	mayAct := c.PredecessorMayAct && !t.handedOver && known < confirmationTTL
+	t.previousStopped = t.previousStopped && !mayAct
+	if !t.previousStopped && !mayAct {
+		t.onlyPredecessor = c.Holder
 	}
 	return t
 }
 
-// hurried returns what the claim of a take-over says of the owners before it; current
-// is the claim before, which has been known for some time.
-func (t takeOver) hurried(current claim, known time.Duration) uint32 {
+// shortOwnerships returns the number of short ownerships for the claim of this take-over. current
+// is the previous claim, which has been known for the given time.
+func (t takeOver) shortOwnerships(current claim, known time.Duration) uint32 {
 	switch {
-	case known >= briefOwnership || t.handedOver:
+	case known >= shortOwnershipLimit || t.handedOver:
 		return 0
-	case t.silent:
-		return current.Hurried + 1
+	case t.unresponsive:
+		return current.ShortOwnerships + 1
 	}
-	return current.Hurried
+	return current.ShortOwnerships
 }
 
-// knownFor returns for how long the newest claim has been known here.
+// knownFor returns how long this instance has known the newest claim.
 func (l *Leader) knownFor() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return time.Since(l.knownAt)
 }
 
-// take tries to become the owner and reports whether it did.
-func (l *Leader) take(ctx context.Context, seen claim, why takeOver) bool {
+// tryTakeOver tries to become the owner and reports whether it did.
+func (l *Leader) tryTakeOver(ctx context.Context, seen claim, why takeOver) bool {
 	current, err := l.readClaim(ctx)
 	if err != nil {
 		l.log.WithField("why", why.reason).WithError(err).Debug("take_over_without_store")
 		return false
 	}
 	if current.version != seen.version {
-		l.learn(current)
+		l.updateClaim(current)
 		return false
 	}
-	why = why.after(current, l.knownFor())
+	why = why.withClaim(current, l.knownFor())
 	self := l.directory.Self()
 	next := claim{Holder: self.Name, Address: self.Address, Incarnation: self.Incarnation, Term: current.Term + 1,
-		Returned: current.Holder == self.Name, Doubtful: !why.earlierStopped, Hurried: why.hurried(current, l.knownFor())}
+		Returned: current.Holder == self.Name, PredecessorMayAct: !why.previousStopped, ShortOwnerships: why.shortOwnerships(current, l.knownFor())}
 	version, err := l.write(ctx, next, current.version)
 	if err != nil {
-		// The write may have taken effect; the next round reads the row and finds
-		// this process in it.
+		// The write may have taken effect; the row then names this process.
 		l.log.WithField("why", why.reason).WithError(err).Info("take_over_failed")
-		return l.claimedAfterAll(ctx, next, why)
+		return l.resolveUnknownWrite(ctx, next, why)
 	}
 	next.version = version
-	l.begin(next, why)
+	l.startTerm(next, why)
 	return true
 }
 
@@ -101,22 +100,22 @@
 	})
 }
 
-// claimedAfterAll looks whether a write without an answer took effect.
-func (l *Leader) claimedAfterAll(ctx context.Context, next claim, why takeOver) bool {
+// resolveUnknownWrite reads the claim to find out whether a write without an answer took effect.
+func (l *Leader) resolveUnknownWrite(ctx context.Context, next claim, why takeOver) bool {
 	c, err := l.readClaim(ctx)
 	if err != nil {
 		return false
 	}
 	if c.Term == next.Term && c.Incarnation == next.Incarnation {
-		l.begin(c, why)
+		l.startTerm(c, why)
 		return true
 	}
-	l.learn(c)
+	l.updateClaim(c)
 	return false
 }
 
-// begin starts this instance's term.
-func (l *Leader) begin(c claim, why takeOver) {
+// startTerm starts this instance's term.
+func (l *Leader) startTerm(c claim, why takeOver) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.term != nil || l.stopping || l.ended {
@@ -124,24 +123,24 @@
 	}
 	l.known, l.knownAt = c, time.Now()
 	l.links.Learned(c.Term)
-	l.vacantFrom = time.Time{}
+	l.vacantSince = time.Time{}
 	l.log.WithFields(logrus.Fields{"term": c.Term, "why": why.reason}).Info("ownership_taken")
-	l.term = l.newTerm(c, why.earlierStopped, why.beside)
+	l.term = l.newTerm(c, why.previousStopped, why.onlyPredecessor)
 	l.announcing.Go(func() { l.announce(c) })
 }
 
-// announce tells the others of this instance's claim. News of jobs goes to the
-// owner that an instance knows; until it reads the claim by itself, half a second
-// later, what it accepts is found by the owner's next read of the store only.
+// announce sends this instance's claim to the other instances. An instance reports the jobs that
+// it accepts to the owner that it knows. Until it reads the claim itself, 0.5 s later, the new
+// owner finds these jobs only with its next read of the store.
 func (l *Leader) announce(c claim) {
 	ctx, cancel := context.WithTimeout(context.Background(), pingTimeout)
 	defer cancel()
 	ping := &cellpb.PingRequest{From: l.directory.Self().Name, Term: c.Term, Claim: c.message()}
-	heard := 0
+	acknowledged := 0
 	for answer := range l.clients.PingAll(ctx, l.directory.Others(), ping) {
 		if answer.Reply != nil {
-			heard++
+			acknowledged++
 		}
 	}
-	l.log.WithFields(logrus.Fields{"term": c.Term, "heard": heard}).Info("ownership_announced")
+	l.log.WithFields(logrus.Fields{"term": c.Term, "heard": acknowledged}).Info("ownership_announced")
 }
--- a/internal/cellleader/term.go
+++ b/internal/cellleader/term.go
@@ -22,22 +22,22 @@
 	done   chan struct{}
 	loaded atomic.Bool
 	began  time.Time
-	// earlierStopped says that no owner before this one can act any more.
-	earlierStopped bool
-	// beside is the holder before this one, if it may act and no other one can.
-	beside        string
-	confirmations *confirmations
-	verifiedAt    time.Time
-	lost          sync.Once
+	// previousStopped is true if no previous owner can act any more.
+	previousStopped bool
+	// onlyPredecessor is the previous holder, if it may still act and no other one may.
+	onlyPredecessor string
+	confirmations   *confirmations
+	verifiedAt      time.Time
+	supersededOnce  sync.Once
 }
 
-// newTerm makes and starts an owner for a claim.
-func (l *Leader) newTerm(c claim, earlierStopped bool, beside string) *term {
+// newTerm creates and starts the owner for a claim.
+func (l *Leader) newTerm(c claim, previousStopped bool, onlyPredecessor string) *term {
 	ctx, cancel := context.WithCancel(context.Background())
 	now := time.Now()
 	t := &term{leader: l, number: c.Term, cancel: cancel, done: make(chan struct{}), began: now, verifiedAt: now,
-		confirmations: newConfirmations(now), earlierStopped: earlierStopped, beside: beside}
-	t.owner = l.newOwner(c.Term, earlierStopped, store.Check{Table: tableCells, Key: claimKey, Version: c.version}, t)
+		confirmations: newConfirmations(now), previousStopped: previousStopped, onlyPredecessor: onlyPredecessor}
+	t.owner = l.newOwner(c.Term, previousStopped, store.Check{Table: tableCells, Key: claimKey, Version: c.version}, t)
 	go t.run(ctx)
 	return t
 }
@@ -56,56 +56,56 @@
 	<-t.done
 }
 
-// flush stores what is not stored, as far as the store answers soon. The workers tell the
-// successor of ends that are not.
+// flush stores what is not stored yet, as far as the store answers in time. Workers report ends
+// that were not stored to the successor.
 func (t *term) flush(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
 	t.owner.Flush(ctx)
 }
 
-// heardOf takes in a ping of another instance that knows no later term. If it knows this
-// one and is the holder before, it owns nothing any more: either its process was
-// replaced, or it has learned that it was overtaken.
-func (t *term) heardOf(r *cellpb.PingRequest, now time.Time) {
+// pingReceived handles a ping of another instance that knows no later term. If that instance is
+// the previous holder and knows this term, it owns nothing any more: its process was replaced, or
+// it knows that it was superseded.
+func (t *term) pingReceived(r *cellpb.PingRequest, now time.Time) {
 	if r.Term != t.number {
 		return
 	}
-	t.confirmations.heardFrom(r.From, now)
-	if t.beside != "" && r.From == t.beside {
-		t.beside = ""
+	t.confirmations.pingReceived(r.From, now)
+	if t.onlyPredecessor != "" && r.From == t.onlyPredecessor {
+		t.onlyPredecessor = ""
 		t.leader.log.WithFields(logrus.Fields{"term": t.number, "holder": r.From}).Info("earlier_owner_stopped")
 		t.owner.PreviousOwnerStopped(now)
 	}
 }
 
-// Confirmed implements cellowner.Leadership. An owner that is cut off from all
-// other instances and from the store must stop extending leases, because
-// another one may have taken over.
+// Confirmed implements cellowner.Leadership. An owner that is cut off from all other instances
+// and from the store must stop extending leases, because another instance may have taken over.
 func (t *term) Confirmed() bool {
 	others := func() int { return len(t.leader.directory.Others()) }
 	linked := func(since time.Time) []string { return t.leader.links.Confirming(t.number, since) }
-	return t.confirmations.hold(others, linked, time.Now()) || t.leader.alone()
+	return t.confirmations.valid(others, linked, time.Now()) || t.leader.alone()
 }
 
-// alone reports whether no other instance has shown itself: then nobody can
-// confirm an ownership, and nobody can have overtaken it. The directory may lack
-// instances that started after it was last read; those ping the owner.
+// alone reports whether no other instance is known. Then no instance can confirm the ownership,
+// and none can have taken over. The directory may lack instances that started after it was last
+// read, but those ping the owner.
 func (l *Leader) alone() bool {
-	return !l.pinged.Load() && l.directory.Loaded() && len(l.directory.Others()) == 0
+	return !l.pingReceived.Load() && l.directory.Loaded() && len(l.directory.Others()) == 0
 }
 
 // Superseded implements cellowner.Leadership.
 func (t *term) Superseded(why string) {
-	t.lost.Do(func() {
-		go t.leader.overtaken(t, why)
+	t.supersededOnce.Do(func() {
+		go t.leader.superseded(t, why)
 	})
 }
 
-func (l *Leader) overtaken(t *term, why string) {
+// superseded ends a term, unless it has ended already, and reads the current claim.
+func (l *Leader) superseded(t *term, why string) {
 	l.mu.Lock()
 	if l.term == t {
-		l.drop(why)
+		l.endTermLocked(why)
 	}
 	l.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
--- a/internal/cellleader/yield.go
+++ b/internal/cellleader/yield.go
@@ -10,11 +10,11 @@
 	"gentianstand/internal/cellpeer"
 )
 
-// yield hands the cell over to a stronger instance, if there is one, even while this one
-// is still reading the cell. A weak instance needs seconds where strong ones need tenths,
-// and is late under load.
+// yield hands the cell over to a stronger instance, if there is one, even while this instance is
+// still loading the cell. A weak instance needs seconds where strong ones need tenths of a
+// second, and it is slow under load.
 func (l *Leader) yield(ctx context.Context, t *term) {
-	if time.Since(t.began) < yieldAfter || !slices.ContainsFunc(l.directory.Others(), l.stronger) {
+	if time.Since(t.began) < minOwnership || !slices.ContainsFunc(l.directory.Others(), l.stronger) {
 		return
 	}
 	known := l.current()
@@ -24,8 +24,8 @@
 	}
 	l.log.WithFields(logrus.Fields{"term": t.number, "cores": l.directory.Self().Cores,
 		"stronger": len(successors)}).Info("ownership_yielded")
-	l.giveUp(ctx, t, known, successors)
+	l.handOverTo(ctx, t, known, successors)
 }
 
-// stronger reports whether an instance has more processor than this one.
+// stronger reports whether an instance has more CPU than this one.
 func (l *Leader) stronger(i cellpeer.Instance) bool { return i.Cores > l.directory.Self().Cores }
--- a/internal/cellowner/maintenance_test.go
+++ b/internal/cellowner/maintenance_test.go
@@ -82,25 +82,25 @@
 	o.deps.Store, o.deps.Leadership, o.deps.Jobs = kept, l, celljobs.New(store.NewWatched(kept), "cell")
 	source := &oneWave{wave: upkeep.Wave{Number: 3, Machines: []string{"m-1"}, Within: time.Second, AtOnce: 1}}
 	f.machines = []upkeep.Machine{{Name: "m-1", Worker: "idle", Up: true}}
-	u := &maintenanceController{owner: o, startedAt: time.Now().Add(-age), trackers: map[uint64]*upkeep.Tracker{},
+	c := &maintenanceController{owner: o, startedAt: time.Now().Add(-age), trackers: map[uint64]*upkeep.Tracker{},
 		MaintenanceDeps: MaintenanceDeps{Source: source, Fleet: f, Holder: "edge-1", HolderLease: 3 * time.Second}}
 	o.cell.Plan(time.Now().Add(10*time.Second), cell.AdviceSlots{})
-	return u, source
+	return c, source
 }
 
 func TestWaveOfOneMachine(t *testing.T) {
 	f, kept := &smallFleet{}, &lastRowStore{}
-	u, source := controllerOfOneMachine(t, f, kept, confirmedLeadership{}, time.Hour)
-	u.readWaves(t.Context())
+	c, source := controllerOfOneMachine(t, f, kept, confirmedLeadership{}, time.Hour)
+	c.readWaves(t.Context())
 	for range 4 {
-		u.reconcile(t.Context())
+		c.reconcile(t.Context())
 	}
 	want := []upkeep.Order{{Machine: "m-1", Wave: 3, Holder: "edge-1", Token: 7}}
 	if !slices.Equal(f.orders, want) {
 		t.Errorf("orders %v, want %v", f.orders, want)
 	}
-	if !source.completed || len(u.trackers) > 0 {
-		t.Errorf("completed %v, %d trackers left", source.completed, len(u.trackers))
+	if !source.completed || len(c.trackers) > 0 {
+		t.Errorf("completed %v, %d trackers left", source.completed, len(c.trackers))
 	}
 	if had, err := upkeep.DecodeHad(kept.row.Value); err != nil || !slices.Equal(had, []string{"m-1"}) {
 		t.Errorf("stored %v, %v", had, err)
@@ -110,10 +110,10 @@
 // Guards against two holders that send orders for the same machine in turn.
 func TestNewOwnerWaitsForTheEarlierHoldersLease(t *testing.T) {
 	f := &smallFleet{}
-	u, _ := controllerOfOneMachine(t, f, &lastRowStore{}, confirmedLeadership{}, 0)
-	u.readWaves(t.Context())
+	c, _ := controllerOfOneMachine(t, f, &lastRowStore{}, confirmedLeadership{}, 0)
+	c.readWaves(t.Context())
 	for range 4 {
-		u.reconcile(t.Context())
+		c.reconcile(t.Context())
 	}
 	if len(f.orders) > 0 {
 		t.Errorf("orders sent at once: %v", f.orders)
@@ -123,10 +123,10 @@
 // Guards against a superseded owner that continues to send orders for machines.
 func TestFencedMaintenanceOrderEndsTheOwnership(t *testing.T) {
 	f, l := &smallFleet{refuse: upkeep.ErrFenced}, &recordedLeadership{}
-	u, source := controllerOfOneMachine(t, f, &lastRowStore{}, l, time.Hour)
-	u.readWaves(t.Context())
+	c, source := controllerOfOneMachine(t, f, &lastRowStore{}, l, time.Hour)
+	c.readWaves(t.Context())
 	for range 4 {
-		u.reconcile(t.Context())
+		c.reconcile(t.Context())
 	}
 	if len(l.lost) != 1 || source.completed {
 		t.Errorf("ownership ended %d times, wave completed %v", len(l.lost), source.completed)
