--- a/internal/cellleader/confirmations.go
+++ b/internal/cellleader/confirmations.go
@@ -21,12 +21,12 @@
 	return &confirmations{claimVerifiedAt: now, pingedAt: map[string]time.Time{}}
 }
 
-// claimVerified records that a read of the store, started at asked, found this ownership.
-func (c *confirmations) claimVerified(asked time.Time) {
+// claimVerified records that a read of the store that began at startedAt found this ownership.
+func (c *confirmations) claimVerified(startedAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if asked.After(c.claimVerifiedAt) {
-		c.claimVerifiedAt = asked
+	if startedAt.After(c.claimVerifiedAt) {
+		c.claimVerifiedAt = startedAt
 	}
 }
 
--- a/internal/cellleader/leader.go
+++ b/internal/cellleader/leader.go
@@ -67,9 +67,9 @@
 func (l *Leader) Run(ctx context.Context) {
 	l.refresh(ctx)
 	l.mu.Lock()
-	returns := l.replacesOwner(l.known)
+	restarted := l.replacesOwner(l.known)
 	l.mu.Unlock()
-	if returns {
+	if restarted {
 		l.step(ctx)
 	}
 	ticker := time.NewTicker(pingInterval)
@@ -123,8 +123,8 @@
 	if time.Since(t.verifiedAt) < verifyInterval {
 		return
 	}
-	asked := time.Now()
-	t.verifiedAt = asked
+	startedAt := time.Now()
+	t.verifiedAt = startedAt
 	go func() {
 		c, err := l.readClaim(ctx)
 		if err != nil {
@@ -133,7 +133,7 @@
 		}
 		l.updateClaim(c)
 		if c.Term == t.number && c.Incarnation == l.directory.Self().Incarnation {
-			t.confirmations.claimVerified(asked)
+			t.confirmations.claimVerified(startedAt)
 		}
 	}()
 	l.yield(ctx, t)
--- a/internal/cellleader/rank_test.go
+++ b/internal/cellleader/rank_test.go
@@ -8,7 +8,7 @@
 	"gentianstand/internal/cellpeer"
 )
 
-// candidates returns some strong instances and many weak ones.
+// candidates returns the given numbers of strong and weak instances.
 func candidates(strong, weak int) []cellpeer.Instance {
 	var all []cellpeer.Instance
 	for i := range strong {
--- a/internal/cellleader/settings.go
+++ b/internal/cellleader/settings.go
@@ -80,7 +80,7 @@
 	// same time do not wait for each other.
 	ownerSeenWithin = 350 * time.Millisecond
 	// confirmationTTL is how long a confirmation of the ownership is valid. Package cell relies
-	// on it: see overtakenFor there.
+	// on it: see overtakenOwnerLimit there.
 	confirmationTTL = 1500 * time.Millisecond
 	// verifyInterval is how often the owner reads its own claim.
 	verifyInterval = time.Second
--- a/internal/cellleader/stop.go
+++ b/internal/cellleader/stop.go
@@ -86,7 +86,7 @@
 }
 
 // TakeOver makes this instance the owner because the owner of a term gives up the cell. It
-// reports whether the cell has a later owner.
+// reports whether this or another instance has taken over.
 func (l *Leader) TakeOver(ctx context.Context, from string, term uint64) bool {
 	l.mu.Lock()
 	known, stopping := l.known, l.stopping
--- a/internal/cellleader/take_over.go
+++ b/internal/cellleader/take_over.go
@@ -86,7 +86,7 @@
 	return true
 }
 
-func (l *Leader) write(ctx context.Context, c claim, over uint64) (uint64, error) {
+func (l *Leader) write(ctx context.Context, c claim, expectedVersion uint64) (uint64, error) {
 	value, err := cbor.Marshal(c)
 	if err != nil {
 		return 0, err
@@ -95,7 +95,7 @@
 	defer cancel()
 	return l.store.Commit(callCtx, store.Tx{
 		Partition: l.partition,
-		Checks:    []store.Check{{Table: tableCells, Key: claimKey, Version: over}},
+		Checks:    []store.Check{{Table: tableCells, Key: claimKey, Version: expectedVersion}},
 		Puts:      []store.Put{{Table: tableCells, Key: claimKey, Value: value}},
 	})
 }
--- a/internal/cellleader/take_over_test.go
+++ b/internal/cellleader/take_over_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestClaimCountsSilentOwnersOfAShortTime(t *testing.T) {
+func TestClaimCountsShortOwnerships(t *testing.T) {
 	second := claim{ShortOwnerships: 1, version: 5}
 	for _, test := range []struct {
 		name  string
