--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -43,8 +43,8 @@
 	return c
 }
 
-// NamesService reports whether the configuration names a service.
-func (c *Catalog) NamesService(name string) bool {
+// HasService reports whether the configuration names a service.
+func (c *Catalog) HasService(name string) bool {
 	_, named := c.services[name]
 	return named
 }
--- a/internal/catalog/news.go
+++ b/internal/catalog/update.go
@@ -1,7 +1,7 @@
 package catalog
 
-// News is the answer to a question for the newest configuration.
-type News struct {
+// Update is the answer to a question for the newest configuration.
+type Update struct {
 	// Catalog is nil if there is none, or no newer one.
 	Catalog *Catalog
 	// Position is where the next question resumes.
--- a/internal/celljobs/jobs.go
+++ b/internal/celljobs/jobs.go
@@ -19,13 +19,13 @@
 
 // Jobs writes and reads the jobs of one cell.
 type Jobs struct {
-	store   *store.Watched
+	store   *store.Monitored
 	cell    string
 	readers int
 }
 
 // New returns the jobs of a cell.
-func New(s *store.Watched, cell string) *Jobs {
+func New(s *store.Monitored, cell string) *Jobs {
 	return &Jobs{store: s, cell: cell, readers: mostReaders}
 }
 
--- a/internal/celljobs/jobs_test.go
+++ b/internal/celljobs/jobs_test.go
@@ -39,7 +39,7 @@
 	return l.row.Version, nil
 }
 
-func newJobs(l *lossy) *Jobs { return New(store.NewWatched(l), "cell") }
+func newJobs(l *lossy) *Jobs { return New(store.NewMonitored(l), "cell") }
 
 func record() *job.Record {
 	return &job.Record{ID: "5c0e7a21d94b36f8", Steps: []job.Step{{Count: 1}}}
@@ -99,7 +99,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &slow{lossy: &lossy{}, takes: []time.Duration{700 * time.Millisecond}}
 		began := time.Now()
-		created, err := New(store.NewWatched(s), "cell").Create(t.Context(), record())
+		created, err := New(store.NewMonitored(s), "cell").Create(t.Context(), record())
 		if err != nil || !created {
 			t.Errorf("created %v, error %v", created, err)
 		}
@@ -114,7 +114,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &slow{lossy: &lossy{}, takes: []time.Duration{time.Hour, 4 * time.Millisecond}}
 		began := time.Now()
-		created, err := New(store.NewWatched(s), "cell").Create(t.Context(), record())
+		created, err := New(store.NewMonitored(s), "cell").Create(t.Context(), record())
 		if err != nil || !created {
 			t.Errorf("created %v, error %v", created, err)
 		}
@@ -132,7 +132,7 @@
 	defer cancel()
 	l.row.Version = 0
 	first := &refusingLater{lossy: l}
-	jobs.store = store.NewWatched(first)
+	jobs.store = store.NewMonitored(first)
 	_, err := jobs.Create(ctx, record())
 	if errors.Is(err, store.ErrUnavailable) || !errors.Is(err, store.ErrUnknown) {
 		t.Errorf("error %v, want an open outcome", err)
--- a/internal/celljobs/read.go
+++ b/internal/celljobs/read.go
@@ -45,7 +45,7 @@
 		wg.Go(func() {
 			for n := range next {
 				r := &results[n]
-				r.rows, r.version, r.err = store.ReadAll(ctx, store.Persistent{Store: b.store}, TableJobs, partitionName(b.cell, n))
+				r.rows, r.version, r.err = store.ReadAll(ctx, store.RetryingReader{Store: b.store}, TableJobs, partitionName(b.cell, n))
 			}
 		})
 	}
--- a/internal/celljobs/settle.go
+++ b/internal/celljobs/settle.go
@@ -29,7 +29,7 @@
 // second time it finds the rows of the first. In a store that has become slow, giving the
 // first up and making it again would take longer than its answer.
 type attempts struct {
-	store *store.Watched
+	store *store.Monitored
 	tx    store.Tx
 	ended chan ended
 	open  int
@@ -59,7 +59,7 @@
 		if done, version, err := a.await(ctx); done {
 			return version, err
 		}
-		if lost := b.store.LostFor(time.Now()); lost > lostForGood {
+		if lost := b.store.UnreachableFor(time.Now()); lost > lostForGood {
 			return 0, fmt.Errorf("%w: it has been lost for %s", store.ErrUnknown, lost.Round(time.Millisecond))
 		}
 	}
@@ -74,7 +74,7 @@
 // begin sends the transaction once more.
 func (a *attempts) begin(ctx context.Context) {
 	a.open++
-	limit := attemptFactor * a.store.Limit()
+	limit := attemptFactor * a.store.CallTimeout()
 	go func() {
 		callCtx, cancel := context.WithTimeout(ctx, limit)
 		defer cancel()
@@ -85,7 +85,7 @@
 
 // await waits until an attempt settles the outcome, or it is time for another one.
 func (a *attempts) await(ctx context.Context) (done bool, version uint64, err error) {
-	next := time.NewTimer(a.store.Limit())
+	next := time.NewTimer(a.store.CallTimeout())
 	defer next.Stop()
 	for {
 		select {
--- a/internal/cellleader/follow.go
+++ b/internal/cellleader/follow.go
@@ -95,8 +95,8 @@
 	l.refusals = 0
 	l.mu.Unlock()
 	lost := time.Duration(reply.StoreLostMillis) * time.Millisecond
-	limit := max(storelessLimit, l.store.Limit(), l.silenceFrom(now).patience()) + l.delay(known.Term)
-	if lost > limit && l.store.GoodFor(now) > storeBackWithin {
+	limit := max(storelessLimit, l.store.CallTimeout(), l.silenceFrom(now).patience()) + l.delay(known.Term)
+	if lost > limit && l.store.ReachableFor(now) > storeBackWithin {
 		l.take(ctx, known, takeOver{reason: "the owner does not reach the store", silent: true})
 	}
 }
@@ -118,7 +118,7 @@
 	if now.Sub(silence.from) < silent+l.delay(known.Term) {
 		return
 	}
-	if !l.survey(ctx, known, heard).allows(l.store.GoodFor(time.Now())) {
+	if !l.survey(ctx, known, heard).allows(l.store.ReachableFor(time.Now())) {
 		return
 	}
 	l.take(ctx, known, takeOver{reason: "the owner is silent", silent: true})
--- a/internal/cellleader/leader.go
+++ b/internal/cellleader/leader.go
@@ -18,7 +18,7 @@
 	partition string
 	directory *cellpeer.Directory
 	clients   *cellpeer.Clients
-	store     *store.Watched
+	store     *store.Monitored
 	newOwner  NewOwner
 	links     Links
 	log       logrus.FieldLogger
@@ -54,7 +54,7 @@
 }
 
 // New returns a leader that owns nothing. links may be nil.
-func New(partition string, d *cellpeer.Directory, c *cellpeer.Clients, s *store.Watched, n NewOwner, links Links, log logrus.FieldLogger) *Leader {
+func New(partition string, d *cellpeer.Directory, c *cellpeer.Clients, s *store.Monitored, n NewOwner, links Links, log logrus.FieldLogger) *Leader {
 	if links == nil {
 		links = noLinks{}
 	}
--- a/internal/cellleader/leader_test.go
+++ b/internal/cellleader/leader_test.go
@@ -80,7 +80,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(proxy.Close)
-	watched := store.NewWatched(platform.NewStore(proxy.Address()))
+	watched := store.NewMonitored(platform.NewStore(proxy.Address()))
 	jobs := celljobs.New(watched, "cell-0")
 	m := &member{proxy: proxy, done: make(chan struct{})}
 	server := httptest.NewUnstartedServer(nil)
--- a/internal/cellleader/stop.go
+++ b/internal/cellleader/stop.go
@@ -122,7 +122,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	reply := &cellpb.PingReply{Claim: l.known.message(), Term: l.known.Term, Owner: l.term != nil, StoreOk: l.store.Reachable(), HeardMillis: -1,
-		Stopping: l.stopping, StoreLostMillis: l.store.LostFor(time.Now()).Milliseconds()}
+		Stopping: l.stopping, StoreLostMillis: l.store.UnreachableFor(time.Now()).Milliseconds()}
 	if !l.heardAt.IsZero() {
 		reply.HeardMillis = time.Since(l.heardAt).Milliseconds()
 	}
--- a/internal/cellowner/commit_test.go
+++ b/internal/cellowner/commit_test.go
@@ -65,7 +65,7 @@
 	o, order := ownerOfOne(t, client)
 	rows := &lateStore{rows: map[string]store.Row{}}
 	o.deps.Store = rows
-	o.deps.Jobs = celljobs.New(store.NewWatched(rows), "cell-0")
+	o.deps.Jobs = celljobs.New(store.NewMonitored(rows), "cell-0")
 	o.start(t.Context(), order)
 	client.running = []runner.RunState{{Task: order.Start.Task, Run: order.Start.Run, Percent: 50, Checkpoint: "half"}}
 	o.look(t, client)
@@ -90,7 +90,7 @@
 	o, _ := ownerOfOne(t, client)
 	rows := &lateStore{rows: map[string]store.Row{}, keep: true}
 	o.deps.Store = rows
-	o.deps.Jobs = celljobs.New(store.NewWatched(rows), "cell-0")
+	o.deps.Jobs = celljobs.New(store.NewMonitored(rows), "cell-0")
 	o.cell.Cancel("00000000000000aa", time.Now())
 	o.commitOnce(t.Context())
 	rows.keep = false
--- a/internal/cellowner/condense_test.go
+++ b/internal/cellowner/condense_test.go
@@ -18,7 +18,7 @@
 // Failure: a new owner's rows are replaced by those of the one before it.
 func TestCondensedJobsAreWrittenUnderTheClaim(t *testing.T) {
 	o := &Owner{claim: store.Check{Table: "cells", Key: "owner", Version: 7},
-		deps: Deps{Jobs: celljobs.New(store.NewWatched(&lateStore{}), "cell-0")}}
+		deps: Deps{Jobs: celljobs.New(store.NewMonitored(&lateStore{}), "cell-0")}}
 	r := &job.Record{ID: "00000000000000aa", Queue: "q", Spec: "text", Steps: []job.Step{{Count: 3}}, AcceptedAt: time.Now()}
 	tx, err := o.condensed([]cell.CompactedJob{{Record: job.EndedRecord(r), Progress: &job.Progress{Final: job.Completed}}})
 	if err != nil {
@@ -46,7 +46,7 @@
 		log, _ := logtest.NewNullLogger()
 		rows := &lateStore{rows: map[string]store.Row{}}
 		const lease = 3 * time.Second
-		o := New(cell.Settings{Term: 1, Lease: lease}, store.Check{}, Deps{Store: rows, Jobs: celljobs.New(store.NewWatched(rows), "cell-0"),
+		o := New(cell.Settings{Term: 1, Lease: lease}, store.Check{}, Deps{Store: rows, Jobs: celljobs.New(store.NewMonitored(rows), "cell-0"),
 			Leadership: confirmed{}, Metrics: NewMetrics(metrics.NewSet()), Log: log, AcrossPartitions: true})
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
--- a/internal/cellowner/flush_test.go
+++ b/internal/cellowner/flush_test.go
@@ -14,7 +14,7 @@
 	o, _ := ownerOfOne(t, &losing{})
 	rows := &lateStore{rows: map[string]store.Row{}}
 	o.deps.Store = rows
-	o.deps.Jobs = celljobs.New(store.NewWatched(rows), "cell-0")
+	o.deps.Jobs = celljobs.New(store.NewMonitored(rows), "cell-0")
 	o.cell.PollFailed("w", runner.ErrNoAnswer, time.Now())
 	o.Flush(t.Context())
 	told := 0
--- a/internal/cellowner/follow_test.go
+++ b/internal/cellowner/follow_test.go
@@ -92,7 +92,7 @@
 func TestAllJobsAreReadOverASmallLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, _ := logtest.NewNullLogger()
-		o := New(cell.Settings{Term: 1}, store.Check{}, Deps{Jobs: celljobs.New(store.NewWatched(wide{}), "cell"), Log: log})
+		o := New(cell.Settings{Term: 1}, store.Check{}, Deps{Jobs: celljobs.New(store.NewMonitored(wide{}), "cell"), Log: log})
 		o.reloadJobs(t.Context())
 		if o.jobsVersion != 9 {
 			t.Errorf("jobs are known up to version %d", o.jobsVersion)
--- a/internal/cellowner/load_test.go
+++ b/internal/cellowner/load_test.go
@@ -45,7 +45,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		log, _ := logtest.NewNullLogger()
 		s := &silentFor{until: time.Now().Add(silence)}
-		o := New(cell.Settings{Term: 1}, store.Check{}, Deps{Store: s, Jobs: celljobs.New(store.NewWatched(s), "cell"), Roster: s,
+		o := New(cell.Settings{Term: 1}, store.Check{}, Deps{Store: s, Jobs: celljobs.New(store.NewMonitored(s), "cell"), Roster: s,
 			Leadership: confirmed{}, Metrics: NewMetrics(metrics.NewSet()), Log: log})
 		began := time.Now()
 		err = o.load(t.Context())
--- a/internal/cellowner/peak_bench_test.go
+++ b/internal/cellowner/peak_bench_test.go
@@ -186,7 +186,7 @@
 	m := NewMetrics(metrics.NewSet())
 	ctx, cancel := context.WithCancel(b.Context())
 	o := New(cell.Settings{Term: 1, Lease: 3500 * time.Millisecond, PreviousOwnerStopped: true, StopGrace: 900 * time.Millisecond, SpareWorkers: 128, RemoteDataFactor: 3},
-		store.Check{}, Deps{Store: quietStore{}, Jobs: celljobs.New(store.NewWatched(quietStore{}), "cell"), Roster: list, Runner: workers,
+		store.Check{}, Deps{Store: quietStore{}, Jobs: celljobs.New(store.NewMonitored(quietStore{}), "cell"), Roster: list, Runner: workers,
 			Advisers: &timedAdvisers{}, Catalog: (&catalog.Current{}).Get, Leadership: confirmed{}, Metrics: m, Log: log})
 	loaded := make(chan struct{})
 	done := make(chan struct{})
--- a/internal/cellowner/poison_test.go
+++ b/internal/cellowner/poison_test.go
@@ -30,7 +30,7 @@
 		}
 		rows = append(rows, store.Row{Key: celljobs.JobKey(r.ID), Value: value, Version: 1})
 	}
-	o := New(cell.Settings{Term: 1}, store.Check{}, Deps{Log: log, Jobs: celljobs.New(store.NewWatched(&lateStore{}), "cell-0")})
+	o := New(cell.Settings{Term: 1}, store.Check{}, Deps{Log: log, Jobs: celljobs.New(store.NewMonitored(&lateStore{}), "cell-0")})
 	o.takeIn(rows, []store.Row{{Key: noSuchTask.ID, Value: kept, Version: 1}})
 	o.news(rows)
 	if _, known := o.Cell().Status(sound.ID); !known {
--- a/internal/cellowner/stored.go
+++ b/internal/cellowner/stored.go
@@ -24,7 +24,7 @@
 }
 
 func (s *stored) readProgress(ctx context.Context, d Deps) {
-	rows, _, err := store.ReadAll(ctx, store.Persistent{Store: d.Store}, celljobs.TableProgress, d.Jobs.ProgressPartition())
+	rows, _, err := store.ReadAll(ctx, store.RetryingReader{Store: d.Store}, celljobs.TableProgress, d.Jobs.ProgressPartition())
 	if err != nil {
 		s.progressErr = fmt.Errorf("read progress: %w", err)
 	}
--- a/internal/cellowner/upkeep_books.go
+++ b/internal/cellowner/upkeep_books.go
@@ -13,13 +13,13 @@
 	if err != nil || row.Version == 0 {
 		return nil, err
 	}
-	return upkeep.DecodeHad(row.Value)
+	return upkeep.DecodeBegunMachines(row.Value)
 }
 
 // storeUpkeep keeps the machines of a wave that have begun. If that fails, the next
 // owner empties them again and is told that they have had their upkeep.
 func (o *Owner) storeUpkeep(ctx context.Context, wave uint64, had []string) {
-	value, err := upkeep.EncodeHad(had)
+	value, err := upkeep.EncodeBegunMachines(had)
 	if err == nil {
 		callCtx, cancel := context.WithTimeout(ctx, readTimeout)
 		defer cancel()
--- a/internal/cellowner/upkeep_test.go
+++ b/internal/cellowner/upkeep_test.go
@@ -19,7 +19,7 @@
 	completed bool
 }
 
-func (o *oneWave) Open(context.Context) ([]upkeep.Wave, error) {
+func (o *oneWave) Unfinished(context.Context) ([]upkeep.Wave, error) {
 	if o.completed {
 		return nil, nil
 	}
@@ -77,8 +77,8 @@
 	t.Helper()
 	o, _ := ownerOfOne(t, &losing{})
 	o.term = 7
-	o.deps.Store, o.deps.Leadership, o.deps.Jobs = kept, l, celljobs.New(store.NewWatched(kept), "cell")
-	source := &oneWave{wave: upkeep.Wave{Number: 3, Machines: []string{"m-1"}, Within: time.Second, AtOnce: 1}}
+	o.deps.Store, o.deps.Leadership, o.deps.Jobs = kept, l, celljobs.New(store.NewMonitored(kept), "cell")
+	source := &oneWave{wave: upkeep.Wave{Number: 3, Machines: []string{"m-1"}, TargetDuration: time.Second, MaxConcurrent: 1}}
 	f.machines = []upkeep.Machine{{Name: "m-1", Worker: "idle", Up: true}}
 	u := &upkeeper{owner: o, beganAt: time.Now().Add(-age), trackers: map[uint64]*upkeep.Tracker{},
 		MaintenanceDeps: MaintenanceDeps{Source: source, Fleet: f, Holder: "edge-1", HolderLease: 3 * time.Second}}
@@ -100,7 +100,7 @@
 	if !source.completed || len(u.trackers) > 0 {
 		t.Errorf("completed %v, %d trackers left", source.completed, len(u.trackers))
 	}
-	if had, err := upkeep.DecodeHad(kept.row.Value); err != nil || !slices.Equal(had, []string{"m-1"}) {
+	if had, err := upkeep.DecodeBegunMachines(kept.row.Value); err != nil || !slices.Equal(had, []string{"m-1"}) {
 		t.Errorf("stored %v, %v", had, err)
 	}
 }
--- a/internal/cellowner/upkeeper.go
+++ b/internal/cellowner/upkeeper.go
@@ -28,7 +28,7 @@
 func (u *upkeeper) readWaves(ctx context.Context) {
 	callCtx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	waves, err := u.Source.Open(callCtx)
+	waves, err := u.Source.Unfinished(callCtx)
 	if err != nil {
 		u.owner.deps.Log.WithError(err).Debug("waves_not_read")
 		return
@@ -57,8 +57,8 @@
 		u.owner.deps.Log.WithField("wave", w.Number).WithError(err).Info("wave_not_followed")
 		return
 	}
-	u.owner.deps.Log.WithFields(logrus.Fields{"wave": w.Number, "machines": len(w.Machines), "at_once": w.AtOnce,
-		"within_ms": w.Within.Milliseconds(), "begun": len(had)}).Info("wave_followed")
+	u.owner.deps.Log.WithFields(logrus.Fields{"wave": w.Number, "machines": len(w.Machines), "at_once": w.MaxConcurrent,
+		"within_ms": w.TargetDuration.Milliseconds(), "begun": len(had)}).Info("wave_followed")
 	u.trackers[w.Number] = upkeep.NewTracker(w, u.Duration, had, time.Now())
 	u.report(ctx, w.Number, false)
 }
@@ -84,7 +84,7 @@
 	var orders []upkeep.Order
 	for number, t := range u.trackers {
 		plan := t.Plan(time.Now(), listed, u.owner.cell.WorkerLoad)
-		empty = append(empty, plan.Empty...)
+		empty = append(empty, plan.Evacuate...)
 		if plan.Completed {
 			u.complete(ctx, t)
 		}
@@ -93,7 +93,7 @@
 			continue
 		}
 		for _, machine := range plan.Begin {
-			t.Sending(machine, time.Now())
+			t.MarkOrdered(machine, time.Now())
 			orders = append(orders, upkeep.Order{Machine: machine, Wave: number, Holder: u.Holder, Token: u.owner.term})
 		}
 	}
@@ -148,7 +148,7 @@
 	}
 	for number, stored := range changed {
 		if stored {
-			u.owner.storeUpkeep(ctx, number, u.trackers[number].Had())
+			u.owner.storeUpkeep(ctx, number, u.trackers[number].BegunMachines())
 		}
 	}
 }
@@ -160,16 +160,16 @@
 	switch {
 	case a.err == nil:
 		now := time.Now()
-		worker, orderedAt := t.Begun(a.order.Machine, now)
+		worker, orderedAt := t.MarkBegun(a.order.Machine, now)
 		u.owner.cell.WorkerTerminated(worker, orderedAt, now)
 		log.WithField("worker", worker).Info("upkeep_begun")
 		return true
-	case errors.Is(a.err, upkeep.ErrNotConcerned):
-		t.Unneeded(a.order.Machine)
+	case errors.Is(a.err, upkeep.ErrNotInWave):
+		t.MarkNotInWave(a.order.Machine)
 	case errors.Is(a.err, upkeep.ErrFenced):
 		u.owner.deps.Leadership.Superseded("the fleet has seen a higher fencing token")
 	default:
-		t.Unanswered(a.order.Machine, time.Now())
+		t.MarkUnanswered(a.order.Machine, time.Now())
 	}
 	log.WithError(a.err).Info("upkeep_not_begun")
 	return false
--- a/internal/cellpeer/directory.go
+++ b/internal/cellpeer/directory.go
@@ -120,8 +120,8 @@
 }
 
 // WatchStore notices the return of a lost store by asking for this instance's own row.
-func (d *Directory) WatchStore(ctx context.Context, s *store.Watched) {
-	s.WatchReturn(ctx, tableInstances, "", d.self.Name)
+func (d *Directory) WatchStore(ctx context.Context, s *store.Monitored) {
+	s.ProbeRecovery(ctx, tableInstances, "", d.self.Name)
 }
 
 func (d *Directory) register(ctx context.Context) {
--- a/internal/cellpeer/server_test.go
+++ b/internal/cellpeer/server_test.go
@@ -40,7 +40,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	silent := &deaf{}
-	server := httptest.NewServer(NewServer(&pingable{}, celljobs.New(store.NewWatched(silent), "cell-0"), nil, nil, log))
+	server := httptest.NewServer(NewServer(&pingable{}, celljobs.New(store.NewMonitored(silent), "cell-0"), nil, nil, log))
 	defer server.Close()
 	record, err := job.EncodeRecord(&job.Record{ID: "00000000000000aa", Queue: "q", Service: "desk", MaxAttempts: 1, AcceptedAt: time.Now(),
 		Steps: []job.Step{{Count: 1, Need: resource.Amount{MilliCPU: 1}, Estimate: time.Second}}})
--- a/internal/command/instance.go
+++ b/internal/command/instance.go
@@ -54,13 +54,13 @@
 		return exitUsage
 	}
 	given.PeerAdvertise = f.peerAdvertise
-	given.Without = f.without
-	if err := given.Check(); err != nil {
+	given.Disabled = f.without
+	if err := given.Validate(); err != nil {
 		fmt.Fprintln(std.Err, err)
 		return exitUsage
 	}
 	log := node.NewLog(f.logLevel, given.Name, std.Out)
-	outside := node.Outside{
+	outside := node.Adapters{
 		Store: platform.NewStore(given.Store), Workers: platform.NewWorkers(), Adviser: platform.NewAdviser(given.Adviser),
 		Roster: platform.RosterIn, Catalogs: platform.CatalogsIn, Callers: platform.NewCallers,
 		Waves: platform.WavesIn, Fleet: platform.NewFleet(given.Fleet),
--- a/internal/command/status.go
+++ b/internal/command/status.go
@@ -49,7 +49,7 @@
 	switch {
 	case inst.Stopping:
 		return "stopping"
-	case inst.Heard:
+	case inst.Reachable:
 		return "up"
 	default:
 		return "not heard"
--- a/internal/command/submit.go
+++ b/internal/command/submit.go
@@ -25,7 +25,7 @@
 	}
 	header := http.Header{}
 	if *key != "" {
-		header.Set(entry.HeaderKey, *key)
+		header.Set(entry.HeaderIdempotencyKey, *key)
 	}
 	var result entry.SubmitResult
 	err := f.client().Do(ctx, http.MethodPost, "/v1/workloads/"+url.PathEscape(*workload)+"/runs", nil, header, nil, &result)
--- a/internal/dev/system_test.go
+++ b/internal/dev/system_test.go
@@ -66,7 +66,7 @@
 		{"timeout is no number", "GET", "/s/casedesk/x", map[string]string{entry.HeaderTimeout: "soon"}, "", 400, "bad_request", "allowed: seconds above 0"},
 		{"timeout out of range", "GET", "/s/casedesk/x", map[string]string{entry.HeaderTimeout: "1e9"}, "", 400, "bad_request", "at most 600"},
 		{"timeout not a number", "GET", "/s/casedesk/x", map[string]string{entry.HeaderTimeout: "NaN"}, "", 400, "bad_request", "allowed: seconds above 0"},
-		{"key too long", "POST", "/s/casedesk/x", map[string]string{entry.HeaderKey: long}, "", 400, "bad_request", "at most 255"},
+		{"key too long", "POST", "/s/casedesk/x", map[string]string{entry.HeaderIdempotencyKey: long}, "", 400, "bad_request", "at most 255"},
 		{"text with mistakes", "POST", "/v1/config", nil, "version: 9\n", 400, "bad_request", "1:10:"},
 		{"text too large", "POST", "/v1/config", nil, strings.Repeat("#", 2<<20), 413, "too_large", "larger than"},
 		{"base is no number", "POST", "/v1/config?base=x", nil, dev.Sample, 400, "bad_request", "the number of a configuration"},
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -29,7 +29,7 @@
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set(HeaderOutcome, string(a.Outcome))
-	h.Set(HeaderKind, string(f.Kind))
+	h.Set(HeaderErrorKind, string(f.Kind))
 	if a.RetryAfter > 0 {
 		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(a.RetryAfter.Seconds()))))
 	}
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -45,9 +45,9 @@
 
 // newCall checks a request and reads a small body whole.
 func newCall(w http.ResponseWriter, r *http.Request, id string, service spec.Workload, path string, now time.Time) (*call, error) {
-	c := &call{id: id, service: service, path: path, request: r, forwarded: r.Header.Get(headerForwarded), key: r.Header.Get(HeaderKey)}
+	c := &call{id: id, service: service, path: path, request: r, forwarded: r.Header.Get(headerForwarded), key: r.Header.Get(HeaderIdempotencyKey)}
 	if len(c.key) > maxKeyLength {
-		return nil, fault.New(fault.BadRequest, "header %s has %d characters; allowed: at most %d", HeaderKey, len(c.key), maxKeyLength)
+		return nil, fault.New(fault.BadRequest, "header %s has %d characters; allowed: at most %d", HeaderIdempotencyKey, len(c.key), maxKeyLength)
 	}
 	timeout, err := timeoutOf(r, service)
 	if err != nil {
--- a/internal/entry/deps.go
+++ b/internal/entry/deps.go
@@ -28,11 +28,11 @@
 	Runs     Runs
 	View     func() live.View
 	Ready    func() error
-	// Largest returns the most of each dimension that any worker known here
+	// LargestWorker returns the most of each dimension that any worker known here
 	// has; zero if none is known.
-	Largest func() resource.Amount
-	// Changed is called after this instance wrote a watched row.
-	Changed func()
+	LargestWorker func() resource.Amount
+	// RowsChanged is called after this instance wrote a watched row.
+	RowsChanged func()
 	// Token, if not empty, must come with operators' calls.
 	Token   string
 	Metrics *metrics.Set
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -44,7 +44,7 @@
 	if fault.Outcome(resp.Header.Get(HeaderOutcome)) != fault.DidNotRun {
 		return false
 	}
-	switch fault.Kind(resp.Header.Get(HeaderKind)) {
+	switch fault.Kind(resp.Header.Get(HeaderErrorKind)) {
 	case fault.Overloaded, fault.Stopping, fault.UpstreamUnreachable:
 		return true
 	}
--- a/internal/entry/headers.go
+++ b/internal/entry/headers.go
@@ -7,15 +7,15 @@
 	HeaderRequestID = "X-Request-Id"
 	// HeaderTimeout is how long the caller waits, in seconds as a decimal.
 	HeaderTimeout = "X-Request-Timeout"
-	// HeaderKey marks a request that must run at most once however often it
+	// HeaderIdempotencyKey marks a request that must run at most once however often it
 	// is sent (draft-ietf-httpapi-idempotency-key-header).
-	HeaderKey = "Idempotency-Key"
+	HeaderIdempotencyKey = "Idempotency-Key"
 	// HeaderReplayed marks the answer of an earlier request with the key.
 	HeaderReplayed = "Idempotency-Replayed"
 	// HeaderOutcome and HeaderKind repeat the outcome and the error kind of
 	// an answer that is not the upstream's own.
-	HeaderOutcome = "X-Gentianstand-Outcome"
-	HeaderKind    = "X-Gentianstand-Error"
+	HeaderOutcome   = "X-Gentianstand-Outcome"
+	HeaderErrorKind = "X-Gentianstand-Error"
 	// headerForwarded marks a request that another instance passed on, and
 	// says how it should be handled.
 	headerForwarded = "X-Gentianstand-Forwarded"
--- a/internal/entry/instance_status.go
+++ b/internal/entry/instance_status.go
@@ -8,6 +8,6 @@
 	// Config is the configuration in force there.
 	Config   uint64 `json:"config"`
 	Stopping bool   `json:"stopping"`
-	// Heard says that it has answered lately.
-	Heard bool `json:"heard"`
+	// Reachable says that it has answered lately.
+	Reachable bool `json:"heard"`
 }
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -160,9 +160,9 @@
 }
 
 func (s *Server) submitRun(c *gin.Context) (any, error) {
-	key := c.GetHeader(HeaderKey)
+	key := c.GetHeader(HeaderIdempotencyKey)
 	if len(key) > maxKeyLength {
-		return nil, fault.New(fault.BadRequest, "header %s has %d characters; allowed: at most %d", HeaderKey, len(key), maxKeyLength)
+		return nil, fault.New(fault.BadRequest, "header %s has %d characters; allowed: at most %d", HeaderIdempotencyKey, len(key), maxKeyLength)
 	}
 	id, err := s.runs.Submit(callContext(c), c.Param("name"), key, operator(c))
 	if err != nil {
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -58,7 +58,7 @@
 func NewServer(d Deps) *Server {
 	return &Server{
 		identity: d.Identity, router: d.Router, hub: d.Hub, config: d.Config, store: d.Store, trail: d.Trail,
-		table: d.Table, register: d.Register, runs: d.Runs, view: d.View, ready: d.Ready, largest: d.Largest, changed: d.Changed,
+		table: d.Table, register: d.Register, runs: d.Runs, view: d.View, ready: d.Ready, largest: d.LargestWorker, changed: d.RowsChanged,
 		token: d.Token, set: d.Metrics, metrics: newEntryMetrics(d.Metrics), log: d.Log,
 		upstreams: newTransport(upstreamConnections), instances: newTransport(peerConnections),
 	}
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -56,9 +56,9 @@
 func (s *Server) instanceStatus(inst live.Instance) InstanceStatus {
 	st := InstanceStatus{Instance: inst.Process.Instance, Zone: inst.Zone, Address: inst.Address, Config: inst.ConfigVersion, Stopping: inst.Stopping}
 	if inst.Process == s.identity.Process {
-		st.Heard, st.Config = true, s.config.Number()
+		st.Reachable, st.Config = true, s.config.Number()
 	} else if remote, ok := s.hub.Remote(inst.Process.Instance); ok && !remote.HeardAt.IsZero() {
-		st.Heard = s.hub.HeardLately(inst.Process.Instance)
+		st.Reachable = s.hub.HeardLately(inst.Process.Instance)
 		st.Config = max(st.Config, remote.ConfigNumber)
 	}
 	return st
--- a/internal/instance/module.go
+++ b/internal/instance/module.go
@@ -151,8 +151,8 @@
 func newEntry(s Settings, id ownership.Identity, router *routing.Router, hub *peer.Hub, current *config.Current, store *config.Store, trail *audit.Trail, table platform.Table, register *idempotency.Register, client *peer.PlannerClient, v *view, k *ownership.Keeper, l *listener, lazy *lazyShards, o *owner.Owner, set *metrics.Set, log *logrus.Entry) *entry.Server {
 	return entry.NewServer(entry.Deps{
 		Identity: id, Router: router, Hub: hub, Config: current, Store: store, Trail: trail, Table: table,
-		Register: register, Runs: client, View: v.get, Changed: k.Kick, Token: s.OperatorToken,
-		Largest: o.Largest, Metrics: set, Log: log,
+		Register: register, Runs: client, View: v.get, RowsChanged: k.Kick, Token: s.OperatorToken,
+		LargestWorker: o.Largest, Metrics: set, Log: log,
 		Ready: func() error { return readiness(l, lazy) },
 	})
 }
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -50,7 +50,7 @@
 // Intake serves callers' jobs.
 type Intake struct {
 	jobs    *celljobs.Jobs
-	store   *store.Watched
+	store   *store.Monitored
 	leader  Ownership
 	clients *cellpeer.Clients
 	finder  *cellpeer.StoreFinder
@@ -63,7 +63,7 @@
 }
 
 // New returns an intake.
-func New(jobs *celljobs.Jobs, s *store.Watched, l Ownership, f *cellpeer.StoreFinder, c *cellpeer.Clients, m *Metrics, log logrus.FieldLogger) *Intake {
+func New(jobs *celljobs.Jobs, s *store.Monitored, l Ownership, f *cellpeer.StoreFinder, c *cellpeer.Clients, m *Metrics, log logrus.FieldLogger) *Intake {
 	return &Intake{jobs: jobs, store: s, leader: l, clients: c, finder: f, metrics: m, log: log,
 		asking: newBound(ownerCalls), telling: newBound(ownerCalls),
 		waiting: waitingCounts{byQueue: map[string]waitingCount{}}}
@@ -266,7 +266,7 @@
 func (i *Intake) storeFault(err error) error {
 	if errors.Is(err, store.ErrUnavailable) {
 		after := outageRetryAfter
-		if i.store.LostFor(time.Now()) > longOutage {
+		if i.store.UnreachableFor(time.Now()) > longOutage {
 			after = longOutageRetryAfter
 		}
 		return fault.New(fault.PlatformUnavailable, "the store: %w", err).WithRetryAfter(after)
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -27,12 +27,12 @@
 type entry struct {
 	intake *intake.Intake
 	jobs   *celljobs.Jobs
-	store  *store.Watched
+	store  *store.Monitored
 	proxy  *standin.Proxy
 }
 
 // ownerless is an instance that knows no owner.
-type ownerless struct{ store *store.Watched }
+type ownerless struct{ store *store.Monitored }
 
 func (o ownerless) Ping(*cellpb.PingRequest) *cellpb.PingReply {
 	return &cellpb.PingReply{StoreOk: o.store.Reachable()}
@@ -80,7 +80,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(proxy.Close)
-	e := &entry{proxy: proxy, store: store.NewWatched(platform.NewStore(proxy.Address()))}
+	e := &entry{proxy: proxy, store: store.NewMonitored(platform.NewStore(proxy.Address()))}
 	e.jobs = celljobs.New(e.store, "cell-0")
 	server := httptest.NewServer(cellpeer.NewServer(ownerless{e.store}, e.jobs, nil, nil, log))
 	t.Cleanup(server.Close)
--- a/internal/load/generator.go
+++ b/internal/load/generator.go
@@ -87,7 +87,7 @@
 	}
 	req.Header.Set(entry.HeaderTimeout, strconv.FormatFloat(g.settings.Timeout.Seconds(), 'f', 3, 64))
 	if g.settings.Keys {
-		req.Header.Set(entry.HeaderKey, uuid.NewString())
+		req.Header.Set(entry.HeaderIdempotencyKey, uuid.NewString())
 	}
 	resp, err := g.client.Do(req)
 	if err != nil {
@@ -103,7 +103,7 @@
 }
 
 func answerName(resp *http.Response) string {
-	if kind := resp.Header.Get(entry.HeaderKind); kind != "" {
+	if kind := resp.Header.Get(entry.HeaderErrorKind); kind != "" {
 		return kind
 	}
 	return "status_" + strconv.Itoa(resp.StatusCode)
--- a/internal/node/outside.go
+++ b/internal/node/adapters.go
@@ -15,8 +15,8 @@
 	"gentianstand/internal/upkeep"
 )
 
-// Outside is everything that speaks to callers, workers and the platform.
-type Outside struct {
+// Adapters is everything that speaks to callers, workers and the platform.
+type Adapters struct {
 	Store   store.Store
 	Workers runner.Client
 	Adviser advice.Adviser
--- a/internal/node/catalog_confirmer.go
+++ b/internal/node/catalog_confirmer.go
@@ -16,7 +16,7 @@
 // It implements access.Confirmer.
 type catalogConfirmer struct {
 	reader *catalogReader
-	store  *store.Watched
+	store  *store.Monitored
 	peers  access.Confirmer
 }
 
--- a/internal/node/catalog_follower_test.go
+++ b/internal/node/catalog_follower_test.go
@@ -26,19 +26,19 @@
 	err     error
 }
 
-func (s *scripted) next(call string) (catalog.News, error) {
+func (s *scripted) next(call string) (catalog.Update, error) {
 	s.asked = append(s.asked, call)
 	a := s.answers[0]
 	s.answers = s.answers[1:]
 	if a.err != nil || a.version == 0 {
-		return catalog.News{Position: a.at}, a.err
+		return catalog.Update{Position: a.at}, a.err
 	}
-	return catalog.News{Catalog: catalog.New(catalog.Content{Version: a.version}), Position: a.at}, nil
+	return catalog.Update{Catalog: catalog.New(catalog.Content{Version: a.version}), Position: a.at}, nil
 }
 
-func (s *scripted) Newest(context.Context) (catalog.News, error) { return s.next("newest") }
+func (s *scripted) Newest(context.Context) (catalog.Update, error) { return s.next("newest") }
 
-func (s *scripted) Since(_ context.Context, _ uint64, wait time.Duration) (catalog.News, error) {
+func (s *scripted) Since(_ context.Context, _ uint64, wait time.Duration) (catalog.Update, error) {
 	s.waits = append(s.waits, wait)
 	return s.next("since")
 }
@@ -84,12 +84,12 @@
 // narrow is a source whose catalog takes a small link three seconds.
 type narrow struct{ scripted }
 
-func (n *narrow) Newest(ctx context.Context) (catalog.News, error) {
+func (n *narrow) Newest(ctx context.Context) (catalog.Update, error) {
 	select {
 	case <-time.After(3 * time.Second):
 		return n.scripted.Newest(ctx)
 	case <-ctx.Done():
-		return catalog.News{}, store.ErrUnknown
+		return catalog.Update{}, store.ErrUnknown
 	}
 }
 
--- a/internal/node/catalog_peers_test.go
+++ b/internal/node/catalog_peers_test.go
@@ -39,7 +39,7 @@
 func TestViewIsConfirmedByAnotherInstance(t *testing.T) {
 	log, _ := logtest.NewNullLogger()
 	// The clocks of the two instances have nothing to do with one another.
-	theirs := &slowSource{now: steady.Instant(time.Hour), news: catalog.News{Position: 5, Catalog: catalog.New(catalog.Content{Version: 4,
+	theirs := &slowSource{now: steady.Instant(time.Hour), news: catalog.Update{Position: 5, Catalog: catalog.New(catalog.Content{Version: 4,
 		Workspaces: []catalog.Workspace{{Name: "north", Keys: []catalog.KeyDigest{catalog.DigestOf("k")}}}})}}
 	peer := readerOf(theirs)
 	if err := peer.read(t.Context(), 0); err != nil {
--- a/internal/node/catalog_reader.go
+++ b/internal/node/catalog_reader.go
@@ -58,7 +58,7 @@
 	return nil
 }
 
-func (r *catalogReader) ask(ctx context.Context, position uint64, known bool, wait time.Duration) (catalog.News, error) {
+func (r *catalogReader) ask(ctx context.Context, position uint64, known bool, wait time.Duration) (catalog.Update, error) {
 	if known {
 		return r.source.Since(ctx, position, wait)
 	}
--- a/internal/node/catalog_reader_test.go
+++ b/internal/node/catalog_reader_test.go
@@ -17,16 +17,16 @@
 type slowSource struct {
 	now  steady.Instant
 	took time.Duration
-	news catalog.News
+	news catalog.Update
 	err  error
 }
 
-func (s *slowSource) Newest(context.Context) (catalog.News, error) {
+func (s *slowSource) Newest(context.Context) (catalog.Update, error) {
 	s.now = s.now.Add(s.took)
 	return s.news, s.err
 }
 
-func (s *slowSource) Since(ctx context.Context, _ uint64, _ time.Duration) (catalog.News, error) {
+func (s *slowSource) Since(ctx context.Context, _ uint64, _ time.Duration) (catalog.Update, error) {
 	return s.Newest(ctx)
 }
 
@@ -39,7 +39,7 @@
 
 // Failure: a key that was removed while a read was under way works too long.
 func TestViewIsConfirmedFromTheStartOfTheRead(t *testing.T) {
-	source := &slowSource{now: steady.Instant(time.Hour), took: 2 * time.Second, news: catalog.News{Catalog: catalog.New(catalog.Content{Version: 1}), Position: 7}}
+	source := &slowSource{now: steady.Instant(time.Hour), took: 2 * time.Second, news: catalog.Update{Catalog: catalog.New(catalog.Content{Version: 1}), Position: 7}}
 	r := readerOf(source)
 	if err := r.read(t.Context(), 0); err != nil {
 		t.Fatal(err)
@@ -51,16 +51,16 @@
 
 // Failure: keys work on although it is not known which configuration is the newest.
 func TestAnswersThatDoNotTellTheNewestConfirmNothing(t *testing.T) {
-	first := catalog.News{Catalog: catalog.New(catalog.Content{Version: 1}), Position: 7}
+	first := catalog.Update{Catalog: catalog.New(catalog.Content{Version: 1}), Position: 7}
 	for _, test := range []struct {
 		name string
-		news catalog.News
+		news catalog.Update
 		err  error
 	}{
-		{"the store refuses", catalog.News{}, store.ErrUnavailable},
-		{"no answer", catalog.News{}, store.ErrUnknown},
-		{"history gone", catalog.News{}, store.ErrHistoryGone},
-		{"a part of the changes", catalog.News{Position: 9, Partial: true}, nil},
+		{"the store refuses", catalog.Update{}, store.ErrUnavailable},
+		{"no answer", catalog.Update{}, store.ErrUnknown},
+		{"history gone", catalog.Update{}, store.ErrHistoryGone},
+		{"a part of the changes", catalog.Update{Position: 9, Partial: true}, nil},
 	} {
 		source := &slowSource{now: steady.Instant(time.Hour), news: first}
 		r := readerOf(source)
--- a/internal/node/module.go
+++ b/internal/node/module.go
@@ -50,7 +50,7 @@
 )
 
 // Module returns the fx options of an instance.
-func Module(s Settings, outside Outside, log *logrus.Entry) fx.Option {
+func Module(s Settings, outside Adapters, log *logrus.Entry) fx.Option {
 	return fx.Options(
 		fx.NopLogger,
 		fx.StopTimeout(max(s.TerminationGrace, time.Second)),
@@ -69,7 +69,7 @@
 
 func newCurrent() *catalog.Current { return &catalog.Current{} }
 
-func newReader(o Outside, w *store.Watched, current *catalog.Current, log *logrus.Entry) *catalogReader {
+func newReader(o Adapters, w *store.Monitored, current *catalog.Current, log *logrus.Entry) *catalogReader {
 	return newCatalogReader(o.Catalogs(w), current, log)
 }
 
@@ -77,7 +77,7 @@
 	return &catalogPeers{reader: r, finder: f, clients: c}
 }
 
-func newGate(s Settings, r *catalogReader, p *catalogPeers, w *store.Watched, set *metrics.Set, log *logrus.Entry) *access.Gate {
+func newGate(s Settings, r *catalogReader, p *catalogPeers, w *store.Monitored, set *metrics.Set, log *logrus.Entry) *access.Gate {
 	return access.NewGate(s.Access, r.current, &catalogConfirmer{reader: r, store: w, peers: p}, access.NewMetrics(set), log)
 }
 
@@ -85,23 +85,23 @@
 	return cellpeer.Instance{Name: s.Name, Address: cmp.Or(s.PeerAdvertise, s.PeerListen), Zone: s.Zone, Incarnation: uuid.NewString(), StartedAt: time.Now(), Cores: s.Cores}
 }
 
-func newWatched(o Outside) *store.Watched { return store.NewWatched(o.Store) }
+func newWatched(o Adapters) *store.Monitored { return store.NewMonitored(o.Store) }
 
-func newJobs(s Settings, w *store.Watched) *celljobs.Jobs {
+func newJobs(s Settings, w *store.Monitored) *celljobs.Jobs {
 	return celljobs.New(w, theCell).WithReaders(celljobs.ReadersFor(s.LinkMbps))
 }
 
-func newDirectory(self cellpeer.Instance, w *store.Watched, log *logrus.Entry) *cellpeer.Directory {
+func newDirectory(self cellpeer.Instance, w *store.Monitored, log *logrus.Entry) *cellpeer.Directory {
 	return cellpeer.NewDirectory(self, w, log)
 }
 
 func newOwnerMetrics(set *metrics.Set) *cellowner.Metrics { return cellowner.NewMetrics(set) }
 
-func newLeader(s Settings, o Outside, d *cellpeer.Directory, c *cellpeer.Clients, r *relays, w *store.Watched, jobs *celljobs.Jobs, current *catalog.Current, m *cellowner.Metrics, log *logrus.Entry) *cellleader.Leader {
+func newLeader(s Settings, o Adapters, d *cellpeer.Directory, c *cellpeer.Clients, r *relays, w *store.Monitored, jobs *celljobs.Jobs, current *catalog.Current, m *cellowner.Metrics, log *logrus.Entry) *cellleader.Leader {
 	advisers := cellpeer.NewAdvicePool(d, c, o.Adviser, r.advice())
 	newOwner := func(term uint64, earlierStopped bool, claim store.Check, l cellowner.Leadership) *cellowner.Owner {
 		settings := cell.Settings{Term: term, Lease: min(lease, s.MaxLease), PreviousOwnerStopped: earlierStopped, StopGrace: s.StopGrace,
-			SpareWorkers: spareWorkers, EarlyStart: s.Early, RemoteDataFactor: s.FarFactor, Disabled: s.Without}
+			SpareWorkers: spareWorkers, EarlyStart: s.EarlyStart, RemoteDataFactor: s.RemoteDataFactor, Disabled: s.Disabled}
 		return cellowner.New(settings, claim, cellowner.Deps{
 			Store: w, Jobs: jobs, Roster: roster.NewServiceFilter(o.Roster(w, log), namedIn(current)), Runner: r.runner(), Advisers: advisers, Catalog: current.Get,
 			Maintenance: newUpkeep(s, o, w, log), Leadership: l, Metrics: m, AcrossPartitions: s.AcrossPartitions, Log: log,
@@ -115,19 +115,19 @@
 func namedIn(current *catalog.Current) func(service string) bool {
 	return func(service string) bool {
 		c := current.Get()
-		return c == nil || c.NamesService(service)
+		return c == nil || c.HasService(service)
 	}
 }
 
 // newUpkeep returns what the owner needs for waves, or nothing where there are none.
-func newUpkeep(s Settings, o Outside, w *store.Watched, log *logrus.Entry) cellowner.MaintenanceDeps {
+func newUpkeep(s Settings, o Adapters, w *store.Monitored, log *logrus.Entry) cellowner.MaintenanceDeps {
 	if o.Fleet == nil {
 		return cellowner.MaintenanceDeps{}
 	}
-	return cellowner.MaintenanceDeps{Source: o.Waves(w, log), Fleet: o.Fleet, Holder: s.Name, Duration: s.UpkeepLasts, HolderLease: s.HolderLease}
+	return cellowner.MaintenanceDeps{Source: o.Waves(w, log), Fleet: o.Fleet, Holder: s.Name, Duration: s.MaintenanceDuration, HolderLease: s.HolderLease}
 }
 
-func newIntake(jobs *celljobs.Jobs, w *store.Watched, l *cellleader.Leader, f *cellpeer.StoreFinder, c *cellpeer.Clients, set *metrics.Set, log *logrus.Entry) *intake.Intake {
+func newIntake(jobs *celljobs.Jobs, w *store.Monitored, l *cellleader.Leader, f *cellpeer.StoreFinder, c *cellpeer.Clients, set *metrics.Set, log *logrus.Entry) *intake.Intake {
 	return intake.New(jobs, w, l, f, c, intake.NewMetrics(set), log)
 }
 
@@ -135,9 +135,9 @@
 type parts struct {
 	fx.In
 	Settings  Settings
-	Outside   Outside
+	Adapters  Adapters
 	State     *state
-	Store     *store.Watched
+	Store     *store.Monitored
 	Jobs      *celljobs.Jobs
 	Directory *cellpeer.Directory
 	Leader    *cellleader.Leader
@@ -157,7 +157,7 @@
 		debug.SetMemoryLimit(int64(memoryShare * float64(p.Settings.MemoryMiB<<20)))
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	callers := newServer("callers", traffic.Callers, p.Settings.CallerListen, closing{p.Outside.Callers(p.Intake, p.Gate, p.Log), &p.State.stopping}, p.Log)
+	callers := newServer("callers", traffic.Callers, p.Settings.CallerListen, closing{p.Adapters.Callers(p.Intake, p.Gate, p.Log), &p.State.stopping}, p.Log)
 	others := []*server{
 		newServer("ready", traffic.Peers, p.Settings.ReadyListen, readiness{p.Current, &p.State.stopping}, p.Log),
 		newServer("peers", traffic.Peers, p.Settings.PeerListen, peersHandler(p), p.Log),
@@ -200,7 +200,7 @@
 func peersHandler(p parts) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(relay.Path, p.Relays)
-	mux.Handle("/", cellpeer.NewServer(p.Leader, p.Jobs, p.Outside.Adviser, p.Peers, p.Log))
+	mux.Handle("/", cellpeer.NewServer(p.Leader, p.Jobs, p.Adapters.Adviser, p.Peers, p.Log))
 	return mux
 }
 
--- a/internal/node/relays.go
+++ b/internal/node/relays.go
@@ -19,10 +19,10 @@
 	unused bool
 }
 
-func newRelays(s Settings, o Outside, d *cellpeer.Directory, log *logrus.Entry) *relays {
+func newRelays(s Settings, o Adapters, d *cellpeer.Directory, log *logrus.Entry) *relays {
 	return &relays{
 		Server: relay.NewServer(o.Workers, o.Adviser, log), Pool: relay.NewPool(d, o.Workers, log),
-		workers: o.Workers, unused: s.Without.Has(cell.Relays),
+		workers: o.Workers, unused: s.Disabled.Has(cell.Relays),
 	}
 }
 
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -26,23 +26,23 @@
 	// Store and Adviser are addresses of the platform's services.
 	Store   string
 	Adviser string
-	// MaxLease, StopGrace, Early and FarFactor are figures of the workers; see cell.Settings.
-	MaxLease  time.Duration
-	StopGrace time.Duration
-	Early     time.Duration
-	// FarFactor is how many times as long a task takes far from its data.
-	FarFactor float64
-	// Fleet is the address of the platform's list of machines, or empty. UpkeepLasts
+	// MaxLease, StopGrace, EarlyStart and RemoteDataFactor are figures of the workers; see cell.Settings.
+	MaxLease   time.Duration
+	StopGrace  time.Duration
+	EarlyStart time.Duration
+	// RemoteDataFactor is how many times as long a task takes far from its data.
+	RemoteDataFactor float64
+	// Fleet is the address of the platform's list of machines, or empty. MaintenanceDuration
 	// and HolderLease are its figures; see cellowner.UpkeepDeps.
-	Fleet       string
-	UpkeepLasts time.Duration
-	HolderLease time.Duration
+	Fleet               string
+	MaintenanceDuration time.Duration
+	HolderLease         time.Duration
 	// Access is what the platform demands of callers' calls.
 	Access access.Policy
 	// TerminationGrace is the time between a request to stop and the end by force.
 	TerminationGrace time.Duration
-	// Without names the mechanisms of the planner that are switched off.
-	Without cell.MechanismSet
+	// Disabled names the mechanisms of the planner that are switched off.
+	Disabled cell.MechanismSet
 	// LinkMbps is what the machine's link carries; 0 is no limit.
 	LinkMbps float64
 	// AcrossPartitions says that the store takes transactions over several partitions.
@@ -56,8 +56,8 @@
 // namedAddress is an address and what it is for.
 type namedAddress struct{ name, value string }
 
-// Check reports everything that is wrong with the settings.
-func (s *Settings) Check() error {
+// Validate reports everything that is wrong with the settings.
+func (s *Settings) Validate() error {
 	var problems []error
 	if s.Name == "" {
 		problems = append(problems, errors.New("the name of the instance is empty"))
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -9,12 +9,12 @@
 func TestSettingsAreCheckedAllTogether(t *testing.T) {
 	good := Settings{Name: "edge-1", CallerListen: "127.0.0.1:1", ReadyListen: "127.0.0.1:2", PeerListen: "127.0.0.1:3",
 		MetricsListen: "127.0.0.1:4", Store: "127.0.0.1:5", MaxLease: time.Second}
-	if err := good.Check(); err != nil {
+	if err := good.Validate(); err != nil {
 		t.Errorf("good settings: %v", err)
 	}
 	bad := good
 	bad.Name, bad.Store, bad.PeerAdvertise, bad.MaxLease = "", "nowhere", "127.0.0.1", 0
-	err := bad.Check()
+	err := bad.Validate()
 	if err == nil {
 		t.Fatal("nothing is wrong")
 	}
--- a/internal/store/watched.go
+++ b/internal/store/monitored.go
@@ -16,9 +16,9 @@
 	overdueLeast = 500 * time.Millisecond
 )
 
-// Watched is a Store that remembers how its calls went, so that an instance
+// Monitored is a Store that remembers how its calls went, so that an instance
 // knows at once when the store does not serve it.
-type Watched struct {
+type Monitored struct {
 	Store
 
 	mu sync.Mutex
@@ -37,24 +37,24 @@
 	endedAt time.Time
 }
 
-// NewWatched returns s with its health watched.
-func NewWatched(s Store) *Watched {
-	return &Watched{Store: s, answeredAt: time.Now(), goodSince: time.Now(), pending: map[int]time.Time{},
+// NewMonitored returns s with its health watched.
+func NewMonitored(s Store) *Monitored {
+	return &Monitored{Store: s, answeredAt: time.Now(), goodSince: time.Now(), pending: map[int]time.Time{},
 		patience: patience.New(callPatience)}
 }
 
 // Reachable reports whether the last call was answered and none is overdue.
-func (w *Watched) Reachable() bool { return w.LostFor(time.Now()) == 0 }
+func (w *Monitored) Reachable() bool { return w.UnreachableFor(time.Now()) == 0 }
 
-// Limit returns how long to wait for the answer to a call, from how long answers
+// CallTimeout returns how long to wait for the answer to a call, from how long answers
 // have lately taken.
-func (w *Watched) Limit() time.Duration { return w.patience.Limit() }
+func (w *Monitored) CallTimeout() time.Duration { return w.patience.Limit() }
 
-// LostFor returns for how long the store has not served this instance, or 0. One
+// UnreachableFor returns for how long the store has not served this instance, or 0. One
 // call without an answer counts only from the last answer to another one: its
 // connection may have gone silent alone, and in a slow store
 // some calls take more than half a second while others are answered.
-func (w *Watched) LostFor(now time.Time) time.Duration {
+func (w *Monitored) UnreachableFor(now time.Time) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.badSince.IsZero() {
@@ -69,10 +69,10 @@
 	return 0
 }
 
-// GoodFor returns for how long the store has served this instance without a
+// ReachableFor returns for how long the store has served this instance without a
 // failure, or 0.
-func (w *Watched) GoodFor(now time.Time) time.Duration {
-	if w.LostFor(now) > 0 {
+func (w *Monitored) ReachableFor(now time.Time) time.Duration {
+	if w.UnreachableFor(now) > 0 {
 		return 0
 	}
 	w.mu.Lock()
@@ -81,7 +81,7 @@
 }
 
 // Commit implements Store.
-func (w *Watched) Commit(ctx context.Context, tx Tx) (uint64, error) {
+func (w *Monitored) Commit(ctx context.Context, tx Tx) (uint64, error) {
 	done := w.begin()
 	version, err := w.Store.Commit(ctx, tx)
 	done(ctx, err)
@@ -89,7 +89,7 @@
 }
 
 // Get implements Store.
-func (w *Watched) Get(ctx context.Context, table, partition, key string) (Row, error) {
+func (w *Monitored) Get(ctx context.Context, table, partition, key string) (Row, error) {
 	done := w.begin()
 	row, err := w.Store.Get(ctx, table, partition, key)
 	done(ctx, err)
@@ -97,7 +97,7 @@
 }
 
 // Read implements Store.
-func (w *Watched) Read(ctx context.Context, table, partition, from string) (Page, error) {
+func (w *Monitored) Read(ctx context.Context, table, partition, from string) (Page, error) {
 	done := w.begin()
 	page, err := w.Store.Read(ctx, table, partition, from)
 	done(ctx, err)
@@ -105,7 +105,7 @@
 }
 
 // Changes implements Store.
-func (w *Watched) Changes(ctx context.Context, table string, after uint64, wait time.Duration) (Page, error) {
+func (w *Monitored) Changes(ctx context.Context, table string, after uint64, wait time.Duration) (Page, error) {
 	if wait > 0 {
 		// A feed that waits may be silent for all of its time: that says nothing.
 		page, err := w.Store.Changes(ctx, table, after, wait)
@@ -121,7 +121,7 @@
 // begin books a call and returns what to call with its result. A call that was given up
 // makes the next ones wait longer, also if no other call was answered meanwhile: in a
 // store that turns slow all calls may be given up before the first answer comes.
-func (w *Watched) begin() func(context.Context, error) {
+func (w *Monitored) begin() func(context.Context, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	id := w.next
@@ -143,7 +143,7 @@
 }
 
 // note takes in how a call ended that was not answered since began.
-func (w *Watched) note(ctx context.Context, began time.Time, err error) {
+func (w *Monitored) note(ctx context.Context, began time.Time, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.endedAt = time.Now()
--- a/internal/store/watched_test.go
+++ b/internal/store/monitored_test.go
@@ -28,7 +28,7 @@
 // Failure: callers were held until their deadline while the store was known to be lost.
 func TestWatchedRemembersHowTheLastCallWent(t *testing.T) {
 	s := &scripted{}
-	w := NewWatched(s)
+	w := NewMonitored(s)
 	if !w.Reachable() {
 		t.Error("lost before any call")
 	}
@@ -84,7 +84,7 @@
 func TestOneSlowCallBesideAnsweredOnesIsNoLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &scripted{took: 2 * time.Second}
-		w := NewWatched(s)
+		w := NewMonitored(s)
 		go func() { _, _ = w.Commit(t.Context(), Tx{}) }() // its result is scripted
 		synctest.Wait()
 		for range 5 {
@@ -92,7 +92,7 @@
 			s.took = time.Millisecond
 			_, _ = w.Commit(t.Context(), Tx{}) // as above
 		}
-		if lost := w.LostFor(time.Now()); lost > 0 {
+		if lost := w.UnreachableFor(time.Now()); lost > 0 {
 			t.Errorf("lost for %v", lost)
 		}
 		time.Sleep(time.Second)
@@ -104,14 +104,14 @@
 func TestALossCountsFromTheLastAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &scripted{took: time.Hour}
-		w := NewWatched(s)
+		w := NewMonitored(s)
 		began := time.Now()
 		for range 2 {
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			_, _ = w.Commit(ctx, Tx{}) // its result is scripted
 			cancel()
 		}
-		if lost := w.LostFor(time.Now()); lost < time.Since(began) {
+		if lost := w.UnreachableFor(time.Now()); lost < time.Since(began) {
 			t.Errorf("lost for %v, %v after the last answer", lost, time.Since(began))
 		}
 	})
--- a/internal/store/return_watch.go
+++ b/internal/store/recovery_probe.go
@@ -13,10 +13,10 @@
 	probeTimeout = 800 * time.Millisecond
 )
 
-// WatchReturn asks a lost store for a row, until ctx ends, so that its return is known
+// ProbeRecovery asks a lost store for a row, until ctx ends, so that its return is known
 // soon and callers are not refused needlessly. Where calls fail at once there are others
 // that ask often enough.
-func (w *Watched) WatchReturn(ctx context.Context, table, partition, key string) {
+func (w *Monitored) ProbeRecovery(ctx context.Context, table, partition, key string) {
 	ticker := time.NewTicker(probePeriod)
 	defer ticker.Stop()
 	for {
@@ -32,8 +32,8 @@
 }
 
 // silentAt reports whether the store is lost and no call has ended lately.
-func (w *Watched) silentAt(now time.Time) bool {
-	if w.LostFor(now) == 0 {
+func (w *Monitored) silentAt(now time.Time) bool {
+	if w.UnreachableFor(now) == 0 {
 		return false
 	}
 	w.mu.Lock()
@@ -42,7 +42,7 @@
 }
 
 // probe makes one call that teaches nothing but whether the store answers.
-func (w *Watched) probe(ctx context.Context, table, partition, key string) {
+func (w *Monitored) probe(ctx context.Context, table, partition, key string) {
 	callCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	if _, err := w.Store.Get(callCtx, table, partition, key); err == nil {
--- a/internal/store/return_watch_test.go
+++ b/internal/store/recovery_probe_test.go
@@ -32,8 +32,8 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		o := &outage{ends: time.Now().Add(3 * time.Second)}
-		w := NewWatched(o)
-		go w.WatchReturn(ctx, "t", "p", "k")
+		w := NewMonitored(o)
+		go w.ProbeRecovery(ctx, "t", "p", "k")
 		callCtx, giveUp := context.WithTimeout(ctx, time.Second)
 		defer giveUp()
 		_, _ = w.Commit(callCtx, Tx{}) // it is silent
@@ -54,13 +54,13 @@
 func TestCallsGivenUpTeachPatienceThoughNobodyWasAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const slowAnswer = 700 * time.Millisecond
-		w := NewWatched(&scripted{took: slowAnswer})
+		w := NewMonitored(&scripted{took: slowAnswer})
 		for range 2 {
-			callCtx, giveUp := context.WithTimeout(t.Context(), w.Limit())
+			callCtx, giveUp := context.WithTimeout(t.Context(), w.CallTimeout())
 			_, _ = w.Commit(callCtx, Tx{}) // it is given up, or answered late
 			giveUp()
 		}
-		if got := w.Limit(); got <= slowAnswer {
+		if got := w.CallTimeout(); got <= slowAnswer {
 			t.Errorf("waits %v for answers that take %v", got, slowAnswer)
 		}
 	})
--- a/internal/store/persistent.go
+++ b/internal/store/retrying_reader.go
@@ -14,14 +14,14 @@
 	pageRetry = 100 * time.Millisecond
 )
 
-// Persistent is a Store that reads a page again while the store does not answer or
+// RetryingReader is a Store that reads a page again while the store does not answer or
 // refuses, until the context ends. Contexts therefore need a deadline. A connection that
 // has lost an answer never delivers another one, so a read without a limit could last for
 // ever.
-type Persistent struct{ Store }
+type RetryingReader struct{ Store }
 
 // Read implements Store.
-func (p Persistent) Read(ctx context.Context, table, partition, from string) (Page, error) {
+func (p RetryingReader) Read(ctx context.Context, table, partition, from string) (Page, error) {
 	for {
 		page, err := p.readOnce(ctx, table, partition, from)
 		if !errors.Is(err, ErrUnavailable) && !errors.Is(err, ErrUnknown) {
@@ -35,7 +35,7 @@
 	}
 }
 
-func (p Persistent) readOnce(ctx context.Context, table, partition, from string) (Page, error) {
+func (p RetryingReader) readOnce(ctx context.Context, table, partition, from string) (Page, error) {
 	callCtx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
 	return p.Store.Read(callCtx, table, partition, from)
--- a/internal/store/persistent_test.go
+++ b/internal/store/retrying_reader_test.go
@@ -33,7 +33,7 @@
 		m := &moody{first: []error{nil, ErrUnavailable, nil}}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		page, err := Persistent{m}.Read(ctx, "jobs", "cell-0/001", "")
+		page, err := RetryingReader{m}.Read(ctx, "jobs", "cell-0/001", "")
 		if err != nil || page.Version != 7 || m.reads != 4 {
 			t.Errorf("page %+v, error %v after %d reads", page, err, m.reads)
 		}
@@ -45,11 +45,11 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 4*time.Second)
 		defer cancel()
 		silent := &moody{first: make([]error, 100)}
-		if _, err := (Persistent{silent}).Read(ctx, "jobs", "", ""); !errors.Is(err, ErrUnknown) {
+		if _, err := (RetryingReader{silent}).Read(ctx, "jobs", "", ""); !errors.Is(err, ErrUnknown) {
 			t.Errorf("error %v at the deadline", err)
 		}
 		other := &moody{first: []error{ErrHistoryGone}}
-		if _, err := (Persistent{other}).Read(t.Context(), "jobs", "", ""); !errors.Is(err, ErrHistoryGone) || other.reads != 1 {
+		if _, err := (RetryingReader{other}).Read(t.Context(), "jobs", "", ""); !errors.Is(err, ErrHistoryGone) || other.reads != 1 {
 			t.Errorf("error %v after %d reads", err, other.reads)
 		}
 	})
@@ -77,7 +77,7 @@
 		l := &large{}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		if page, err := (Persistent{l}).Read(ctx, "progress", "cell-0", ""); err != nil || page.Version != 7 || l.reads != 1 {
+		if page, err := (RetryingReader{l}).Read(ctx, "progress", "cell-0", ""); err != nil || page.Version != 7 || l.reads != 1 {
 			t.Errorf("page %+v, error %v after %d reads", page, err, l.reads)
 		}
 	})
--- a/internal/upkeep/had.go
+++ b/internal/upkeep/begun_machines.go
@@ -13,8 +13,8 @@
 // Key is the row of a wave.
 func Key(wave uint64) string { return strconv.FormatUint(wave, 10) }
 
-// EncodeHad returns the bytes of a list of machines.
-func EncodeHad(machines []string) ([]byte, error) {
+// EncodeBegunMachines returns the bytes of a list of machines.
+func EncodeBegunMachines(machines []string) ([]byte, error) {
 	data, err := cbor.Marshal(machines)
 	if err != nil {
 		return nil, fmt.Errorf("machines of a wave: %w", err)
@@ -22,8 +22,8 @@
 	return data, nil
 }
 
-// DecodeHad reads what EncodeHad wrote.
-func DecodeHad(data []byte) ([]string, error) {
+// DecodeBegunMachines decodes what EncodeBegunMachines wrote.
+func DecodeBegunMachines(data []byte) ([]string, error) {
 	var machines []string
 	if err := cbor.Unmarshal(data, &machines); err != nil {
 		return nil, fmt.Errorf("machines of a wave: %w", err)
--- a/internal/upkeep/errors.go
+++ b/internal/upkeep/errors.go
@@ -9,7 +9,7 @@
 	// ErrBusy says that the machine is not up, that it leaves, or that the fleet
 	// takes no more orders for the moment.
 	ErrBusy = errors.New("the machine or the fleet is busy")
-	// ErrNotConcerned says that there is no such machine, or that it does not belong
+	// ErrNotInWave says that there is no such machine, or that it does not belong
 	// to the wave.
-	ErrNotConcerned = errors.New("the machine does not belong to the wave")
+	ErrNotInWave = errors.New("the machine does not belong to the wave")
 )
--- a/internal/upkeep/machine.go
+++ b/internal/upkeep/machine.go
@@ -7,6 +7,6 @@
 	Worker string
 	// Up says that it works; otherwise it is down, moving or has its upkeep.
 	Up bool
-	// InUpkeep says that its upkeep goes on.
-	InUpkeep bool
+	// InMaintenance says that its upkeep goes on.
+	InMaintenance bool
 }
--- a/internal/upkeep/tracker.go
+++ b/internal/upkeep/tracker.go
@@ -55,18 +55,18 @@
 	t.observe(now, listed)
 	t.choose(now, listed, load)
 	var plan Plan
-	free := t.wave.AtOnce - t.count((*progress).down)
+	free := t.wave.MaxConcurrent - t.count((*progress).down)
 	for _, name := range t.wave.Machines {
 		p := t.machines[name]
 		switch {
 		case p.stage == emptying:
-			plan.Empty = append(plan.Empty, p.worker)
+			plan.Evacuate = append(plan.Evacuate, p.worker)
 			if free > 0 && listed[name].Up && t.ready(p, load(p.worker), now) {
 				plan.Begin = append(plan.Begin, name)
 				free--
 			}
 		case p.stage == ordered:
-			plan.Empty = append(plan.Empty, p.worker)
+			plan.Evacuate = append(plan.Evacuate, p.worker)
 			if !p.sending && !now.Before(p.retryAt) {
 				plan.Begin = append(plan.Begin, name)
 			}
@@ -83,14 +83,14 @@
 		switch {
 		case !there:
 			p.stage = done
-		case p.down() && m.InUpkeep:
+		case p.down() && m.InMaintenance:
 			p.seenDown = true
 		case p.stage == begun && m.Up && p.over(m, t.lasts, now):
 			p.stage = done
 		case p.stage == emptying && m.Up && m.Worker != p.worker:
 			// The worker crashed, and its next life has to be emptied, too.
 			p.worker = m.Worker
-		case p.stage == waiting && m.InUpkeep:
+		case p.stage == waiting && m.InMaintenance:
 			// Ordered by an earlier owner.
 			p.stage = ordered
 			p.worker, p.seenDown = m.Worker, true
@@ -121,13 +121,13 @@
 
 // parallel is how many machines are in work at once: as few as still finish in time.
 func (t *Tracker) parallel(now time.Time) int {
-	planned := usedShare * t.wave.Within.Seconds()
+	planned := usedShare * t.wave.TargetDuration.Seconds()
 	if now.Sub(t.seenAt).Seconds() > planned {
-		return t.wave.AtOnce
+		return t.wave.MaxConcurrent
 	}
 	rounds := max(1, math.Floor(planned/(emptyGuess+t.lasts).Seconds()))
 	needed := int(math.Ceil(float64(len(t.wave.Machines)) / rounds))
-	return max(1, min(needed, t.wave.AtOnce))
+	return max(1, min(needed, t.wave.MaxConcurrent))
 }
 
 // ready reports whether the upkeep of a machine may begin. A worker that is chosen in
@@ -149,8 +149,8 @@
 	return n
 }
 
-// Sending takes in that the upkeep of a machine is being ordered.
-func (t *Tracker) Sending(machine string, now time.Time) {
+// MarkOrdered takes in that the upkeep of a machine is being ordered.
+func (t *Tracker) MarkOrdered(machine string, now time.Time) {
 	p := t.machines[machine]
 	p.stage, p.sending = ordered, true
 	if p.orderedAt.IsZero() {
@@ -158,29 +158,29 @@
 	}
 }
 
-// Begun takes in that the upkeep of a machine was begun, and returns the worker whose
+// MarkBegun takes in that the upkeep of a machine was begun, and returns the worker whose
 // life ended with it, and when that was ordered first.
-func (t *Tracker) Begun(machine string, now time.Time) (worker string, orderedAt time.Time) {
+func (t *Tracker) MarkBegun(machine string, now time.Time) (worker string, orderedAt time.Time) {
 	p := t.machines[machine]
 	p.stage, p.sending, p.begunAt = begun, false, now
 	return p.worker, p.orderedAt
 }
 
-// Unanswered takes in that an order may have been carried out, or may be yet. It is
+// MarkUnanswered takes in that an order may have been carried out, or may be yet. It is
 // repeated until it is answered.
-func (t *Tracker) Unanswered(machine string, now time.Time) {
+func (t *Tracker) MarkUnanswered(machine string, now time.Time) {
 	p := t.machines[machine]
 	p.sending, p.retryAt = false, now.Add(retryPause)
 }
 
-// Unneeded takes in that a machine does not belong to the wave.
-func (t *Tracker) Unneeded(machine string) {
+// MarkNotInWave takes in that a machine does not belong to the wave.
+func (t *Tracker) MarkNotInWave(machine string) {
 	p := t.machines[machine]
 	p.stage, p.sending = done, false
 }
 
-// Had returns the machines whose upkeep has begun, for an owner after this one.
-func (t *Tracker) Had() []string {
+// BegunMachines returns the machines whose upkeep has begun, for an owner after this one.
+func (t *Tracker) BegunMachines() []string {
 	var names []string
 	for _, name := range t.wave.Machines {
 		if t.machines[name].stage >= begun {
--- a/internal/upkeep/tracker_test.go
+++ b/internal/upkeep/tracker_test.go
@@ -30,19 +30,19 @@
 func (f *fleet) load(worker string) Load { return f.loads[worker] }
 
 func (f *fleet) tracker(atOnce int, within time.Duration) *Tracker {
-	return NewTracker(Wave{Number: 1, Machines: f.names, Within: within, AtOnce: atOnce}, 2*time.Second, nil, start)
+	return NewTracker(Wave{Number: 1, Machines: f.names, TargetDuration: within, MaxConcurrent: atOnce}, 2*time.Second, nil, start)
 }
 
 // set changes a machine's state.
 func (f *fleet) set(name, worker string, up bool) {
-	f.listed[name] = Machine{Name: name, Worker: worker, Up: up, InUpkeep: !up}
+	f.listed[name] = Machine{Name: name, Worker: worker, Up: up, InMaintenance: !up}
 }
 
 // Failure: tasks are ended by an upkeep although their worker was to be emptied.
 func TestUpkeepIsNotOrderedInThePassThatChoosesAWorker(t *testing.T) {
 	f := newFleet(1)
 	tracker := f.tracker(1, 10*time.Second)
-	if plan := tracker.Plan(start, f.listed, f.load); len(plan.Begin) > 0 || len(plan.Empty) != 1 {
+	if plan := tracker.Plan(start, f.listed, f.load); len(plan.Begin) > 0 || len(plan.Evacuate) != 1 {
 		t.Errorf("first pass: %+v", plan)
 	}
 	if plan := tracker.Plan(start.Add(time.Second), f.listed, f.load); len(plan.Begin) != 1 {
@@ -72,8 +72,8 @@
 	tracker.Plan(start, f.listed, f.load)
 	now := start.Add(time.Second)
 	first := tracker.Plan(now, f.listed, f.load)
-	tracker.Sending(first.Begin[0], now)
-	tracker.Unanswered(first.Begin[0], now)
+	tracker.MarkOrdered(first.Begin[0], now)
+	tracker.MarkUnanswered(first.Begin[0], now)
 	now = now.Add(retryPause)
 	again := tracker.Plan(now, f.listed, f.load)
 	if again.Completed || len(again.Begin) != 1 || again.Begin[0] != first.Begin[0] {
@@ -84,8 +84,8 @@
 // Failure: a new owner empties machines that have had their upkeep.
 func TestNextOwnerGoesOnWithTheRest(t *testing.T) {
 	f := newFleet(3)
-	tracker := NewTracker(Wave{Number: 1, Machines: f.names, Within: time.Second, AtOnce: 3}, 2*time.Second, []string{"m-1", "m-2"}, start)
-	if plan := tracker.Plan(start, f.listed, f.load); len(plan.Empty) != 1 || plan.Empty[0] != "w-m-0" {
+	tracker := NewTracker(Wave{Number: 1, Machines: f.names, TargetDuration: time.Second, MaxConcurrent: 3}, 2*time.Second, []string{"m-1", "m-2"}, start)
+	if plan := tracker.Plan(start, f.listed, f.load); len(plan.Evacuate) != 1 || plan.Evacuate[0] != "w-m-0" {
 		t.Errorf("plan %+v", plan)
 	}
 }
@@ -115,7 +115,7 @@
 			w.pass(now)
 			plan := tracker.Plan(now, f.listed, f.load)
 			for _, name := range plan.Begin {
-				tracker.Sending(name, now)
+				tracker.MarkOrdered(name, now)
 				w.order(tracker, name, now)
 			}
 			if plan.Completed {
@@ -179,15 +179,15 @@
 	switch rapid.IntRange(0, 4).Draw(w.rt, "fate") {
 	case 0: // carried out seconds later, no answer
 		w.late[name] = now.Add(time.Duration(rapid.IntRange(1, 12).Draw(w.rt, "late")) * time.Second)
-		tracker.Unanswered(name, now)
+		tracker.MarkUnanswered(name, now)
 	case 1: // lost
-		tracker.Unanswered(name, now)
+		tracker.MarkUnanswered(name, now)
 	case 2: // carried out, no answer
 		w.begin(name, now)
-		tracker.Unanswered(name, now)
+		tracker.MarkUnanswered(name, now)
 	default:
 		w.begin(name, now)
-		tracker.Begun(name, now)
+		tracker.MarkBegun(name, now)
 	}
 }
 
@@ -204,9 +204,9 @@
 			return
 		}
 		for _, name := range plan.Begin {
-			tracker.Sending(name, now)
+			tracker.MarkOrdered(name, now)
 			f.set(name, "w-"+name, false)
-			tracker.Begun(name, now)
+			tracker.MarkBegun(name, now)
 			tracker.Plan(now.Add(time.Millisecond), f.listed, f.load)
 			f.set(name, "w-"+name, true)
 		}
--- a/internal/upkeep/wave.go
+++ b/internal/upkeep/wave.go
@@ -6,8 +6,8 @@
 type Wave struct {
 	Number   uint64
 	Machines []string
-	// Within is the time in which all of them should have had their upkeep.
-	Within time.Duration
-	// AtOnce is how many of them may be down for it at the same time.
-	AtOnce int
+	// TargetDuration is the time in which all of them should have had their upkeep.
+	TargetDuration time.Duration
+	// MaxConcurrent is how many of them may be down for it at the same time.
+	MaxConcurrent int
 }
--- a/test/e2e/site_test.go
+++ b/test/e2e/site_test.go
@@ -200,7 +200,7 @@
 		return answer{}, err
 	}
 	if key != "" {
-		req.Header.Set(entry.HeaderKey, key)
+		req.Header.Set(entry.HeaderIdempotencyKey, key)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
@@ -209,7 +209,7 @@
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	return answer{
-		status: resp.StatusCode, body: string(body), kind: resp.Header.Get(entry.HeaderKind),
+		status: resp.StatusCode, body: string(body), kind: resp.Header.Get(entry.HeaderErrorKind),
 		outcome: resp.Header.Get(entry.HeaderOutcome), retry: resp.Header.Get("Retry-After"), header: resp.Header,
 	}, err
 }
