--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -52,7 +52,7 @@
 // Match returns the queue with the longest prefix of path on host, and what
 // follows the prefix.
 func (c *Catalog) Match(host, path string) (*Queue, string, bool) {
-	list := c.byHost[strings.ToLower(withoutPort(host))]
+	list := c.byHost[strings.ToLower(stripPort(host))]
 	for i := range list {
 		if rest, ok := strings.CutPrefix(path, list[i].PathPrefix); ok {
 			return &list[i], rest, true
@@ -70,7 +70,7 @@
 // Workspaces returns all workspaces. The list must not be changed.
 func (c *Catalog) Workspaces() []Workspace { return c.content.Workspaces }
 
-func withoutPort(host string) string {
+func stripPort(host string) string {
 	name, _, _ := strings.Cut(host, ":")
 	return name
 }
--- a/internal/entry/body_capture.go
+++ b/internal/entry/body_capture.go
@@ -2,14 +2,14 @@
 
 import "bytes"
 
-// keeper keeps a body up to a limit, and notes if there was more.
-type keeper struct {
+// bodyCapture keeps a body up to a limit, and notes if there was more.
+type bodyCapture struct {
 	limit    int
 	body     bytes.Buffer
 	overflow bool
 }
 
-func (k *keeper) add(p []byte) {
+func (k *bodyCapture) add(p []byte) {
 	if k.body.Len()+len(p) > k.limit {
 		k.overflow = true
 		return
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -28,7 +28,7 @@
 	// body is the whole body if replayable, else the rest streams.
 	body       []byte
 	replayable bool
-	sent       bool
+	bodySent   bool
 }
 
 var idPattern = regexp.MustCompile(`^[A-Za-z0-9._:-]+$`)
@@ -110,8 +110,8 @@
 	return false
 }
 
-// keyed reports whether the request must pass the home of its key.
-func (c *call) keyed() bool { return c.key != "" && !c.repeatable() }
+// needsKeyOwner reports whether the request must pass the home of its key.
+func (c *call) needsKeyOwner() bool { return c.key != "" && !c.repeatable() }
 
 // outgoing returns the request to send to target. A streamed body can be sent
 // only once.
@@ -121,14 +121,14 @@
 	case len(c.body) > 0:
 		body = bytes.NewReader(c.body)
 	case !c.replayable:
-		c.sent = true
+		c.bodySent = true
 		body = http.MaxBytesReader(nil, c.request.Body, maxBodyBytes)
 	}
 	out, err := http.NewRequestWithContext(ctx, c.request.Method, target, body)
 	if err != nil {
 		return nil, fault.New(fault.BadRequest, "the request cannot be passed on: %w", err)
 	}
-	out.Header = passedHeaders(c.request.Header)
+	out.Header = forwardableHeaders(c.request.Header)
 	out.Header.Set(HeaderRequestID, c.id)
 	if !c.replayable {
 		out.ContentLength = c.request.ContentLength
@@ -137,7 +137,7 @@
 }
 
 // canRetry reports whether another attempt can carry the whole body.
-func (c *call) canRetry() bool { return c.replayable || !c.sent }
+func (c *call) canRetry() bool { return c.replayable || !c.bodySent }
 
-// gone reports whether the caller itself went away.
-func (c *call) gone() bool { return errors.Is(c.request.Context().Err(), context.Canceled) }
+// callerGone reports whether the caller itself went away.
+func (c *call) callerGone() bool { return errors.Is(c.request.Context().Err(), context.Canceled) }
--- a/internal/entry/changes.go
+++ b/internal/entry/changes.go
@@ -7,8 +7,8 @@
 	"gentianstand/internal/spec"
 )
 
-// changes tells in words what applying text would do.
-func (s *Server) changes(text *spec.Text) []string {
+// describeChanges tells in words what applying text would do.
+func (s *Server) describeChanges(text *spec.Text) []string {
 	_, current := s.config.Get()
 	list := []string{}
 	for _, w := range text.Workloads {
--- a/internal/entry/drains.go
+++ b/internal/entry/drains.go
@@ -25,8 +25,8 @@
 	return row, nil
 }
 
-// resume takes a planned stop back.
-func (s *Server) resume(c *gin.Context) (any, error) {
+// cancelDrain takes a planned stop back.
+func (s *Server) cancelDrain(c *gin.Context) (any, error) {
 	id := c.Param("id")
 	tx := platform.Tx{Deletes: []string{live.DrainKey(id)}}
 	if err := s.commitChange(c, tx, audit.Resume, id); err != nil {
@@ -42,6 +42,6 @@
 	if err := platform.Settle(callContext(c), s.table, tx); err != nil {
 		return fault.New(fault.PlatformUnavailable, "the table did not say whether the %s was kept: %w", action, err).WithOutcome(fault.MayHaveRun)
 	}
-	s.changed()
+	s.rowsChanged()
 	return nil
 }
--- a/internal/entry/errors.go
+++ b/internal/entry/errors.go
@@ -5,6 +5,6 @@
 var (
 	// errCallerGone says that the caller stopped reading.
 	errCallerGone = errors.New("the caller went away")
-	// errAnswerBroken says that an answer ended in its middle.
-	errAnswerBroken = errors.New("the answer broke off")
+	// errResponseTruncated says that an answer ended in its middle.
+	errResponseTruncated = errors.New("the answer broke off")
 )
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -12,7 +12,7 @@
 )
 
 // forward passes the request on to another instance.
-func (s *Server) forward(ctx context.Context, w http.ResponseWriter, c *call, to peer.Remote, mode string, keep *keeper) attempt {
+func (s *Server) forward(ctx context.Context, w http.ResponseWriter, c *call, to peer.Remote, mode string, capture *bodyCapture) attempt {
 	out, err := c.outgoing(ctx, "http://"+to.Address+PathServices+c.service.Name+"/"+c.path)
 	if err != nil {
 		return attempt{err: err}
@@ -23,7 +23,7 @@
 	resp, err := s.instances.RoundTrip(out)
 	if err != nil {
 		s.hub.Failed(to.Process.Instance)
-		if isDial(err) {
+		if isDialError(err) {
 			return attempt{err: fault.New(fault.UpstreamUnreachable, "instance %s: %w", to.Process.Instance, err)}
 		}
 		if !time.Now().Before(c.deadline) {
@@ -32,15 +32,15 @@
 		return attempt{err: fault.New(fault.UpstreamFailed, "instance %s: %w", to.Process.Instance, err)}
 	}
 	defer resp.Body.Close()
-	if mode == forwardTry && refusedForNow(resp) {
+	if mode == forwardTry && retryableElsewhere(resp) {
 		return attempt{err: fault.New(fault.UpstreamUnreachable, "instance %s had no slot left", to.Process.Instance)}
 	}
-	return s.deliver(w, c, resp, keep, fmt.Sprintf("instance %s", to.Process.Instance))
+	return s.deliver(w, c, resp, capture, fmt.Sprintf("instance %s", to.Process.Instance))
 }
 
-// refusedForNow reports whether another instance said that the request did not
+// retryableElsewhere reports whether another instance said that the request did not
 // run because it has no slot, so that it can be tried elsewhere.
-func refusedForNow(resp *http.Response) bool {
+func retryableElsewhere(resp *http.Response) bool {
 	if fault.Outcome(resp.Header.Get(HeaderOutcome)) != fault.DidNotRun {
 		return false
 	}
--- a/internal/entry/keyed.go
+++ b/internal/entry/keyed.go
@@ -13,16 +13,16 @@
 // key if that is here, else by passing it on to the home.
 func (s *Server) serveKeyed(ctx context.Context, w http.ResponseWriter, c *call) error {
 	view := s.view()
-	home := idempotency.HomeOf(c.service.Name, c.key, shardNames(view))
-	if home == "" {
+	shard := idempotency.HomeOf(c.service.Name, c.key, shardNames(view))
+	if shard == "" {
 		return fault.New(fault.Overloaded, "no shard is known yet")
 	}
-	owner := view.Shards[home].Owner.Instance
-	if holder, epoch := s.hub.Holder(home); epoch > view.Shards[home].Epoch {
+	owner := view.Shards[shard].Owner.Instance
+	if holder, epoch := s.hub.Holder(shard); epoch > view.Shards[shard].Epoch {
 		owner = holder
 	}
 	if owner == s.identity.Process.Instance || c.forwarded == forwardKey {
-		return s.serveAtHome(ctx, w, c, home)
+		return s.serveAsKeyOwner(ctx, w, c, shard)
 	}
 	remote, ok := s.hub.Remote(owner)
 	if !ok {
@@ -35,10 +35,10 @@
 	return a.err
 }
 
-// serveAtHome lets the request go once its key is kept, and notes how it
+// serveAsKeyOwner lets the request go once its key is kept, and notes how it
 // ended. Whatever is not certain is noted as unknown.
-func (s *Server) serveAtHome(ctx context.Context, w http.ResponseWriter, c *call, home string) error {
-	response, err := s.register.Begin(ctx, home, c.service.Name, c.key)
+func (s *Server) serveAsKeyOwner(ctx context.Context, w http.ResponseWriter, c *call, shard string) error {
+	response, err := s.register.Begin(ctx, shard, c.service.Name, c.key)
 	if response != nil {
 		replay(w, response)
 		return nil
@@ -46,21 +46,21 @@
 	if err != nil {
 		return err
 	}
-	keep := &keeper{limit: idempotency.MaxKeptBody}
+	capture := &bodyCapture{limit: idempotency.MaxKeptBody}
 	recorder := &statusRecorder{ResponseWriter: w}
 	ended := false
 	defer func() {
 		if !ended {
-			s.register.End(home, c.service.Name, c.key, idempotency.Unknown, nil)
+			s.register.End(shard, c.service.Name, c.key, idempotency.Unknown, nil)
 		}
 	}()
-	err = s.execute(ctx, recorder, c, keep)
+	err = s.execute(ctx, recorder, c, capture)
 	ended = true
-	s.noteEnd(home, c, recorder, keep, err)
+	s.recordOutcome(shard, c, recorder, capture, err)
 	return err
 }
 
-func (s *Server) noteEnd(home string, c *call, recorder *statusRecorder, keep *keeper, err error) {
+func (s *Server) recordOutcome(shard string, c *call, recorder *statusRecorder, capture *bodyCapture, err error) {
 	outcome := fault.Outcome(recorder.Header().Get(HeaderOutcome))
 	if err != nil {
 		outcome = fault.From(err).Answer().Outcome
@@ -68,14 +68,14 @@
 	name := c.service.Name
 	switch {
 	case outcome == fault.DidNotRun:
-		s.register.Release(home, name, c.key)
+		s.register.Release(shard, name, c.key)
 	case outcome != "":
-		s.register.End(home, name, c.key, idempotency.Unknown, nil)
-	case keep.overflow:
-		s.register.End(home, name, c.key, idempotency.Ended, nil)
+		s.register.End(shard, name, c.key, idempotency.Unknown, nil)
+	case capture.overflow:
+		s.register.End(shard, name, c.key, idempotency.Ended, nil)
 	default:
-		kept := &idempotency.Response{Status: recorder.status, Header: recorder.Header().Clone(), Body: keep.body.Bytes()}
-		s.register.End(home, name, c.key, idempotency.Ended, kept)
+		kept := &idempotency.Response{Status: recorder.status, Header: recorder.Header().Clone(), Body: capture.body.Bytes()}
+		s.register.End(shard, name, c.key, idempotency.Ended, kept)
 	}
 }
 
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -9,25 +9,25 @@
 	"gentianstand/internal/fault"
 )
 
-// entryMetrics counts requests.
-type entryMetrics struct {
+// requestMetrics counts requests.
+type requestMetrics struct {
 	set      *metrics.Set
 	retries  *metrics.Counter
 	forwards *metrics.Counter
 }
 
-func newEntryMetrics(set *metrics.Set) entryMetrics {
-	return entryMetrics{
+func newRequestMetrics(set *metrics.Set) requestMetrics {
+	return requestMetrics{
 		set:      set,
 		retries:  set.NewCounter("gentianstand_request_retries_total"),
 		forwards: set.NewCounter("gentianstand_requests_forwarded_total"),
 	}
 }
 
-// served counts a request by service and error kind, "ok" for an upstream's
+// countRequest counts a request by service and error kind, "ok" for an upstream's
 // own answer. A service that is not configured has no counter of its own, so
 // that callers cannot make up counters.
-func (m entryMetrics) served(service string, err error, took time.Duration) {
+func (m requestMetrics) countRequest(service string, err error, took time.Duration) {
 	kind := "ok"
 	if err != nil {
 		k := fault.From(err).Kind
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -33,7 +33,7 @@
 	g.POST("/workloads/:name/runs", s.handle(s.submitRun))
 	g.DELETE("/workloads/:name/runs", s.handle(s.cancelWorkload))
 	g.POST("/drains/:id", s.handle(s.drain))
-	g.DELETE("/drains/:id", s.handle(s.resume))
+	g.DELETE("/drains/:id", s.handle(s.cancelDrain))
 	g.GET("/status", s.handle(s.status))
 	g.GET("/audit", s.handle(s.audit))
 }
@@ -98,9 +98,9 @@
 	return string(data), text, nil
 }
 
-// base returns the configuration that a change builds on: the one the operator
+// baseNumber returns the configuration that a change builds on: the one the operator
 // names, or the one in force at the table.
-func (s *Server) base(c *gin.Context) (uint64, error) {
+func (s *Server) baseNumber(c *gin.Context) (uint64, error) {
 	value := c.Query("base")
 	if value == "" {
 		head, err := s.store.Head(callContext(c))
@@ -118,25 +118,25 @@
 	if err != nil {
 		return nil, err
 	}
-	base, err := s.base(c)
+	base, err := s.baseNumber(c)
 	if err != nil {
 		return nil, err
 	}
 	rec, err := s.store.Apply(callContext(c), source, operator(c), base)
 	if err != nil {
-		s.noteRefused(c, audit.Apply, "configuration", base, err)
+		s.auditRefused(c, audit.Apply, "configuration", base, err)
 		return nil, err
 	}
 	if err := s.config.Install(rec); err != nil {
 		s.log.WithError(err).Error("config_install_failed")
 	}
-	s.changed()
+	s.rowsChanged()
 	return ApplyResult{Number: rec.Number, Author: rec.Author, Warnings: s.warnings(text)}, nil
 }
 
-// noteRefused leaves an entry of a change that was not accepted, if the table
+// auditRefused leaves an entry of a change that was not accepted, if the table
 // takes it.
-func (s *Server) noteRefused(c *gin.Context, action audit.Action, subject string, from uint64, err error) {
+func (s *Server) auditRefused(c *gin.Context, action audit.Action, subject string, from uint64, err error) {
 	f := fault.From(err)
 	entry := audit.Entry{At: time.Now().UTC(), By: operator(c), Action: action, Subject: subject, From: from, Outcome: string(f.Kind)}
 	if err := s.trail.Add(callContext(c), entry); err != nil {
@@ -150,7 +150,7 @@
 		return nil, err
 	}
 	rec, _ := s.config.Get()
-	return PlanResult{Base: rec.Number, Diff: config.Diff(rec.Text, source), Changes: s.changes(text), Warnings: s.warnings(text)}, nil
+	return PlanResult{Base: rec.Number, Diff: config.Diff(rec.Text, source), Changes: s.describeChanges(text), Warnings: s.warnings(text)}, nil
 }
 
 func (s *Server) listRuns(c *gin.Context) (any, error) { return s.runs.Summaries(callContext(c)) }
@@ -168,7 +168,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.note(c, audit.Submit, id)
+	s.auditAccepted(c, audit.Submit, id)
 	return SubmitResult{Run: id}, nil
 }
 
@@ -188,12 +188,12 @@
 	if n == 0 {
 		return nil, fault.New(fault.UnknownRun, "nothing named %q is waiting or running", subject)
 	}
-	s.note(c, audit.Cancel, subject)
+	s.auditAccepted(c, audit.Cancel, subject)
 	return CancelResult{Cancelled: n}, nil
 }
 
-// note leaves an entry of a change that was kept elsewhere already.
-func (s *Server) note(c *gin.Context, action audit.Action, subject string) {
+// auditAccepted leaves an entry of a change that was kept elsewhere already.
+func (s *Server) auditAccepted(c *gin.Context, action audit.Action, subject string) {
 	entry := audit.Entry{At: time.Now().UTC(), By: operator(c), Action: action, Subject: subject, Outcome: audit.Accepted}
 	if err := s.trail.Add(callContext(c), entry); err != nil {
 		s.log.WithError(err).Warn("audit_entry_lost")
--- a/internal/entry/passthrough.go
+++ b/internal/entry/passthrough.go
@@ -7,38 +7,38 @@
 	"strings"
 )
 
-// hopHeaders belong to one connection and are not passed on (RFC 9110,
+// hopByHopHeaders belong to one connection and are not passed on (RFC 9110,
 // section 7.6.1).
-var hopHeaders = []string{
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", headerForwarded,
 }
 
-// passedHeaders returns the headers to pass on, without those of the hop.
-func passedHeaders(in http.Header) http.Header {
+// forwardableHeaders returns the headers to pass on, without those of the hop.
+func forwardableHeaders(in http.Header) http.Header {
 	out := in.Clone()
 	for _, field := range in.Values("Connection") {
 		for name := range strings.SplitSeq(field, ",") {
 			out.Del(textproto.TrimString(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		out.Del(name)
 	}
 	return out
 }
 
-// passAnswer streams an upstream's answer to the caller. If it breaks off, the
+// streamResponse streams an upstream's answer to the caller. If it breaks off, the
 // caller's connection is broken off too, so that a part is never taken for the
 // whole. keep, if not nil, gets a copy of the body as it passes.
-func passAnswer(w http.ResponseWriter, resp *http.Response, keep *keeper) error {
+func streamResponse(w http.ResponseWriter, resp *http.Response, capture *bodyCapture) error {
 	flusher := http.NewResponseController(w)
 	// Without full duplex the server swallows up to 256 KiB of the request's
 	// body when the answer begins before the body has been passed on: the
 	// upstream would get a hole in it. HTTP/2 needs no such call.
 	_ = flusher.EnableFullDuplex()
 	header := w.Header()
-	for name, values := range passedHeaders(resp.Header) {
+	for name, values := range forwardableHeaders(resp.Header) {
 		header[name] = values
 	}
 	w.WriteHeader(resp.StatusCode)
@@ -46,8 +46,8 @@
 	for {
 		n, err := resp.Body.Read(buffer)
 		if n > 0 {
-			if keep != nil {
-				keep.add(buffer[:n])
+			if capture != nil {
+				capture.add(buffer[:n])
 			}
 			if _, writeErr := w.Write(buffer[:n]); writeErr != nil {
 				return errCallerGone
@@ -60,7 +60,7 @@
 			return nil
 		}
 		if err != nil {
-			return errAnswerBroken
+			return errResponseTruncated
 		}
 	}
 }
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -30,23 +30,23 @@
 
 // Server is the callers' and operators' interface of one instance.
 type Server struct {
-	identity ownership.Identity
-	router   *routing.Router
-	hub      *peer.Hub
-	config   *config.Current
-	store    *config.Store
-	trail    *audit.Trail
-	table    platform.Table
-	register *idempotency.Register
-	runs     Runs
-	view     func() live.View
-	ready    func() error
-	largest  func() resource.Amount
-	changed  func()
-	token    string
-	set      *vm.Set
-	metrics  entryMetrics
-	log      *logrus.Entry
+	identity      ownership.Identity
+	router        *routing.Router
+	hub           *peer.Hub
+	config        *config.Current
+	store         *config.Store
+	trail         *audit.Trail
+	table         platform.Table
+	register      *idempotency.Register
+	runs          Runs
+	view          func() live.View
+	ready         func() error
+	largestWorker func() resource.Amount
+	rowsChanged   func()
+	token         string
+	set           *vm.Set
+	metrics       requestMetrics
+	log           *logrus.Entry
 
 	upstreams *http.Transport
 	instances *http.Transport
@@ -58,8 +58,8 @@
 func NewServer(d Deps) *Server {
 	return &Server{
 		identity: d.Identity, router: d.Router, hub: d.Hub, config: d.Config, store: d.Store, trail: d.Trail,
-		table: d.Table, register: d.Register, runs: d.Runs, view: d.View, ready: d.Ready, largest: d.LargestWorker, changed: d.RowsChanged,
-		token: d.Token, set: d.Metrics, metrics: newEntryMetrics(d.Metrics), log: d.Log,
+		table: d.Table, register: d.Register, runs: d.Runs, view: d.View, ready: d.Ready, largestWorker: d.LargestWorker, rowsChanged: d.RowsChanged,
+		token: d.Token, set: d.Metrics, metrics: newRequestMetrics(d.Metrics), log: d.Log,
 		upstreams: newTransport(upstreamConnections), instances: newTransport(peerConnections),
 	}
 }
@@ -94,7 +94,7 @@
 func (s *Server) Handler() http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	engine := gin.New()
-	engine.Use(s.count)
+	engine.Use(s.trackInFlight)
 	engine.Any(PathServices+":service/*path", s.handleService)
 	engine.GET("/healthz", func(c *gin.Context) { c.String(http.StatusOK, "ok\n") })
 	engine.GET("/readyz", s.handleReady)
@@ -108,16 +108,16 @@
 	return engine
 }
 
-// count keeps the number of requests in progress, which a graceful stop waits
+// trackInFlight keeps the number of requests in progress, which a graceful stop waits
 // for.
-func (s *Server) count(c *gin.Context) {
+func (s *Server) trackInFlight(c *gin.Context) {
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
 	c.Next()
 }
 
 func (s *Server) handleService(c *gin.Context) {
-	s.serveService(c.Writer, c.Request, c.Param("service"), passPath(c.Request, c.Param("path")))
+	s.serveService(c.Writer, c.Request, c.Param("service"), upstreamPath(c.Request, c.Param("path")))
 }
 
 func (s *Server) handleReady(c *gin.Context) {
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		s.refuse(w, r, id, service, err)
 	}
-	s.metrics.served(service, err, time.Since(started))
+	s.metrics.countRequest(service, err, time.Since(started))
 }
 
 func (s *Server) checkCall(w http.ResponseWriter, r *http.Request, id, service, path string, now time.Time) (*call, error) {
@@ -68,7 +68,7 @@
 func (s *Server) serve(w http.ResponseWriter, c *call) error {
 	ctx, cancel := context.WithDeadline(c.request.Context(), c.deadline)
 	defer cancel()
-	if c.keyed() && c.forwarded != forwardTry && c.forwarded != forwardWait {
+	if c.needsKeyOwner() && c.forwarded != forwardTry && c.forwarded != forwardWait {
 		return s.serveKeyed(ctx, w, c)
 	}
 	return s.execute(ctx, w, c, nil)
@@ -79,25 +79,25 @@
 // takes to get past workers that have just changed hands or connections that
 // went silent; one that may have run only if it is repeatable, the retry budget
 // allows it, and not more than maxAttempts times.
-func (s *Server) execute(ctx context.Context, w http.ResponseWriter, c *call, keep *keeper) error {
+func (s *Server) execute(ctx context.Context, w http.ResponseWriter, c *call, capture *bodyCapture) error {
 	skip := map[string]bool{}
 	counted := 0
 	for n := 0; ; n++ {
-		a := s.attempt(ctx, w, c, skip, keep)
+		a := s.attempt(ctx, w, c, skip, capture)
 		if a.answered {
 			return nil
 		}
 		if fault.From(a.err).Answer().Outcome != fault.DidNotRun {
 			counted++
 		}
-		if counted == maxAttempts || n == maxTries || !s.again(ctx, c, a.err) {
+		if counted == maxAttempts || n == maxTries || !s.shouldRetry(ctx, c, a.err) {
 			return a.err
 		}
 		s.metrics.retries.Inc()
 	}
 }
 
-func (s *Server) again(ctx context.Context, c *call, err error) bool {
+func (s *Server) shouldRetry(ctx context.Context, c *call, err error) bool {
 	f := fault.From(err)
 	if ctx.Err() != nil || !c.canRetry() {
 		return false
@@ -115,11 +115,11 @@
 
 // attempt takes a slot here, or passes the request on to an instance that has
 // one, or waits here if nobody has.
-func (s *Server) attempt(ctx context.Context, w http.ResponseWriter, c *call, skip map[string]bool, keep *keeper) attempt {
+func (s *Server) attempt(ctx context.Context, w http.ResponseWriter, c *call, skip map[string]bool, capture *bodyCapture) attempt {
 	now := time.Now()
 	req := routing.Request{ID: uuid.NewString(), Rank: c.service.Urgency.Rank(), Deadline: c.deadline}
 	if g := s.router.TryAcquire(ctx, c.service.Name, req, now); g != nil {
-		return s.dispatch(w, c, g, keep)
+		return s.dispatch(w, c, g, capture)
 	}
 	if c.forwarded == forwardTry {
 		return attempt{err: fault.New(fault.Overloaded, "no slot is free at instance %s", s.identity.Process.Instance)}
@@ -128,7 +128,7 @@
 	if c.forwarded != forwardWait {
 		if remote, free, ok := s.hub.Choose(c.service.Name, skip); ok && (free || own == 0) {
 			skip[remote.Process.Instance] = true
-			return s.forward(ctx, w, c, remote, forwardMode(free), keep)
+			return s.forward(ctx, w, c, remote, forwardMode(free), capture)
 		}
 	}
 	if own == 0 {
@@ -138,7 +138,7 @@
 	if err != nil {
 		return attempt{err: err}
 	}
-	return s.dispatch(w, c, g, keep)
+	return s.dispatch(w, c, g, capture)
 }
 
 func forwardMode(free bool) string {
@@ -149,7 +149,7 @@
 }
 
 // dispatch sends the request to the worker whose slot it holds.
-func (s *Server) dispatch(w http.ResponseWriter, c *call, g *routing.Grant, keep *keeper) attempt {
+func (s *Server) dispatch(w http.ResponseWriter, c *call, g *routing.Grant, capture *bodyCapture) attempt {
 	result := routing.Abandoned
 	defer func() { g.Done(result, time.Now()) }()
 	out, err := c.outgoing(g.Context(), "http://"+g.Address+httpwire.PathServe+c.service.Name+"/"+c.path)
@@ -160,8 +160,8 @@
 	out.Header.Set(httpwire.HeaderRequest, g.ID)
 	resp, err := s.upstreams.RoundTrip(out)
 	if err != nil {
-		result = resultOf(c, err)
-		return attempt{err: s.broken(c, g, err)}
+		result = failureResult(c, err)
+		return attempt{err: s.upstreamFault(c, g, err)}
 	}
 	defer resp.Body.Close()
 	if reason := resp.Header.Get(httpwire.HeaderRefused); reason != "" {
@@ -172,27 +172,27 @@
 	g.ResponseStarted()
 	result = routing.Answered
 	s.router.ObserveLatency(c.service.Name, time.Since(g.GrantedAt))
-	return s.deliver(w, c, resp, keep, g.Worker)
+	return s.deliver(w, c, resp, capture, g.Worker)
 }
 
 // deliver streams an answer to the caller.
-func (s *Server) deliver(w http.ResponseWriter, c *call, resp *http.Response, keep *keeper, from string) attempt {
-	if err := passAnswer(w, resp, keep); err != nil {
+func (s *Server) deliver(w http.ResponseWriter, c *call, resp *http.Response, capture *bodyCapture, from string) attempt {
+	if err := streamResponse(w, resp, capture); err != nil {
 		s.log.WithFields(logrus.Fields{"request": c.id, "from": from}).WithError(err).Info("answer_broken")
 		panic(http.ErrAbortHandler)
 	}
 	return attempt{answered: true}
 }
 
-func resultOf(c *call, err error) routing.Result {
-	if c.gone() && !errors.Is(err, routing.ErrNeverArrived) {
+func failureResult(c *call, err error) routing.Result {
+	if c.callerGone() && !errors.Is(err, routing.ErrNeverArrived) {
 		return routing.Abandoned
 	}
 	return routing.Failed
 }
 
-// broken says what is known after a worker failed to answer.
-func (s *Server) broken(c *call, g *routing.Grant, err error) error {
+// upstreamFault says what is known after a worker failed to answer.
+func (s *Server) upstreamFault(c *call, g *routing.Grant, err error) error {
 	cause := context.Cause(g.Context())
 	switch {
 	case errors.Is(cause, routing.ErrNeverArrived):
@@ -201,7 +201,7 @@
 		return fault.New(fault.UpstreamFailed, "worker %s: %w", g.Worker, cause).WithOutcome(fault.DidNotRun)
 	case errors.Is(cause, routing.ErrAnswerLost):
 		return fault.New(fault.UpstreamFailed, "worker %s: %w", g.Worker, cause).WithOutcome(fault.Ran)
-	case isDial(err):
+	case isDialError(err):
 		return fault.New(fault.UpstreamUnreachable, "worker %s: %w", g.Worker, err)
 	case !time.Now().Before(c.deadline):
 		return fault.New(fault.DeadlineExceeded, "worker %s did not answer in time", g.Worker).WithOutcome(fault.MayHaveRun)
@@ -210,15 +210,15 @@
 	}
 }
 
-// isDial reports whether the connection was never made, so that nothing was
+// isDialError reports whether the connection was never made, so that nothing was
 // sent.
-func isDial(err error) bool {
+func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// passPath joins what is left of the path with the query.
-func passPath(r *http.Request, rest string) string {
+// upstreamPath joins what is left of the path with the query.
+func upstreamPath(r *http.Request, rest string) string {
 	path := strings.TrimPrefix(rest, "/")
 	if r.URL.RawQuery != "" {
 		path += "?" + r.URL.RawQuery
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -67,7 +67,7 @@
 // warnings names work that no worker could hold, as far as this instance can
 // tell from the planner's runs. The fleet changes, so it is no mistake.
 func (s *Server) warnings(text *spec.Text) []string {
-	largest := s.largest()
+	largest := s.largestWorker()
 	if largest.IsZero() {
 		return nil
 	}
--- a/internal/node/catalog_confirmer.go
+++ b/internal/node/catalog_confirmer.go
@@ -8,9 +8,9 @@
 	"gentianstand/internal/store"
 )
 
-// ownWait bounds the question to the store before another instance is asked; the store
+// storeTimeout bounds the question to the store before another instance is asked; the store
 // answers in a few milliseconds when it is well.
-const ownWait = 250 * time.Millisecond
+const storeTimeout = 250 * time.Millisecond
 
 // catalogConfirmer asks the store, or else another instance, for the newest configuration.
 // It implements access.Confirmer.
@@ -22,14 +22,14 @@
 
 // Confirm implements access.Confirmer.
 func (c *catalogConfirmer) Confirm(ctx context.Context) error {
-	if c.store.Reachable() && c.ask(ctx) == nil {
+	if c.store.Reachable() && c.confirmFromStore(ctx) == nil {
 		return nil
 	}
 	return c.peers.Confirm(ctx)
 }
 
-func (c *catalogConfirmer) ask(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, ownWait)
+func (c *catalogConfirmer) confirmFromStore(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	return c.reader.read(ctx, 0)
 }
--- a/internal/node/catalog_follower.go
+++ b/internal/node/catalog_follower.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// catalogWait is how long a question for news may wait. A connection that went
+	// feedWait is how long a question for news may wait. A connection that went
 	// silent is noticed after this and half a second more, which leaves time within the
 	// three seconds in which instances whose connections were reset have to catch up.
 	// Shorter waits are more calls to the store, by every instance.
-	catalogWait = 2 * time.Second
-	// freshWaits is how many such questions fit into the time for which a view serves: one
+	feedWait = 2 * time.Second
+	// waitsPerViewAge is how many such questions fit into the time for which a view serves: one
 	// under way, one before it, and one that is lost.
-	freshWaits = 3
-	// catalogRetry is the pause after a failure, and catalogProbe the wait of the
+	waitsPerViewAge = 3
+	// retryInterval is the pause after a failure, and catalogProbe the wait of the
 	// questions until the next answer: callers are refused while the store is
 	// lost, so its return has to be noticed soon.
-	catalogRetry = 200 * time.Millisecond
-	catalogProbe = time.Millisecond
+	retryInterval = 200 * time.Millisecond
+	probeWait     = time.Millisecond
 	// peerPeriod is how often another instance is asked while the store is lost.
 	peerPeriod = time.Second
 )
@@ -40,12 +40,12 @@
 
 // newCatalogFollower returns a follower that confirms the view often enough for a policy.
 func newCatalogFollower(r *catalogReader, peers access.Confirmer, p access.Policy, log logrus.FieldLogger) *catalogFollower {
-	f := &catalogFollower{reader: r, wait: catalogWait, log: log}
+	f := &catalogFollower{reader: r, wait: feedWait, log: log}
 	if p.KeysNeeded {
 		f.peers = peers
 	}
 	if fresh := p.MaxViewAge(); fresh > 0 {
-		f.wait = min(f.wait, fresh/freshWaits)
+		f.wait = min(f.wait, fresh/waitsPerViewAge)
 	}
 	return f
 }
@@ -54,27 +54,27 @@
 func (f *catalogFollower) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := f.step(ctx); err != nil && ctx.Err() == nil {
-			f.note(err)
-			f.askPeers(ctx)
+			f.logTransition(err)
+			f.confirmWithPeer(ctx)
 			select {
 			case <-ctx.Done():
-			case <-time.After(catalogRetry):
+			case <-time.After(retryInterval):
 			}
 			continue
 		}
-		f.note(nil)
+		f.logTransition(nil)
 	}
 }
 
 func (f *catalogFollower) step(ctx context.Context) error {
 	if f.failing {
-		return f.reader.read(ctx, catalogProbe)
+		return f.reader.read(ctx, probeWait)
 	}
 	return f.reader.read(ctx, f.wait)
 }
 
-// askPeers has the view confirmed by an instance that the store serves.
-func (f *catalogFollower) askPeers(ctx context.Context) {
+// confirmWithPeer has the view confirmed by an instance that the store serves.
+func (f *catalogFollower) confirmWithPeer(ctx context.Context) {
 	if f.peers == nil || time.Since(f.askedAt) < peerPeriod {
 		return
 	}
@@ -84,8 +84,8 @@
 	}
 }
 
-// note logs when the store is lost and when it is back, not each failure.
-func (f *catalogFollower) note(err error) {
+// logTransition logs when the store is lost and when it is back, not each failure.
+func (f *catalogFollower) logTransition(err error) {
 	switch {
 	case err != nil && !f.failing:
 		f.log.WithError(err).Warn("store_lost")
--- a/internal/node/catalog_follower_test.go
+++ b/internal/node/catalog_follower_test.go
@@ -67,9 +67,9 @@
 	f, source, hook := followerOf(scriptedAnswer{version: 1, at: 10}, scriptedAnswer{err: store.ErrUnavailable},
 		scriptedAnswer{err: store.ErrUnavailable}, scriptedAnswer{at: 11})
 	for range 4 {
-		f.note(f.step(t.Context()))
+		f.logTransition(f.step(t.Context()))
 	}
-	if want := []time.Duration{catalogWait, catalogProbe, catalogProbe}; len(source.waits) != 3 || source.waits[0] != want[0] || source.waits[2] != want[2] {
+	if want := []time.Duration{feedWait, probeWait, probeWait}; len(source.waits) != 3 || source.waits[0] != want[0] || source.waits[2] != want[2] {
 		t.Errorf("waits %v, want %v", source.waits, want)
 	}
 	var events []string
@@ -81,10 +81,10 @@
 	}
 }
 
-// narrow is a source whose catalog takes a small link three seconds.
-type narrow struct{ scripted }
+// slowLinkSource is a source whose catalog takes a small link three seconds.
+type slowLinkSource struct{ scripted }
 
-func (n *narrow) Newest(ctx context.Context) (catalog.Update, error) {
+func (n *slowLinkSource) Newest(ctx context.Context) (catalog.Update, error) {
 	select {
 	case <-time.After(3 * time.Second):
 		return n.scripted.Newest(ctx)
@@ -97,7 +97,7 @@
 func TestLargeCatalogIsReadInOneAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, _ := logtest.NewNullLogger()
-		source := &narrow{scripted{answers: []scriptedAnswer{{version: 1, at: 10}}}}
+		source := &slowLinkSource{scripted{answers: []scriptedAnswer{{version: 1, at: 10}}}}
 		f := newCatalogFollower(newCatalogReader(source, &catalog.Current{}, log), nil, access.Policy{}, log)
 		if err := f.step(t.Context()); err != nil || f.reader.current.Get() == nil || f.reader.current.Get().Version != 1 {
 			t.Errorf("error %v, catalog %+v", err, f.reader.current.Get())
--- a/internal/node/catalog_peers.go
+++ b/internal/node/catalog_peers.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// passOnAge is how old a view may be to be passed on: what is left of its time serves
+	// maxServedAge is how old a view may be to be passed on: what is left of its time serves
 	// the instance that asked.
-	passOnAge = 500 * time.Millisecond
-	// peerWait bounds one question to another instance, which may have to ask the store.
-	peerWait = 400 * time.Millisecond
+	maxServedAge = 500 * time.Millisecond
+	// peerTimeout bounds one question to another instance, which may have to ask the store.
+	peerTimeout = 400 * time.Millisecond
 )
 
 // errNoPeer says that the store serves no instance that this one reaches.
@@ -36,7 +36,7 @@
 	if !ok {
 		return errNoPeer
 	}
-	ctx, cancel := context.WithTimeout(ctx, peerWait)
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	known := uint64(0)
 	if c := p.reader.current.Get(); c != nil {
@@ -52,7 +52,7 @@
 		if err != nil {
 			return fmt.Errorf("instance %s: %w", peer.Name, err)
 		}
-		p.reader.take(next)
+		p.reader.install(next)
 	}
 	// The answer's age counts from before the question: the way takes time, too.
 	p.reader.current.Confirm(asked.Add(-time.Duration(reply.AgeMicros) * time.Microsecond))
@@ -62,7 +62,7 @@
 // Newest implements cellpeer.Catalogs.
 func (p *catalogPeers) Newest(ctx context.Context) (*catalog.Catalog, time.Duration, error) {
 	view := p.reader.current.View()
-	if view.Catalog == nil || view.Age(p.reader.now()) > passOnAge {
+	if view.Catalog == nil || view.Age(p.reader.now()) > maxServedAge {
 		if err := p.reader.read(ctx, 0); err != nil {
 			return nil, 0, err
 		}
--- a/internal/node/catalog_peers_test.go
+++ b/internal/node/catalog_peers_test.go
@@ -15,22 +15,24 @@
 	"gentianstand/internal/store"
 )
 
-// serving is an instance that the store serves.
-type serving struct{ cellpeer.Owning }
+// servedInstance is an instance that the store serves.
+type servedInstance struct{ cellpeer.Owning }
 
-func (serving) Ping(*cellpb.PingRequest) *cellpb.PingReply { return &cellpb.PingReply{StoreOk: true} }
+func (servedInstance) Ping(*cellpb.PingRequest) *cellpb.PingReply {
+	return &cellpb.PingReply{StoreOk: true}
+}
 
-// listing is a store that lists one other instance.
-type listing struct {
+// directoryStore is a store that lists one other instance.
+type directoryStore struct {
 	store.Store
 	rows []store.Row
 }
 
-func (l *listing) Commit(context.Context, store.Tx) (uint64, error) { return 1, nil }
-func (l *listing) Read(context.Context, string, string, string) (store.Page, error) {
+func (l *directoryStore) Commit(context.Context, store.Tx) (uint64, error) { return 1, nil }
+func (l *directoryStore) Read(context.Context, string, string, string) (store.Page, error) {
 	return store.Page{Rows: l.rows, Version: 1}, nil
 }
-func (l *listing) Changes(context.Context, string, uint64, time.Duration) (store.Page, error) {
+func (l *directoryStore) Changes(context.Context, string, uint64, time.Duration) (store.Page, error) {
 	return store.Page{Version: 1}, nil
 }
 
@@ -46,10 +48,10 @@
 		t.Fatal(err)
 	}
 	theirs.now = theirs.now.Add(400 * time.Millisecond)
-	server := httptest.NewServer(cellpeer.NewServer(serving{}, nil, nil, &catalogPeers{reader: peer}, log))
+	server := httptest.NewServer(cellpeer.NewServer(servedInstance{}, nil, nil, &catalogPeers{reader: peer}, log))
 	defer server.Close()
 
-	directory := cellpeer.NewDirectory(cellpeer.Instance{Name: "here"}, &listing{rows: []store.Row{instanceRow(t, "there", server.Listener.Addr().String())}}, log)
+	directory := cellpeer.NewDirectory(cellpeer.Instance{Name: "here"}, &directoryStore{rows: []store.Row{instanceRow(t, "there", server.Listener.Addr().String())}}, log)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go directory.Run(ctx)
--- a/internal/node/catalog_reader.go
+++ b/internal/node/catalog_reader.go
@@ -13,9 +13,9 @@
 	"gentianstand/internal/store"
 )
 
-// catalogRead bounds one read of the whole catalog; the store's client ends one in which
+// fullReadTimeout bounds one read of the whole catalog; the store's client ends one in which
 // nothing comes.
-const catalogRead = 5 * time.Second
+const fullReadTimeout = 5 * time.Second
 
 // catalogReader brings the catalog in force up to date from the store, and notes when it was
 // confirmed. It is safe for concurrent use.
@@ -40,35 +40,35 @@
 	position, known := r.resume()
 	// A change that is made while the question is under way may be missing in the answer.
 	asked := r.now()
-	news, err := r.ask(ctx, position, known, wait)
+	news, err := r.fetch(ctx, position, known, wait)
 	if errors.Is(err, store.ErrHistoryGone) {
-		r.forget(position)
+		r.resetPosition(position)
 		return nil
 	}
 	if err != nil {
 		return err
 	}
 	if news.Catalog != nil {
-		r.take(news.Catalog)
+		r.install(news.Catalog)
 	}
-	r.moveTo(news.Position)
+	r.advanceTo(news.Position)
 	if !news.Partial {
 		r.current.Confirm(asked)
 	}
 	return nil
 }
 
-func (r *catalogReader) ask(ctx context.Context, position uint64, known bool, wait time.Duration) (catalog.Update, error) {
+func (r *catalogReader) fetch(ctx context.Context, position uint64, known bool, wait time.Duration) (catalog.Update, error) {
 	if known {
 		return r.source.Since(ctx, position, wait)
 	}
-	callCtx, cancel := context.WithTimeout(ctx, catalogRead)
+	callCtx, cancel := context.WithTimeout(ctx, fullReadTimeout)
 	defer cancel()
 	return r.source.Newest(callCtx)
 }
 
-// take puts a catalog into force unless there is a newer one.
-func (r *catalogReader) take(next *catalog.Catalog) {
+// install puts a catalog into force unless there is a newer one.
+func (r *catalogReader) install(next *catalog.Catalog) {
 	if r.current.Advance(next) {
 		r.log.WithFields(logrus.Fields{"version": next.Version, "workspaces": len(next.Workspaces())}).Info("catalog_in_force")
 	}
@@ -80,14 +80,14 @@
 	return r.position, r.known
 }
 
-func (r *catalogReader) moveTo(position uint64) {
+func (r *catalogReader) advanceTo(position uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.position, r.known = max(r.position, position), true
 }
 
-// forget has the next read be one of the whole catalog, unless another read has moved on.
-func (r *catalogReader) forget(position uint64) {
+// resetPosition has the next read be one of the whole catalog, unless another read has moved on.
+func (r *catalogReader) resetPosition(position uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.position == position {
--- a/internal/node/catalog_reader_test.go
+++ b/internal/node/catalog_reader_test.go
@@ -84,7 +84,7 @@
 	if f.wait > policy.MaxViewAge()/3 || f.wait <= 0 {
 		t.Errorf("news are waited for %v, views serve for %v", f.wait, policy.MaxViewAge())
 	}
-	if f := newCatalogFollower(readerOf(&slowSource{}), nil, access.Policy{}, nil); f.wait != catalogWait {
+	if f := newCatalogFollower(readerOf(&slowSource{}), nil, access.Policy{}, nil); f.wait != feedWait {
 		t.Errorf("without keys news are waited for %v", f.wait)
 	}
 }
--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -10,8 +10,8 @@
 	"gentianstand/internal/instance"
 )
 
-// logLines bounds the lines that wait to be written.
-const logLines = 2048
+// maxQueuedLines bounds the lines that wait to be written.
+const maxQueuedLines = 2048
 
 // NewLog returns a log that never blocks: lines wait in a bounded queue, and
 // when it is full they are dropped and counted, because a slow reader of the
@@ -28,7 +28,7 @@
 }
 
 func newLineQueue(out io.Writer) *lineQueue {
-	q := &lineQueue{out: out, lines: make(chan []byte, logLines)}
+	q := &lineQueue{out: out, lines: make(chan []byte, maxQueuedLines)}
 	go q.run()
 	return q
 }
--- a/internal/node/module.go
+++ b/internal/node/module.go
@@ -29,12 +29,12 @@
 )
 
 const (
-	// theCell is the partition of the one cell.
-	theCell = "cell-0"
-	// lease is how far a worker's lease reaches. It has to bridge a take-over
+	// cellPartition is the partition of the one cell.
+	cellPartition = "cell-0"
+	// workerLease is how far a worker's workerLease reaches. It has to bridge a take-over
 	// after the last extension, which is up to a second old; each second
 	// more delays the restart of what ran on a lost worker.
-	lease = 3500 * time.Millisecond
+	workerLease = 3500 * time.Millisecond
 	// spareWorkers is how many idle workers are kept ready at least. Sites of some
 	// dozens of workers park none; with thousands, the widest steps need three workers for
 	// each task where a third of them is allowed.
@@ -42,9 +42,9 @@
 	// memoryShare of the limit is what the garbage collector aims to stay below;
 	// the rest is for stacks and for bytes that wait in sockets.
 	memoryShare = 0.7
-	// drainTime is how long a stopping instance goes on taking connections: the
+	// drainDuration is how long a stopping instance goes on taking connections: the
 	// balancer stops sending new ones after two failed questions, a second apart.
-	drainTime = 2200 * time.Millisecond
+	drainDuration = 2200 * time.Millisecond
 	// stopReserve is kept of the grace for the end of the process.
 	stopReserve = 700 * time.Millisecond
 )
@@ -88,7 +88,7 @@
 func newWatched(o Adapters) *store.Monitored { return store.NewMonitored(o.Store) }
 
 func newJobs(s Settings, w *store.Monitored) *celljobs.Jobs {
-	return celljobs.New(w, theCell).WithReaders(celljobs.ReadersFor(s.LinkMbps))
+	return celljobs.New(w, cellPartition).WithReaders(celljobs.ReadersFor(s.LinkMbps))
 }
 
 func newDirectory(self cellpeer.Instance, w *store.Monitored, log *logrus.Entry) *cellpeer.Directory {
@@ -100,27 +100,27 @@
 func newLeader(s Settings, o Adapters, d *cellpeer.Directory, c *cellpeer.Clients, r *relays, w *store.Monitored, jobs *celljobs.Jobs, current *catalog.Current, m *cellowner.Metrics, log *logrus.Entry) *cellleader.Leader {
 	advisers := cellpeer.NewAdvicePool(d, c, o.Adviser, r.advice())
 	newOwner := func(term uint64, earlierStopped bool, claim store.Check, l cellowner.Leadership) *cellowner.Owner {
-		settings := cell.Settings{Term: term, Lease: min(lease, s.MaxLease), PreviousOwnerStopped: earlierStopped, StopGrace: s.StopGrace,
+		settings := cell.Settings{Term: term, Lease: min(workerLease, s.MaxLease), PreviousOwnerStopped: earlierStopped, StopGrace: s.StopGrace,
 			SpareWorkers: spareWorkers, EarlyStart: s.EarlyStart, RemoteDataFactor: s.RemoteDataFactor, Disabled: s.Disabled}
 		return cellowner.New(settings, claim, cellowner.Deps{
-			Store: w, Jobs: jobs, Roster: roster.NewServiceFilter(o.Roster(w, log), namedIn(current)), Runner: r.runner(), Advisers: advisers, Catalog: current.Get,
-			Maintenance: newUpkeep(s, o, w, log), Leadership: l, Metrics: m, AcrossPartitions: s.AcrossPartitions, Log: log,
+			Store: w, Jobs: jobs, Roster: roster.NewServiceFilter(o.Roster(w, log), serviceFilter(current)), Runner: r.runner(), Advisers: advisers, Catalog: current.Get,
+			Maintenance: newMaintenance(s, o, w, log), Leadership: l, Metrics: m, AcrossPartitions: s.AcrossPartitions, Log: log,
 		})
 	}
-	return cellleader.New(theCell, d, c, w, newOwner, r, log)
+	return cellleader.New(cellPartition, d, c, w, newOwner, r, log)
 }
 
-// namedIn reports whether the catalog in force names a service; before there is one, all
+// serviceFilter reports whether the catalog in force names a service; before there is one, all
 // count as named.
-func namedIn(current *catalog.Current) func(service string) bool {
+func serviceFilter(current *catalog.Current) func(service string) bool {
 	return func(service string) bool {
 		c := current.Get()
 		return c == nil || c.HasService(service)
 	}
 }
 
-// newUpkeep returns what the owner needs for waves, or nothing where there are none.
-func newUpkeep(s Settings, o Adapters, w *store.Monitored, log *logrus.Entry) cellowner.MaintenanceDeps {
+// newMaintenance returns what the owner needs for waves, or nothing where there are none.
+func newMaintenance(s Settings, o Adapters, w *store.Monitored, log *logrus.Entry) cellowner.MaintenanceDeps {
 	if o.Fleet == nil {
 		return cellowner.MaintenanceDeps{}
 	}
@@ -131,8 +131,8 @@
 	return intake.New(jobs, w, l, f, c, intake.NewMetrics(set), log)
 }
 
-// parts is what run starts.
-type parts struct {
+// components is what run starts.
+type components struct {
 	fx.In
 	Settings  Settings
 	Adapters  Adapters
@@ -152,12 +152,12 @@
 }
 
 // run starts the parts and stops them gracefully.
-func run(lc fx.Lifecycle, p parts) {
+func run(lc fx.Lifecycle, p components) {
 	if p.Settings.MemoryMiB > 0 {
 		debug.SetMemoryLimit(int64(memoryShare * float64(p.Settings.MemoryMiB<<20)))
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	callers := newServer("callers", traffic.Callers, p.Settings.CallerListen, closing{p.Adapters.Callers(p.Intake, p.Gate, p.Log), &p.State.stopping}, p.Log)
+	callers := newServer("callers", traffic.Callers, p.Settings.CallerListen, connectionCloser{p.Adapters.Callers(p.Intake, p.Gate, p.Log), &p.State.stopping}, p.Log)
 	others := []*server{
 		newServer("ready", traffic.Peers, p.Settings.ReadyListen, readiness{p.Current, &p.State.stopping}, p.Log),
 		newServer("peers", traffic.Peers, p.Settings.PeerListen, peersHandler(p), p.Log),
@@ -197,7 +197,7 @@
 }
 
 // peersHandler serves other instances: calls, and links of an owner to this one as a relay.
-func peersHandler(p parts) http.Handler {
+func peersHandler(p components) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(relay.Path, p.Relays)
 	mux.Handle("/", cellpeer.NewServer(p.Leader, p.Jobs, p.Adapters.Adviser, p.Peers, p.Log))
@@ -206,7 +206,7 @@
 
 // stop hands the cell over, lets the balancer notice, and finishes the callers'
 // requests that are in progress.
-func (p *parts) stop(ctx context.Context, callers *server) {
+func (p *components) stop(ctx context.Context, callers *server) {
 	began := time.Now()
 	p.State.stopping.Store(true)
 	p.Log.Info("instance_stopping")
@@ -215,7 +215,7 @@
 	leaveCtx, cancel := context.WithTimeout(ctx, time.Second)
 	p.Directory.Leave(leaveCtx)
 	cancel()
-	time.Sleep(time.Until(began.Add(drainTime)))
+	time.Sleep(time.Until(began.Add(drainDuration)))
 	finishCtx, cancel := context.WithDeadline(ctx, began.Add(p.Settings.TerminationGrace-stopReserve))
 	defer cancel()
 	callers.shutdown(finishCtx)
--- a/internal/node/readiness_test.go
+++ b/internal/node/readiness_test.go
@@ -35,7 +35,7 @@
 // Failure: after a planned stop callers find their open connection broken.
 func TestStoppingInstanceClosesItsConnectionsWithTheAnswer(t *testing.T) {
 	stopping := &atomic.Bool{}
-	handler := closing{http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}), stopping}
+	handler := connectionCloser{http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}), stopping}
 	for _, want := range []string{"", "close"} {
 		answer := httptest.NewRecorder()
 		handler.ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "/", nil))
--- a/internal/node/relays.go
+++ b/internal/node/relays.go
@@ -15,20 +15,20 @@
 	*relay.Server
 	*relay.Pool
 	workers runner.Client
-	// unused says that an owner reaches workers and the adviser without relays.
-	unused bool
+	// direct says that an owner reaches workers and the adviser without relays.
+	direct bool
 }
 
 func newRelays(s Settings, o Adapters, d *cellpeer.Directory, log *logrus.Entry) *relays {
 	return &relays{
 		Server: relay.NewServer(o.Workers, o.Adviser, log), Pool: relay.NewPool(d, o.Workers, log),
-		workers: o.Workers, unused: s.Disabled.Has(cell.Relays),
+		workers: o.Workers, direct: s.Disabled.Has(cell.Relays),
 	}
 }
 
 // runner returns how an owner reaches workers.
 func (r *relays) runner() runner.Client {
-	if r.unused {
+	if r.direct {
 		return r.workers
 	}
 	return r.Pool
@@ -36,7 +36,7 @@
 
 // advice returns how an owner asks the adviser through others, or nil for calls.
 func (r *relays) advice() cellpeer.AdviceLinks {
-	if r.unused {
+	if r.direct {
 		return nil
 	}
 	return r.Pool
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -65,15 +65,15 @@
 	}
 }
 
-// closing adds "Connection: close" to answers once an instance is stopping, so
+// connectionCloser adds "Connection: close" to answers once an instance is stopping, so
 // that callers with an open connection go to another instance.
-type closing struct {
+type connectionCloser struct {
 	next     http.Handler
 	stopping *atomic.Bool
 }
 
 // ServeHTTP implements http.Handler.
-func (c closing) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c connectionCloser) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if c.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
--- a/internal/store/monitored.go
+++ b/internal/store/monitored.go
@@ -10,10 +10,10 @@
 )
 
 // overdueShare of the wait for an answer is how long a call may be unanswered
-// before the store counts as lost; overdueLeast is the least time.
+// before the store counts as lost; minOverdue is the least time.
 const (
 	overdueShare = 0.6
-	overdueLeast = 500 * time.Millisecond
+	minOverdue   = 500 * time.Millisecond
 )
 
 // Monitored is a Store that remembers how its calls went, so that an instance
@@ -24,23 +24,23 @@
 	mu sync.Mutex
 	// answeredAt is when the last call was answered.
 	answeredAt time.Time
-	// badSince is since when no call was answered, as far as the calls that have
+	// unreachableSince is since when no call was answered, as far as the calls that have
 	// failed tell, or zero.
-	badSince time.Time
-	// goodSince is when the first call was answered after a failure.
-	goodSince time.Time
+	unreachableSince time.Time
+	// reachableSince is when the first call was answered after a failure.
+	reachableSince time.Time
 	// pending are the starts of the calls under way.
-	pending  map[int]time.Time
-	next     int
-	patience *patience.AdaptiveTimeout
+	pending map[int]time.Time
+	next    int
+	timeout *patience.AdaptiveTimeout
 	// endedAt is when the last call ended, in whichever way.
 	endedAt time.Time
 }
 
 // NewMonitored returns s with its health watched.
 func NewMonitored(s Store) *Monitored {
-	return &Monitored{Store: s, answeredAt: time.Now(), goodSince: time.Now(), pending: map[int]time.Time{},
-		patience: patience.New(callPatience)}
+	return &Monitored{Store: s, answeredAt: time.Now(), reachableSince: time.Now(), pending: map[int]time.Time{},
+		timeout: patience.New(callTimeouts)}
 }
 
 // Reachable reports whether the last call was answered and none is overdue.
@@ -48,7 +48,7 @@
 
 // CallTimeout returns how long to wait for the answer to a call, from how long answers
 // have lately taken.
-func (w *Monitored) CallTimeout() time.Duration { return w.patience.Limit() }
+func (w *Monitored) CallTimeout() time.Duration { return w.timeout.Limit() }
 
 // UnreachableFor returns for how long the store has not served this instance, or 0. One
 // call without an answer counts only from the last answer to another one: its
@@ -57,10 +57,10 @@
 func (w *Monitored) UnreachableFor(now time.Time) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.badSince.IsZero() {
-		return max(1, now.Sub(w.badSince))
+	if !w.unreachableSince.IsZero() {
+		return max(1, now.Sub(w.unreachableSince))
 	}
-	overdue := max(overdueLeast, time.Duration(overdueShare*float64(w.patience.Limit())))
+	overdue := max(minOverdue, time.Duration(overdueShare*float64(w.timeout.Limit())))
 	for _, began := range w.pending {
 		if late := now.Sub(later(began, w.answeredAt)); late > overdue {
 			return late
@@ -77,7 +77,7 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return now.Sub(w.goodSince)
+	return now.Sub(w.reachableSince)
 }
 
 // Commit implements Store.
@@ -109,7 +109,7 @@
 	if wait > 0 {
 		// A feed that waits may be silent for all of its time: that says nothing.
 		page, err := w.Store.Changes(ctx, table, after, wait)
-		w.note(ctx, time.Now(), err)
+		w.recordResult(ctx, time.Now(), err)
 		return page, err
 	}
 	done := w.begin()
@@ -134,16 +134,16 @@
 		w.mu.Unlock()
 		switch {
 		case err == nil:
-			w.patience.ObserveAnswer(time.Since(began))
+			w.timeout.ObserveAnswer(time.Since(began))
 		case errors.Is(err, ErrUnknown) && errors.Is(ctx.Err(), context.DeadlineExceeded):
-			w.patience.ObserveTimeout(time.Since(began))
+			w.timeout.ObserveTimeout(time.Since(began))
 		}
-		w.note(ctx, began, err)
+		w.recordResult(ctx, began, err)
 	}
 }
 
-// note takes in how a call ended that was not answered since began.
-func (w *Monitored) note(ctx context.Context, began time.Time, err error) {
+// recordResult takes in how a call ended that was not answered since began.
+func (w *Monitored) recordResult(ctx context.Context, began time.Time, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.endedAt = time.Now()
@@ -152,14 +152,14 @@
 		w.answeredAt = time.Now()
 	}
 	switch {
-	case !failed && !w.badSince.IsZero():
-		w.badSince = time.Time{}
-		w.goodSince = time.Now()
+	case !failed && !w.unreachableSince.IsZero():
+		w.unreachableSince = time.Time{}
+		w.reachableSince = time.Now()
 	case !failed:
 	case errors.Is(ctx.Err(), context.Canceled):
 		// The caller gave up; that says nothing about the store.
-	case w.badSince.IsZero():
-		w.badSince = later(began, w.answeredAt)
+	case w.unreachableSince.IsZero():
+		w.unreachableSince = later(began, w.answeredAt)
 	}
 }
 
--- a/internal/store/monitored_test.go
+++ b/internal/store/monitored_test.go
@@ -54,27 +54,27 @@
 // Load: a store turns 60 times slower and back. The wait follows in a few calls,
 // so that calls are not given up and repeated into its queues.
 func TestPatienceFollowsASlowStore(t *testing.T) {
-	p := patience.New(callPatience)
+	p := patience.New(callTimeouts)
 	for range 50 {
 		p.ObserveAnswer(5 * time.Millisecond)
 	}
-	if got := p.Limit(); got != callPatience.Min {
+	if got := p.Limit(); got != callTimeouts.Min {
 		t.Errorf("limit %v with answers of 5 ms", got)
 	}
-	p.ObserveTimeout(callPatience.Min)
+	p.ObserveTimeout(callTimeouts.Min)
 	if got := p.Limit(); got < 700*time.Millisecond {
 		t.Errorf("limit %v after one call that was given up", got)
 	}
 	for range 20 {
 		p.ObserveAnswer(600 * time.Millisecond)
 	}
-	if got := p.Limit(); got != callPatience.Max {
+	if got := p.Limit(); got != callTimeouts.Max {
 		t.Errorf("limit %v with answers of 600 ms", got)
 	}
 	for range 60 {
 		p.ObserveAnswer(5 * time.Millisecond)
 	}
-	if got := p.Limit(); got != callPatience.Min {
+	if got := p.Limit(); got != callTimeouts.Min {
 		t.Errorf("limit %v after the slow time", got)
 	}
 }
--- a/internal/store/recovery_probe.go
+++ b/internal/store/recovery_probe.go
@@ -24,15 +24,15 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			if w.silentAt(now) {
+			if w.shouldProbe(now) {
 				go w.probe(ctx, table, partition, key)
 			}
 		}
 	}
 }
 
-// silentAt reports whether the store is lost and no call has ended lately.
-func (w *Monitored) silentAt(now time.Time) bool {
+// shouldProbe reports whether the store is lost and no call has ended lately.
+func (w *Monitored) shouldProbe(now time.Time) bool {
 	if w.UnreachableFor(now) == 0 {
 		return false
 	}
@@ -46,6 +46,6 @@
 	callCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	if _, err := w.Store.Get(callCtx, table, partition, key); err == nil {
-		w.note(callCtx, time.Now(), nil)
+		w.recordResult(callCtx, time.Now(), nil)
 	}
 }
--- a/internal/store/retrying_reader.go
+++ b/internal/store/retrying_reader.go
@@ -10,8 +10,8 @@
 	// pageTimeout bounds one attempt to read a page: a small link carries a large one in
 	// four seconds. The store's client ends one in which nothing comes.
 	pageTimeout = 5 * time.Second
-	// pageRetry is the pause after an attempt that the store refused.
-	pageRetry = 100 * time.Millisecond
+	// pageRetryInterval is the pause after an attempt that the store refused.
+	pageRetryInterval = 100 * time.Millisecond
 )
 
 // RetryingReader is a Store that reads a page again while the store does not answer or
@@ -30,7 +30,7 @@
 		select {
 		case <-ctx.Done():
 			return page, err
-		case <-time.After(pageRetry):
+		case <-time.After(pageRetryInterval):
 		}
 	}
 }
--- a/internal/store/retrying_reader_test.go
+++ b/internal/store/retrying_reader_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// moody is a store whose first reads go as told: an error at once, or nil for no answer.
-type moody struct {
+// flaky is a store whose first reads go as told: an error at once, or nil for no answer.
+type flaky struct {
 	Store
 	first []error
 	reads int
 }
 
-func (m *moody) Read(ctx context.Context, _, _, _ string) (Page, error) {
+func (m *flaky) Read(ctx context.Context, _, _, _ string) (Page, error) {
 	m.reads++
 	if m.reads > len(m.first) {
 		return Page{Version: 7}, nil
@@ -30,7 +30,7 @@
 // Failure: an owner reads the cell for ever, and nothing is planned any more.
 func TestSilentReadIsRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &moody{first: []error{nil, ErrUnavailable, nil}}
+		m := &flaky{first: []error{nil, ErrUnavailable, nil}}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		page, err := RetryingReader{m}.Read(ctx, "jobs", "cell-0/001", "")
@@ -44,24 +44,24 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), 4*time.Second)
 		defer cancel()
-		silent := &moody{first: make([]error, 100)}
+		silent := &flaky{first: make([]error, 100)}
 		if _, err := (RetryingReader{silent}).Read(ctx, "jobs", "", ""); !errors.Is(err, ErrUnknown) {
 			t.Errorf("error %v at the deadline", err)
 		}
-		other := &moody{first: []error{ErrHistoryGone}}
+		other := &flaky{first: []error{ErrHistoryGone}}
 		if _, err := (RetryingReader{other}).Read(t.Context(), "jobs", "", ""); !errors.Is(err, ErrHistoryGone) || other.reads != 1 {
 			t.Errorf("error %v after %d reads", err, other.reads)
 		}
 	})
 }
 
-// large is a store whose pages take a small link three seconds.
-type large struct {
+// slowPages is a store whose pages take a small link three seconds.
+type slowPages struct {
 	Store
 	reads int
 }
 
-func (l *large) Read(ctx context.Context, _, _, _ string) (Page, error) {
+func (l *slowPages) Read(ctx context.Context, _, _, _ string) (Page, error) {
 	l.reads++
 	select {
 	case <-time.After(3 * time.Second):
@@ -74,7 +74,7 @@
 // Failure: a new owner on a small link loads nothing, as it gives each large page up.
 func TestLargePageIsReadInOneAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := &large{}
+		l := &slowPages{}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		if page, err := (RetryingReader{l}).Read(ctx, "progress", "cell-0", ""); err != nil || page.Version != 7 || l.reads != 1 {
--- a/internal/upkeep/stage.go
+++ b/internal/upkeep/stage.go
@@ -8,8 +8,8 @@
 const (
 	// waiting machines are not touched yet.
 	waiting stage = iota
-	// emptying machines get nothing new.
-	emptying
+	// evacuating machines get nothing new.
+	evacuating
 	// ordered machines were ordered to begin, and have not answered.
 	ordered
 	// begun machines are down for their upkeep.
@@ -28,18 +28,18 @@
 	orderedAt, begunAt time.Time
 	// seenDown says that the machine was listed as down for the upkeep.
 	seenDown bool
-	// since is when it began to be emptied.
-	since time.Time
-	// sending says that an order is under way; after one without an answer the next
+	// evacuatingSince is when it began to be emptied.
+	evacuatingSince time.Time
+	// inFlight says that an order is under way; after one without an answer the next
 	// one goes out at retryAt.
-	sending bool
-	retryAt time.Time
+	inFlight bool
+	retryAt  time.Time
 }
 
-// over reports whether the upkeep of a machine that is up again is over. The next worker
+// finished reports whether the upkeep of a machine that is up again is finished. The next worker
 // may have the id of the one before, and the time when the machine was down may have gone by
 // between two lists.
-func (p *progress) over(m Machine, lasts time.Duration, now time.Time) bool {
+func (p *progress) finished(m Machine, lasts time.Duration, now time.Time) bool {
 	return m.Worker != p.worker || p.seenDown || now.Sub(p.begunAt) >= lasts
 }
 
--- a/internal/upkeep/tracker.go
+++ b/internal/upkeep/tracker.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	// emptyGuess is about how long it takes to empty a worker: stops take a while, and
+	// evacuationEstimate is about how long it takes to empty a worker: stops take a while, and
 	// lasting tasks are moved one after the other.
-	emptyGuess = 2500 * time.Millisecond
-	// emptyPatience is how long a worker is given to become empty. What cannot be
+	evacuationEstimate = 2500 * time.Millisecond
+	// evacuationTimeout is how long a worker is given to become empty. What cannot be
 	// stopped without losing its work is ended then: it would hold the wave up.
-	emptyPatience = 6 * time.Second
-	// retryPause is the time between two orders for a machine that did not answer or
+	evacuationTimeout = 6 * time.Second
+	// retryInterval is the time between two orders for a machine that did not answer or
 	// was busy; the fleet takes some dozens of calls a second from all instances.
-	retryPause = 500 * time.Millisecond
-	// usedShare of the wave's time is planned with; the rest is for machines that are
+	retryInterval = 500 * time.Millisecond
+	// plannedShare of the wave's time is planned with; the rest is for machines that are
 	// busy and for an owner that is lost meanwhile.
-	usedShare = 0.6
+	plannedShare = 0.6
 )
 
 // Tracker follows one wave. It is not safe for concurrent use.
 type Tracker struct {
 	wave Wave
-	// lasts is how long one upkeep takes.
-	lasts    time.Duration
+	// duration is how long one upkeep takes.
+	duration time.Duration
 	seenAt   time.Time
 	machines map[string]*progress
 }
@@ -33,7 +33,7 @@
 // NewTracker returns a tracker of a wave that was first seen at now. had are the
 // machines that are known to have begun already.
 func NewTracker(w Wave, lasts time.Duration, had []string, now time.Time) *Tracker {
-	t := &Tracker{wave: w, lasts: lasts, seenAt: now, machines: map[string]*progress{}}
+	t := &Tracker{wave: w, duration: lasts, seenAt: now, machines: map[string]*progress{}}
 	for _, name := range w.Machines {
 		t.machines[name] = &progress{}
 	}
@@ -53,21 +53,21 @@
 // room is gone meanwhile.
 func (t *Tracker) Plan(now time.Time, listed map[string]Machine, load func(worker string) Load) Plan {
 	t.observe(now, listed)
-	t.choose(now, listed, load)
+	t.startEvacuations(now, listed, load)
 	var plan Plan
 	free := t.wave.MaxConcurrent - t.count((*progress).down)
 	for _, name := range t.wave.Machines {
 		p := t.machines[name]
 		switch {
-		case p.stage == emptying:
+		case p.stage == evacuating:
 			plan.Evacuate = append(plan.Evacuate, p.worker)
-			if free > 0 && listed[name].Up && t.ready(p, load(p.worker), now) {
+			if free > 0 && listed[name].Up && t.mayBegin(p, load(p.worker), now) {
 				plan.Begin = append(plan.Begin, name)
 				free--
 			}
 		case p.stage == ordered:
 			plan.Evacuate = append(plan.Evacuate, p.worker)
-			if !p.sending && !now.Before(p.retryAt) {
+			if !p.inFlight && !now.Before(p.retryAt) {
 				plan.Begin = append(plan.Begin, name)
 			}
 		}
@@ -85,9 +85,9 @@
 			p.stage = done
 		case p.down() && m.InMaintenance:
 			p.seenDown = true
-		case p.stage == begun && m.Up && p.over(m, t.lasts, now):
+		case p.stage == begun && m.Up && p.finished(m, t.duration, now):
 			p.stage = done
-		case p.stage == emptying && m.Up && m.Worker != p.worker:
+		case p.stage == evacuating && m.Up && m.Worker != p.worker:
 			// The worker crashed, and its next life has to be emptied, too.
 			p.worker = m.Worker
 		case p.stage == waiting && m.InMaintenance:
@@ -98,11 +98,11 @@
 	}
 }
 
-// choose has as many machines emptied as the wave's time asks for, those with the
+// startEvacuations has as many machines emptied as the wave's time asks for, those with the
 // fewest runs first.
-func (t *Tracker) choose(now time.Time, listed map[string]Machine, load func(worker string) Load) {
-	busy := t.count(func(p *progress) bool { return p.stage == emptying || p.down() })
-	more := t.parallel(now) - busy
+func (t *Tracker) startEvacuations(now time.Time, listed map[string]Machine, load func(worker string) Load) {
+	busy := t.count(func(p *progress) bool { return p.stage == evacuating || p.down() })
+	more := t.targetParallelism(now) - busy
 	if more <= 0 {
 		return
 	}
@@ -115,28 +115,28 @@
 	}
 	sort.SliceStable(candidates, func(a, b int) bool { return candidates[a].runs < candidates[b].runs })
 	for _, chosen := range candidates[:min(more, len(candidates))] {
-		*t.machines[chosen.machine] = progress{stage: emptying, worker: chosen.worker, since: now}
+		*t.machines[chosen.machine] = progress{stage: evacuating, worker: chosen.worker, evacuatingSince: now}
 	}
 }
 
-// parallel is how many machines are in work at once: as few as still finish in time.
-func (t *Tracker) parallel(now time.Time) int {
-	planned := usedShare * t.wave.TargetDuration.Seconds()
+// targetParallelism is how many machines are in work at once: as few as still finish in time.
+func (t *Tracker) targetParallelism(now time.Time) int {
+	planned := plannedShare * t.wave.TargetDuration.Seconds()
 	if now.Sub(t.seenAt).Seconds() > planned {
 		return t.wave.MaxConcurrent
 	}
-	rounds := max(1, math.Floor(planned/(emptyGuess+t.lasts).Seconds()))
+	rounds := max(1, math.Floor(planned/(evacuationEstimate+t.duration).Seconds()))
 	needed := int(math.Ceil(float64(len(t.wave.Machines)) / rounds))
 	return max(1, min(needed, t.wave.MaxConcurrent))
 }
 
-// ready reports whether the upkeep of a machine may begin. A worker that is chosen in
+// mayBegin reports whether the upkeep of a machine may begin. A worker that is chosen in
 // this pass may still get a run until the plan is carried out.
-func (t *Tracker) ready(p *progress, l Load, now time.Time) bool {
-	if !now.After(p.since) {
+func (t *Tracker) mayBegin(p *progress, l Load, now time.Time) bool {
+	if !now.After(p.evacuatingSince) {
 		return false
 	}
-	return l.Runs == 0 || !l.Protected && now.Sub(p.since) >= emptyPatience
+	return l.Runs == 0 || !l.Protected && now.Sub(p.evacuatingSince) >= evacuationTimeout
 }
 
 func (t *Tracker) count(is func(*progress) bool) int {
@@ -152,7 +152,7 @@
 // MarkOrdered takes in that the upkeep of a machine is being ordered.
 func (t *Tracker) MarkOrdered(machine string, now time.Time) {
 	p := t.machines[machine]
-	p.stage, p.sending = ordered, true
+	p.stage, p.inFlight = ordered, true
 	if p.orderedAt.IsZero() {
 		p.orderedAt = now
 	}
@@ -162,7 +162,7 @@
 // life ended with it, and when that was ordered first.
 func (t *Tracker) MarkBegun(machine string, now time.Time) (worker string, orderedAt time.Time) {
 	p := t.machines[machine]
-	p.stage, p.sending, p.begunAt = begun, false, now
+	p.stage, p.inFlight, p.begunAt = begun, false, now
 	return p.worker, p.orderedAt
 }
 
@@ -170,13 +170,13 @@
 // repeated until it is answered.
 func (t *Tracker) MarkUnanswered(machine string, now time.Time) {
 	p := t.machines[machine]
-	p.sending, p.retryAt = false, now.Add(retryPause)
+	p.inFlight, p.retryAt = false, now.Add(retryInterval)
 }
 
 // MarkNotInWave takes in that a machine does not belong to the wave.
 func (t *Tracker) MarkNotInWave(machine string) {
 	p := t.machines[machine]
-	p.stage, p.sending = done, false
+	p.stage, p.inFlight = done, false
 }
 
 // BegunMachines returns the machines whose upkeep has begun, for an owner after this one.
--- a/internal/upkeep/tracker_test.go
+++ b/internal/upkeep/tracker_test.go
@@ -60,7 +60,7 @@
 		t.Error("ordered beside a protected run")
 	}
 	f.loads["w-m-0"] = Load{Runs: 1}
-	if plan := tracker.Plan(start.Add(emptyPatience), f.listed, f.load); len(plan.Begin) != 1 {
+	if plan := tracker.Plan(start.Add(evacuationTimeout), f.listed, f.load); len(plan.Begin) != 1 {
 		t.Error("a run that may be ended holds the wave up")
 	}
 }
@@ -74,7 +74,7 @@
 	first := tracker.Plan(now, f.listed, f.load)
 	tracker.MarkOrdered(first.Begin[0], now)
 	tracker.MarkUnanswered(first.Begin[0], now)
-	now = now.Add(retryPause)
+	now = now.Add(retryInterval)
 	again := tracker.Plan(now, f.listed, f.load)
 	if again.Completed || len(again.Begin) != 1 || again.Begin[0] != first.Begin[0] {
 		t.Errorf("after an order without an answer: %+v, want %v again and nothing else", again, first.Begin)
