--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// Catalog is one version of the operator's configuration. It does not change.
+// Catalog is one immutable version of the operator's configuration, indexed for lookups.
 type Catalog struct {
-	// Version rises with every change.
+	// Version increases with every change.
 	Version uint64
 	// MaxBodyBytes bounds the body of a submission.
 	MaxBodyBytes int64
@@ -17,8 +17,8 @@
 	byKey        map[KeyDigest]string
 }
 
-// New returns the catalog of a configuration. A key that several workspaces have opens
-// queues for the one that is named first.
+// New returns the catalog of a configuration. A key that is listed by several workspaces
+// belongs to the first of them.
 func New(content Content) *Catalog {
 	c := &Catalog{Version: content.Version, MaxBodyBytes: content.MaxBodyBytes, content: content,
 		byHost: map[string][]Queue{}, services: map[string]struct{}{}, byKey: map[KeyDigest]string{}}
@@ -43,14 +43,14 @@
 	return c
 }
 
-// HasService reports whether the configuration names a service.
+// HasService reports whether the configuration contains a service, on its own or in a queue.
 func (c *Catalog) HasService(name string) bool {
 	_, named := c.services[name]
 	return named
 }
 
-// Match returns the queue with the longest prefix of path on host, and what
-// follows the prefix.
+// Match returns the queue on host with the longest matching path prefix, and the rest of
+// the path after the prefix.
 func (c *Catalog) Match(host, path string) (*Queue, string, bool) {
 	list := c.byHost[strings.ToLower(stripPort(host))]
 	for i := range list {
@@ -61,13 +61,13 @@
 	return nil, "", false
 }
 
-// WorkspaceOf returns the name of the workspace that has a key.
+// WorkspaceOf returns the name of the workspace that a key belongs to.
 func (c *Catalog) WorkspaceOf(key KeyDigest) (string, bool) {
 	name, known := c.byKey[key]
 	return name, known
 }
 
-// Workspaces returns all workspaces. The list must not be changed.
+// Workspaces returns all workspaces. Callers must not modify the list.
 func (c *Catalog) Workspaces() []Workspace { return c.content.Workspaces }
 
 func stripPort(host string) string {
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -28,11 +28,11 @@
 	}
 }
 
-// Failure: a queue that was added is gone again, and comes back.
+// Guards against a delayed read of an older version that removes a newly added queue.
 func TestCatalogOnlyMovesUp(t *testing.T) {
 	var current Current
 	if current.Get() != nil {
-		t.Fatal("a catalog before the first one")
+		t.Fatal("a catalog is in force before the first Advance")
 	}
 	for _, test := range []struct {
 		version uint64
--- a/internal/catalog/codec.go
+++ b/internal/catalog/codec.go
@@ -6,20 +6,20 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Encode returns the bytes of a catalog for other instances.
+// Encode encodes the catalog for transfer to other instances.
 func (c *Catalog) Encode() ([]byte, error) {
 	data, err := cbor.Marshal(c.content)
 	if err != nil {
-		return nil, fmt.Errorf("catalog: %w", err)
+		return nil, fmt.Errorf("encode catalog version %d: %w", c.Version, err)
 	}
 	return data, nil
 }
 
-// Decode reads what Encode wrote.
+// Decode decodes a catalog that Encode encoded.
 func Decode(data []byte) (*Catalog, error) {
 	var content Content
 	if err := cbor.Unmarshal(data, &content); err != nil {
-		return nil, fmt.Errorf("catalog: %w", err)
+		return nil, fmt.Errorf("decode catalog of %d bytes: %w", len(data), err)
 	}
 	return New(content), nil
 }
--- a/internal/catalog/current.go
+++ b/internal/catalog/current.go
@@ -6,14 +6,15 @@
 	"gentianstand/internal/steady"
 )
 
-// Current is the catalog in force in this process. It only moves to higher
-// versions: a delayed read of an older one must not bring a removed queue back.
+// Current holds the catalog in force in this process. It only advances to higher versions: a
+// delayed read of an older version must not restore a removed queue. It is safe for concurrent
+// use.
 type Current struct{ value atomic.Pointer[View] }
 
 // Get returns the catalog in force, or nil before the first one is known.
 func (c *Current) Get() *Catalog { return c.View().Catalog }
 
-// View returns the catalog in force and when it was confirmed.
+// View returns the catalog in force and the time of its last confirmation.
 func (c *Current) View() View {
 	if v := c.value.Load(); v != nil {
 		return *v
@@ -21,8 +22,8 @@
 	return View{}
 }
 
-// Advance puts next into force and reports whether it did; an older or equal
-// version changes nothing. It confirms nothing.
+// Advance puts next into force and reports whether it did. An older or equal version changes
+// nothing. The time of the last confirmation stays as it is.
 func (c *Current) Advance(next *Catalog) bool {
 	for {
 		old := c.value.Load()
@@ -39,8 +40,8 @@
 	}
 }
 
-// Confirm notes that the catalog in force was the newest at an instant. The instant must be
-// one before the question was sent whose answer told.
+// Confirm records that the catalog in force was the newest version at an instant. The instant
+// must lie before the request was sent whose response confirmed it.
 func (c *Current) Confirm(at steady.Instant) {
 	for {
 		old := c.value.Load()
--- a/internal/catalog/key_digest.go
+++ b/internal/catalog/key_digest.go
@@ -2,8 +2,9 @@
 
 import "crypto/sha256"
 
-// KeyDigest stands for an API key. Keys themselves are not kept: a digest opens nothing.
+// KeyDigest is the SHA-256 digest of an API key. The keys themselves are not stored: a digest
+// grants no access.
 type KeyDigest [sha256.Size]byte
 
-// DigestOf returns the digest of a key.
+// DigestOf returns the digest of an API key.
 func DigestOf(key string) KeyDigest { return sha256.Sum256([]byte(key)) }
--- a/internal/catalog/queue.go
+++ b/internal/catalog/queue.go
@@ -1,5 +1,5 @@
-// Package catalog holds what the operator's configuration has in force: which host and path
-// belong to which queue, the queue's policy, and which workspaces there are.
+// Package catalog holds the operator's configuration that is in force: the queues with the
+// host, path and policy of each, and the workspaces.
 package catalog
 
 import (
@@ -8,7 +8,7 @@
 	"gentianstand/internal/job"
 )
 
-// Queue is one way in for jobs.
+// Queue is an entry point for jobs and the policy that accepted jobs get.
 type Queue struct {
 	Name string
 	// Host and PathPrefix select the queue of a request.
@@ -16,11 +16,11 @@
 	PathPrefix string
 	// Service names the pool of workers that run the tasks.
 	Service string
-	// Public says that no key is needed.
+	// Public is set if requests need no API key.
 	Public bool
 	// Timeout bounds one request to the queue.
 	Timeout time.Duration
-	// The policy that accepted jobs are given; see job.Record.
+	// The policy of accepted jobs; see job.Record.
 	Priority    int
 	MaxAttempts int
 	Stretch     float64
--- a/internal/catalog/source.go
+++ b/internal/catalog/source.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// Source is where the operator's configuration is kept.
+// Source reads the operator's configuration from where it is stored.
 type Source interface {
-	// Newest returns the configuration.
+	// Newest returns the newest configuration.
 	Newest(ctx context.Context) (Update, error)
-	// Since waits for at most wait for a configuration after a position. It
-	// returns store.ErrHistoryGone when Newest has to be used again.
+	// Since returns a configuration that is newer than a position, and waits for one for
+	// at most wait. It returns store.ErrHistoryGone if the changes since the position are
+	// no longer kept; the caller then uses Newest.
 	Since(ctx context.Context, position uint64, wait time.Duration) (Update, error)
 }
--- a/internal/catalog/update.go
+++ b/internal/catalog/update.go
@@ -1,12 +1,12 @@
 package catalog
 
-// Update is the answer to a question for the newest configuration.
+// Update is the result of a read of the configuration from its source.
 type Update struct {
-	// Catalog is nil if there is none, or no newer one.
+	// Catalog is nil if there is no configuration, or no newer one.
 	Catalog *Catalog
-	// Position is where the next question resumes.
+	// Position is where the next read resumes.
 	Position uint64
-	// Partial says that the answer did not hold all changes, so that the newest
+	// Partial is set if the response did not contain all changes, so that the newest
 	// configuration may be missing.
 	Partial bool
 }
--- a/internal/catalog/view.go
+++ b/internal/catalog/view.go
@@ -6,14 +6,14 @@
 	"gentianstand/internal/steady"
 )
 
-// View is a catalog and until when it is known to have been the newest.
+// View is a catalog and the time until which it is known to have been the newest version.
 type View struct {
 	// Catalog is nil before the first one is known.
 	Catalog *Catalog
-	// ConfirmedAt is an instant before which no change was acknowledged that the catalog
-	// lacks. It means nothing without a catalog.
+	// ConfirmedAt is an instant up to which the catalog contains every acknowledged change.
+	// It has no meaning without a catalog.
 	ConfirmedAt steady.Instant
 }
 
-// Age returns how long ago the view was last known to be the newest.
+// Age returns the time since the view was last confirmed.
 func (v View) Age(now steady.Instant) time.Duration { return now.Sub(v.ConfirmedAt) }
--- a/internal/upkeep/begun_machines.go
+++ b/internal/upkeep/begun_machines.go
@@ -7,13 +7,13 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Table has a row for each wave: the machines that have begun.
+// Table has one row per wave, which lists the machines whose maintenance has begun.
 const Table = "upkeep"
 
-// Key is the row of a wave.
+// Key returns the row key of a wave.
 func Key(wave uint64) string { return strconv.FormatUint(wave, 10) }
 
-// EncodeBegunMachines returns the bytes of a list of machines.
+// EncodeBegunMachines encodes the machines of a wave whose maintenance has begun.
 func EncodeBegunMachines(machines []string) ([]byte, error) {
 	data, err := cbor.Marshal(machines)
 	if err != nil {
--- a/internal/upkeep/candidate.go
+++ b/internal/upkeep/candidate.go
@@ -1,6 +1,6 @@
 package upkeep
 
-// candidate is a machine that may be emptied next.
+// candidate is a machine whose worker may be evacuated next.
 type candidate struct {
 	machine, worker string
 	runs            int
--- a/internal/upkeep/doc.go
+++ b/internal/upkeep/doc.go
@@ -1,10 +1,10 @@
-// Package upkeep decides how the machines of a wave get their upkeep. An operator
-// names the machines of a wave, a time within which all of them should have had it,
-// and how many may be down at once. An upkeep ends everything on its machine, so the
-// worker there is emptied first.
+// Package upkeep plans the maintenance of machines in waves. An operator names the
+// machines of a wave, the time in which all of them should be maintained, and how many
+// may be down at once. Maintenance ends everything that runs on its machine, so the
+// worker there is evacuated first.
 //
-// The flow: a Source lists the waves; the owner of the cell keeps a Tracker for each
-// one that is not completed; Tracker.Plan, which is pure, says which workers to empty
-// and for which machines to order the upkeep; a Fleet carries the orders out, and their
-// answers are told to the Tracker.
+// The flow: a Source lists the waves. The owner of the cell keeps a Tracker for each
+// wave that is not completed. Tracker.Plan, which performs no I/O, returns the workers to
+// evacuate and the machines whose maintenance is to be ordered. A Fleet carries the
+// orders out, and the owner reports their results to the Tracker.
 package upkeep
--- a/internal/upkeep/fleet.go
+++ b/internal/upkeep/fleet.go
@@ -2,12 +2,12 @@
 
 import "context"
 
-// Fleet is the platform's list of machines and takes orders about them.
+// Fleet lists the platform's machines and accepts maintenance orders for them.
 type Fleet interface {
 	// Machines lists all machines.
 	Machines(ctx context.Context) ([]Machine, error)
-	// Begin orders the upkeep of a machine. It returns nil also if the machine has
-	// had the upkeep of this wave already, one of the errors of this package, or
-	// another error after which the order may have been carried out, or may be yet.
+	// Begin orders the maintenance of a machine. It is idempotent: it also returns nil if
+	// the machine's maintenance for this wave has already begun. After any error that is
+	// not one of this package, the order may have been carried out, or may still be later.
 	Begin(ctx context.Context, o Order) error
 }
--- a/internal/upkeep/load.go
+++ b/internal/upkeep/load.go
@@ -1,10 +1,10 @@
 package upkeep
 
-// Load is what still runs on a worker that is being emptied.
+// Load describes the runs that remain on a worker that is being evacuated.
 type Load struct {
-	// Runs is how many runs there are.
+	// Runs is the number of runs on the worker.
 	Runs int
-	// Protected says that one of them must not be ended now: too many others of its
-	// step are away.
+	// Protected is set if one of the runs must not be ended now, because too many other
+	// tasks of its step are down.
 	Protected bool
 }
--- a/internal/upkeep/machine.go
+++ b/internal/upkeep/machine.go
@@ -1,12 +1,12 @@
 package upkeep
 
-// Machine is a machine as the fleet lists it. A worker is one life of a machine.
+// Machine is a machine as the fleet lists it. A worker is one incarnation of a machine.
 type Machine struct {
 	Name string
-	// Worker is the id of its worker, or empty if it has none.
+	// Worker is the ID of its worker, or empty if it has none.
 	Worker string
-	// Up says that it works; otherwise it is down, moving or has its upkeep.
+	// Up is set while the machine works; otherwise it is down, moving or in maintenance.
 	Up bool
-	// InMaintenance says that its upkeep goes on.
+	// InMaintenance is set while the machine is being maintained.
 	InMaintenance bool
 }
--- a/internal/upkeep/order.go
+++ b/internal/upkeep/order.go
@@ -1,10 +1,10 @@
 package upkeep
 
-// Order is the order of a machine's upkeep.
+// Order requests the maintenance of a machine.
 type Order struct {
 	Machine string
 	Wave    uint64
-	// Holder and Token are the instance that orders and its fencing token.
+	// Holder is the instance that sends the order, Token its fencing token.
 	Holder string
 	Token  uint64
 }
--- a/internal/upkeep/plan.go
+++ b/internal/upkeep/plan.go
@@ -1,11 +1,12 @@
 package upkeep
 
-// Plan is what to do about a wave now.
+// Plan lists the next actions for a wave.
 type Plan struct {
-	// Evacuate are the workers that get nothing new and whose runs are moved.
+	// Evacuate lists the workers that get no new runs and whose runs are moved.
 	Evacuate []string
-	// Begin are the machines whose upkeep is to be ordered.
+	// Begin lists the machines whose maintenance is to be ordered.
 	Begin []string
-	// Completed says that every machine that is still there has had its upkeep.
+	// Completed is set once the maintenance of every machine that still exists has begun
+	// or is over.
 	Completed bool
 }
--- a/internal/upkeep/stage.go
+++ b/internal/upkeep/stage.go
@@ -2,47 +2,47 @@
 
 import "time"
 
-// stage is how far a machine of a wave has come.
+// stage is the progress of a machine within its wave.
 type stage int
 
 const (
-	// waiting machines are not touched yet.
+	// waiting machines are not affected by the wave yet.
 	waiting stage = iota
-	// evacuating machines get nothing new.
+	// evacuating machines get no new runs.
 	evacuating
-	// ordered machines were ordered to begin, and have not answered.
+	// ordered machines have an order to begin that is not confirmed yet.
 	ordered
-	// begun machines are down for their upkeep.
+	// begun machines are down for maintenance.
 	begun
-	// done machines are up again, or do not belong to the wave.
+	// done machines are up again after maintenance, or do not belong to the wave.
 	done
 )
 
-// progress is what is known of one machine of a wave.
+// progress is the state of one machine of a wave.
 type progress struct {
 	stage stage
-	// worker is the id of the machine's worker before the upkeep.
+	// worker is the ID of the machine's worker before the maintenance.
 	worker string
-	// orderedAt is when the upkeep was ordered first, begunAt when it was known to have
-	// begun.
+	// orderedAt is when the maintenance was first ordered, begunAt when its start was
+	// confirmed.
 	orderedAt, begunAt time.Time
-	// seenDown says that the machine was listed as down for the upkeep.
+	// seenDown is set once the machine was listed as down for maintenance.
 	seenDown bool
-	// evacuatingSince is when it began to be emptied.
+	// evacuatingSince is when the evacuation of the worker began.
 	evacuatingSince time.Time
-	// inFlight says that an order is under way; after one without an answer the next
-	// one goes out at retryAt.
+	// inFlight is set while an order awaits its response. After an order without a
+	// response, the next one is sent at retryAt.
 	inFlight bool
 	retryAt  time.Time
 }
 
-// finished reports whether the upkeep of a machine that is up again is finished. The next worker
-// may have the id of the one before, and the time when the machine was down may have gone by
-// between two lists.
+// finished reports whether the maintenance of a machine that is up again is over. A changed
+// worker ID is not required: the next worker may have the ID of the previous one. Nor is a
+// listing as down: the machine may have been down only between two listings.
 func (p *progress) finished(m Machine, lasts time.Duration, now time.Time) bool {
 	return m.Worker != p.worker || p.seenDown || now.Sub(p.begunAt) >= lasts
 }
 
-// down reports whether the machine is or may be down for its upkeep. An order
-// without an answer may be carried out seconds later.
+// down reports whether the machine is or may be down for maintenance. An order without a
+// response may be carried out seconds later.
 func (p *progress) down() bool { return p.stage == ordered || p.stage == begun }
--- a/internal/upkeep/tracker.go
+++ b/internal/upkeep/tracker.go
@@ -7,31 +7,31 @@
 )
 
 const (
-	// evacuationEstimate is about how long it takes to empty a worker: stops take a while, and
-	// lasting tasks are moved one after the other.
+	// evacuationEstimate is the expected duration of a worker's evacuation: runs need time
+	// to stop, and long-running tasks are moved one after the other.
 	evacuationEstimate = 2500 * time.Millisecond
-	// evacuationTimeout is how long a worker is given to become empty. What cannot be
-	// stopped without losing its work is ended then: it would hold the wave up.
+	// evacuationTimeout bounds a worker's evacuation. Runs that cannot be stopped without
+	// losing work are ended then, because they would delay the wave.
 	evacuationTimeout = 6 * time.Second
-	// retryInterval is the time between two orders for a machine that did not answer or
-	// was busy; the fleet takes some dozens of calls a second from all instances.
+	// retryInterval is the time between two orders for a machine that did not respond or
+	// was busy. The fleet accepts a few dozen calls per second from all instances together.
 	retryInterval = 500 * time.Millisecond
-	// plannedShare of the wave's time is planned with; the rest is for machines that are
-	// busy and for an owner that is lost meanwhile.
+	// plannedShare is the share of the wave's target duration that the plan uses. The rest is
+	// reserved for busy machines and for a failover of the owner.
 	plannedShare = 0.6
 )
 
-// Tracker follows one wave. It is not safe for concurrent use.
+// Tracker tracks the progress of one wave. It is not safe for concurrent use.
 type Tracker struct {
 	wave Wave
-	// duration is how long one upkeep takes.
+	// duration is how long the maintenance of one machine takes.
 	duration time.Duration
 	seenAt   time.Time
 	machines map[string]*progress
 }
 
-// NewTracker returns a tracker of a wave that was first seen at now. had are the
-// machines that are known to have begun already.
+// NewTracker returns a tracker of a wave that was first seen at now. had lists the
+// machines whose maintenance is known to have begun already.
 func NewTracker(w Wave, lasts time.Duration, had []string, now time.Time) *Tracker {
 	t := &Tracker{wave: w, duration: lasts, seenAt: now, machines: map[string]*progress{}}
 	for _, name := range w.Machines {
@@ -45,12 +45,12 @@
 	return t
 }
 
-// Wave returns the wave.
+// Wave returns the wave that the tracker was created for.
 func (t *Tracker) Wave() Wave { return t.wave }
 
-// Plan says what to do now. listed are all machines by name, load tells what runs on a
-// worker. As few machines are emptied at once as still finish in the wave's time: their
-// room is gone meanwhile.
+// Plan returns the next actions for the wave. listed holds all machines by name; load
+// returns the runs that remain on a worker. Evacuated workers offer no capacity, so Plan
+// evacuates no more of them at once than the wave's target duration requires.
 func (t *Tracker) Plan(now time.Time, listed map[string]Machine, load func(worker string) Load) Plan {
 	t.observe(now, listed)
 	t.startEvacuations(now, listed, load)
@@ -76,7 +76,8 @@
 	return plan
 }
 
-// observe takes in what the fleet lists. A machine that is gone needs no upkeep.
+// observe updates the machines' progress from the fleet's listing. A machine that no longer
+// exists needs no maintenance.
 func (t *Tracker) observe(now time.Time, listed map[string]Machine) {
 	for name, p := range t.machines {
 		m, there := listed[name]
@@ -88,18 +89,18 @@
 		case p.stage == begun && m.Up && p.finished(m, t.duration, now):
 			p.stage = done
 		case p.stage == evacuating && m.Up && m.Worker != p.worker:
-			// The worker crashed, and its next life has to be emptied, too.
+			// The worker crashed. Its next incarnation has to be evacuated, too.
 			p.worker = m.Worker
 		case p.stage == waiting && m.InMaintenance:
-			// Ordered by an earlier owner.
+			// A previous owner ordered this maintenance.
 			p.stage = ordered
 			p.worker, p.seenDown = m.Worker, true
 		}
 	}
 }
 
-// startEvacuations has as many machines emptied as the wave's time asks for, those with the
-// fewest runs first.
+// startEvacuations starts as many evacuations as the wave's target duration requires, on the
+// machines with the fewest runs first.
 func (t *Tracker) startEvacuations(now time.Time, listed map[string]Machine, load func(worker string) Load) {
 	busy := t.count(func(p *progress) bool { return p.stage == evacuating || p.down() })
 	more := t.targetParallelism(now) - busy
@@ -119,7 +120,8 @@
 	}
 }
 
-// targetParallelism is how many machines are in work at once: as few as still finish in time.
+// targetParallelism returns how many machines to evacuate or maintain at once: the smallest
+// number with which the wave still finishes in time.
 func (t *Tracker) targetParallelism(now time.Time) int {
 	planned := plannedShare * t.wave.TargetDuration.Seconds()
 	if now.Sub(t.seenAt).Seconds() > planned {
@@ -130,8 +132,8 @@
 	return max(1, min(needed, t.wave.MaxConcurrent))
 }
 
-// mayBegin reports whether the upkeep of a machine may begin. A worker that is chosen in
-// this pass may still get a run until the plan is carried out.
+// mayBegin reports whether the maintenance of a machine may begin. A worker that was chosen in
+// this pass may still get a run before the plan is carried out, so it waits for the next pass.
 func (t *Tracker) mayBegin(p *progress, l Load, now time.Time) bool {
 	if !now.After(p.evacuatingSince) {
 		return false
@@ -149,7 +151,7 @@
 	return n
 }
 
-// MarkOrdered takes in that the upkeep of a machine is being ordered.
+// MarkOrdered records that an order for the maintenance of a machine is being sent.
 func (t *Tracker) MarkOrdered(machine string, now time.Time) {
 	p := t.machines[machine]
 	p.stage, p.inFlight = ordered, true
@@ -158,28 +160,29 @@
 	}
 }
 
-// MarkBegun takes in that the upkeep of a machine was begun, and returns the worker whose
-// life ended with it, and when that was ordered first.
+// MarkBegun records that the maintenance of a machine has begun. It returns the worker that
+// ended with it and the time of the first order.
 func (t *Tracker) MarkBegun(machine string, now time.Time) (worker string, orderedAt time.Time) {
 	p := t.machines[machine]
 	p.stage, p.inFlight, p.begunAt = begun, false, now
 	return p.worker, p.orderedAt
 }
 
-// MarkUnanswered takes in that an order may have been carried out, or may be yet. It is
-// repeated until it is answered.
+// MarkUnanswered records that an order may have been carried out or may still be. The order
+// is retried until it is answered.
 func (t *Tracker) MarkUnanswered(machine string, now time.Time) {
 	p := t.machines[machine]
 	p.inFlight, p.retryAt = false, now.Add(retryInterval)
 }
 
-// MarkNotInWave takes in that a machine does not belong to the wave.
+// MarkNotInWave records that a machine does not belong to the wave.
 func (t *Tracker) MarkNotInWave(machine string) {
 	p := t.machines[machine]
 	p.stage, p.inFlight = done, false
 }
 
-// BegunMachines returns the machines whose upkeep has begun, for an owner after this one.
+// BegunMachines returns the machines whose maintenance has begun. The list is stored, so that
+// the next owner resumes the wave.
 func (t *Tracker) BegunMachines() []string {
 	var names []string
 	for _, name := range t.wave.Machines {
--- a/internal/upkeep/tracker_test.go
+++ b/internal/upkeep/tracker_test.go
@@ -10,7 +10,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// fleet is a world of machines that the tests move by hand.
+// fleet is a set of machines whose state the tests set directly.
 type fleet struct {
 	listed map[string]Machine
 	loads  map[string]Load
@@ -38,7 +38,8 @@
 	f.listed[name] = Machine{Name: name, Worker: worker, Up: up, InMaintenance: !up}
 }
 
-// Failure: tasks are ended by an upkeep although their worker was to be emptied.
+// Guards against a maintenance that ends runs which were assigned to the worker between its
+// choice for evacuation and the order.
 func TestUpkeepIsNotOrderedInThePassThatChoosesAWorker(t *testing.T) {
 	f := newFleet(1)
 	tracker := f.tracker(1, 10*time.Second)
@@ -50,22 +51,23 @@
 	}
 }
 
-// Failure: lasting tasks of one step are gone together.
+// Guards against an outage of a step: too many of its long-running tasks are ended together.
 func TestProtectedRunsHoldAnUpkeepBack(t *testing.T) {
 	f := newFleet(1)
 	f.loads["w-m-0"] = Load{Runs: 1, Protected: true}
 	tracker := f.tracker(1, 10*time.Second)
 	tracker.Plan(start, f.listed, f.load)
 	if plan := tracker.Plan(start.Add(time.Hour), f.listed, f.load); len(plan.Begin) > 0 {
-		t.Error("ordered beside a protected run")
+		t.Error("maintenance ordered while a protected run remains")
 	}
 	f.loads["w-m-0"] = Load{Runs: 1}
 	if plan := tracker.Plan(start.Add(evacuationTimeout), f.listed, f.load); len(plan.Begin) != 1 {
-		t.Error("a run that may be ended holds the wave up")
+		t.Error("maintenance not ordered after the evacuation timeout without a protected run")
 	}
 }
 
-// Failure: a wave is reported as completed while a machine has had no upkeep.
+// Guards against a wave that is reported as completed without the maintenance of a machine
+// whose order was not answered.
 func TestOrderWithoutAnAnswerIsRepeated(t *testing.T) {
 	f := newFleet(2)
 	tracker := f.tracker(1, 10*time.Second)
@@ -81,7 +83,7 @@
 	}
 }
 
-// Failure: a new owner empties machines that have had their upkeep.
+// Guards against a new owner that evacuates machines which were already maintained.
 func TestNextOwnerGoesOnWithTheRest(t *testing.T) {
 	f := newFleet(3)
 	tracker := NewTracker(Wave{Number: 1, Machines: f.names, TargetDuration: time.Second, MaxConcurrent: 3}, 2*time.Second, []string{"m-1", "m-2"}, start)
@@ -90,19 +92,19 @@
 	}
 }
 
-// Failure: a wave never ends.
+// Guards against a wave that never completes because one of its machines no longer exists.
 func TestMachineThatIsGoneNeedsNoUpkeep(t *testing.T) {
 	f := newFleet(1)
 	tracker := f.tracker(1, time.Second)
 	delete(f.listed, "m-0")
 	if !tracker.Plan(start, f.listed, f.load).Completed {
-		t.Error("the wave waits for a machine that is gone")
+		t.Error("the wave waits for a machine that no longer exists")
 	}
 }
 
-// TestWavesKeepTheirLimit plays random waves on a fleet whose answers get lost and whose
-// orders are carried out late, and checks that no more machines are down than the wave
-// allows, that none begins twice, and that the wave ends with every machine done.
+// TestWavesKeepTheirLimit runs random waves on a fleet that loses answers and carries some
+// orders out late. It checks that no more machines are down than the wave allows, that none
+// begins twice, and that the wave completes with every machine maintained.
 func TestWavesKeepTheirLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newFleet(rapid.IntRange(1, 12).Draw(rt, "machines"))
@@ -127,20 +129,20 @@
 				return
 			}
 		}
-		rt.Fatalf("the wave does not end: %d of %d", len(w.had), len(f.names))
+		rt.Fatalf("the wave does not complete: %d of %d machines maintained", len(w.had), len(f.names))
 	})
 }
 
-// waveWorld carries out orders, at once, late, or without an answer.
+// waveWorld simulates a fleet that carries orders out at once, late, or without an answer.
 type waveWorld struct {
 	rt     *rapid.T
 	fleet  *fleet
 	atOnce int
 	upAt   map[string]time.Time
 	had    map[string]bool
-	// sameIDs says that workers start again under their ids.
+	// sameIDs is set if workers restart under the same IDs.
 	sameIDs bool
-	// late are orders that are yet to be carried out.
+	// late holds the orders that are still to be carried out, with their times.
 	late map[string]time.Time
 }
 
@@ -191,8 +193,8 @@
 	}
 }
 
-// Guards against a wave that never ends: a machine whose worker starts again under its id
-// after the upkeep looks like one that is still down.
+// Guards against a wave that never completes: a machine whose worker restarts under the same ID
+// after the maintenance cannot be distinguished by ID from one that is still down.
 func TestUpkeepIsOverWhenTheWorkerIsBackUnderItsID(t *testing.T) {
 	f := newFleet(2)
 	tracker := f.tracker(1, 10*time.Second)
