--- a/internal/store/call_timeouts.go
+++ b/internal/store/call_timeouts.go
@@ -6,11 +6,10 @@
 	"gentianstand/internal/patience"
 )
 
-// callTimeouts bounds the wait for the answer to a call. The least is about what a store
-// that has just become slow needs; the most leaves time for one more attempt within a
-// caller's three seconds. The usual duration has to rise within a few calls: calls that
-// are made again too early lengthen the queues of a slow store, but those on a connection
-// that went silent should be made again soon.
+// callTimeouts configures the adaptive timeout of calls. The minimum is about what a store
+// needs that has just become slow. The maximum leaves time for one retry within a caller's
+// 3 seconds. The timeout has to adapt within a few calls: retries that come too early
+// lengthen the queues of a slow store, but calls on a dead connection should be retried soon.
 var callTimeouts = patience.Settings{
 	Min: 450 * time.Millisecond, Max: 2200 * time.Millisecond, Factor: 6, AnswerWeight: 0.1, TimeoutWeight: 0.3,
 }
--- a/internal/store/monitored.go
+++ b/internal/store/monitored.go
@@ -9,35 +9,35 @@
 	"gentianstand/internal/patience"
 )
 
-// overdueShare of the wait for an answer is how long a call may be unanswered
-// before the store counts as lost; minOverdue is the least time.
+// A pending call is overdue, and the store counts as unreachable, after overdueShare of the
+// call timeout, but not before minOverdue.
 const (
 	overdueShare = 0.6
 	minOverdue   = 500 * time.Millisecond
 )
 
-// Monitored is a Store that remembers how its calls went, so that an instance
-// knows at once when the store does not serve it.
+// Monitored is a Store that tracks the results of its calls, so that an instance detects at
+// once when the store is unreachable for it. It is safe for concurrent use.
 type Monitored struct {
 	Store
 
 	mu sync.Mutex
 	// answeredAt is when the last call was answered.
 	answeredAt time.Time
-	// unreachableSince is since when no call was answered, as far as the calls that have
-	// failed tell, or zero.
+	// unreachableSince is the time since which failed calls show that none was answered,
+	// or zero if the last call was answered.
 	unreachableSince time.Time
-	// reachableSince is when the first call was answered after a failure.
+	// reachableSince is when the first call after a failure was answered.
 	reachableSince time.Time
-	// pending are the starts of the calls under way.
+	// pending holds the start times of the calls in progress.
 	pending map[int]time.Time
 	next    int
 	timeout *patience.AdaptiveTimeout
-	// endedAt is when the last call ended, in whichever way.
+	// endedAt is when the last call ended, with or without an answer.
 	endedAt time.Time
 }
 
-// NewMonitored returns s with its health watched.
+// NewMonitored wraps s in a Monitored store. The store counts as reachable until a call fails.
 func NewMonitored(s Store) *Monitored {
 	return &Monitored{Store: s, answeredAt: time.Now(), reachableSince: time.Now(), pending: map[int]time.Time{},
 		timeout: patience.New(callTimeouts)}
@@ -46,14 +46,14 @@
 // Reachable reports whether the last call was answered and none is overdue.
 func (w *Monitored) Reachable() bool { return w.UnreachableFor(time.Now()) == 0 }
 
-// CallTimeout returns how long to wait for the answer to a call, from how long answers
-// have lately taken.
+// CallTimeout returns how long to wait for the answer to a call. It adapts to the duration of
+// recent calls.
 func (w *Monitored) CallTimeout() time.Duration { return w.timeout.Limit() }
 
-// UnreachableFor returns for how long the store has not served this instance, or 0. One
-// call without an answer counts only from the last answer to another one: its
-// connection may have gone silent alone, and in a slow store
-// some calls take more than half a second while others are answered.
+// UnreachableFor returns for how long the store has been unreachable from this instance, or 0.
+// The time of an unanswered call counts only from the last answer to another call: its
+// connection alone may be dead, and in a slow store some calls take more than 0.5 seconds
+// while others are answered.
 func (w *Monitored) UnreachableFor(now time.Time) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -69,8 +69,7 @@
 	return 0
 }
 
-// ReachableFor returns for how long the store has served this instance without a
-// failure, or 0.
+// ReachableFor returns for how long the store has been reachable without a failure, or 0.
 func (w *Monitored) ReachableFor(now time.Time) time.Duration {
 	if w.UnreachableFor(now) > 0 {
 		return 0
@@ -107,7 +106,8 @@
 // Changes implements Store.
 func (w *Monitored) Changes(ctx context.Context, table string, after uint64, wait time.Duration) (Page, error) {
 	if wait > 0 {
-		// A feed that waits may be silent for all of its time: that says nothing.
+		// A feed may legitimately wait for its whole time, so the call is not pending:
+		// it must not count as overdue or affect the adaptive timeout.
 		page, err := w.Store.Changes(ctx, table, after, wait)
 		w.recordResult(ctx, time.Now(), err)
 		return page, err
@@ -118,9 +118,9 @@
 	return page, err
 }
 
-// begin books a call and returns what to call with its result. A call that was given up
-// makes the next ones wait longer, also if no other call was answered meanwhile: in a
-// store that turns slow all calls may be given up before the first answer comes.
+// begin registers a call as pending and returns the function that records its result. A call
+// that timed out raises the timeout of the next ones even if no other call was answered: when a
+// store becomes slow, all calls may time out before the first answer arrives.
 func (w *Monitored) begin() func(context.Context, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -142,7 +142,8 @@
 	}
 }
 
-// recordResult takes in how a call ended that was not answered since began.
+// recordResult updates the store's health with the result of a call that was pending since
+// began.
 func (w *Monitored) recordResult(ctx context.Context, began time.Time, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -157,7 +158,7 @@
 		w.reachableSince = time.Now()
 	case !failed:
 	case errors.Is(ctx.Err(), context.Canceled):
-		// The caller gave up; that says nothing about the store.
+		// The caller cancelled the call, which is no evidence about the store.
 	case w.unreachableSince.IsZero():
 		w.unreachableSince = later(began, w.answeredAt)
 	}
--- a/internal/store/monitored_test.go
+++ b/internal/store/monitored_test.go
@@ -9,7 +9,7 @@
 	"gentianstand/internal/patience"
 )
 
-// scripted answers calls as a test says.
+// scripted is a store whose commits take a set time and return a set error.
 type scripted struct {
 	Store
 	err  error
@@ -25,12 +25,13 @@
 	}
 }
 
-// Failure: callers were held until their deadline while the store was known to be lost.
-func TestWatchedRemembersHowTheLastCallWent(t *testing.T) {
+// Guards against callers that are held until their deadline although the store is known to be
+// unreachable.
+func TestReachableFollowsTheLastCall(t *testing.T) {
 	s := &scripted{}
 	w := NewMonitored(s)
 	if !w.Reachable() {
-		t.Error("lost before any call")
+		t.Error("unreachable before any call")
 	}
 	s.err = ErrUnavailable
 	_, _ = w.Commit(t.Context(), Tx{}) // its error is scripted
@@ -40,20 +41,20 @@
 	s.err = &ConflictError{}
 	_, _ = w.Commit(t.Context(), Tx{}) // as above
 	if !w.Reachable() {
-		t.Error("lost although a conflict is an answer")
+		t.Error("unreachable after a conflict, which is an answer")
 	}
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
 	s.took = time.Minute
 	_, _ = w.Commit(cancelled, Tx{}) // as above
 	if !w.Reachable() {
-		t.Error("lost because a caller gave up")
+		t.Error("unreachable after a caller cancelled")
 	}
 }
 
-// Load: a store turns 60 times slower and back. The wait follows in a few calls,
-// so that calls are not given up and repeated into its queues.
-func TestPatienceFollowsASlowStore(t *testing.T) {
+// Guards against retries that lengthen the queues of a slow store: the store becomes 60 times
+// slower and recovers, and the timeout has to adapt within a few calls.
+func TestCallTimeoutAdaptsToASlowStore(t *testing.T) {
 	p := patience.New(callTimeouts)
 	for range 50 {
 		p.ObserveAnswer(5 * time.Millisecond)
@@ -63,7 +64,7 @@
 	}
 	p.ObserveTimeout(callTimeouts.Min)
 	if got := p.Limit(); got < 700*time.Millisecond {
-		t.Errorf("limit %v after one call that was given up", got)
+		t.Errorf("limit %v after one call that timed out", got)
 	}
 	for range 20 {
 		p.ObserveAnswer(600 * time.Millisecond)
@@ -75,13 +76,13 @@
 		p.ObserveAnswer(5 * time.Millisecond)
 	}
 	if got := p.Limit(); got != callTimeouts.Min {
-		t.Errorf("limit %v after the slow time", got)
+		t.Errorf("limit %v after the store recovered", got)
 	}
 }
 
-// Failure: in a store 60 times slower the owner was overtaken, and the cell stood still
-// for 2.6 s.
-func TestOneSlowCallBesideAnsweredOnesIsNoLoss(t *testing.T) {
+// Guards against a needless failover: in a store 60 times slower the owner was superseded
+// because of single slow calls, and the cell made no progress for 2.6 s.
+func TestOneSlowCallBesideAnsweredOnesIsNoOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &scripted{took: 2 * time.Second}
 		w := NewMonitored(s)
@@ -92,16 +93,17 @@
 			s.took = time.Millisecond
 			_, _ = w.Commit(t.Context(), Tx{}) // as above
 		}
-		if lost := w.UnreachableFor(time.Now()); lost > 0 {
-			t.Errorf("lost for %v", lost)
+		if unreachable := w.UnreachableFor(time.Now()); unreachable > 0 {
+			t.Errorf("unreachable for %v", unreachable)
 		}
 		time.Sleep(time.Second)
 		synctest.Wait()
 	})
 }
 
-// Failure: an owner that was cut off from the store kept the cell for 1.7 s.
-func TestALossCountsFromTheLastAnswer(t *testing.T) {
+// Guards against a late failover: an owner that was partitioned from the store kept the cell
+// for 1.7 s.
+func TestOutageCountsFromTheLastAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &scripted{took: time.Hour}
 		w := NewMonitored(s)
@@ -111,8 +113,8 @@
 			_, _ = w.Commit(ctx, Tx{}) // its result is scripted
 			cancel()
 		}
-		if lost := w.UnreachableFor(time.Now()); lost < time.Since(began) {
-			t.Errorf("lost for %v, %v after the last answer", lost, time.Since(began))
+		if unreachable := w.UnreachableFor(time.Now()); unreachable < time.Since(began) {
+			t.Errorf("unreachable for %v, %v after the last answer", unreachable, time.Since(began))
 		}
 	})
 }
--- a/internal/store/page.go
+++ b/internal/store/page.go
@@ -1,11 +1,11 @@
 package store
 
-// Page is the answer to a read.
+// Page is one page of rows from a range or from the feed of changes.
 type Page struct {
 	Rows []Row
-	// More says that the range or the feed goes on after the last row.
+	// More is set if the range or the feed continues after the last row.
 	More bool
-	// Version is the store's newest version as of the answer. A feed resumes
+	// Version is the store's newest version at the time of the response. A feed resumes
 	// from it.
 	Version uint64
 }
--- a/internal/store/put.go
+++ b/internal/store/put.go
@@ -3,7 +3,7 @@
 // Put sets the value of a row.
 type Put struct {
 	Table string
-	// Partition is that of the row, or empty for that of the transaction.
+	// Partition is the partition of the row, or empty for the transaction's partition.
 	Partition string
 	Key       string
 	Value     []byte
--- a/internal/store/read_all.go
+++ b/internal/store/read_all.go
@@ -2,8 +2,8 @@
 
 import "context"
 
-// ReadAll returns all rows of a partition and the version of the first page,
-// from which a feed misses nothing that the later pages did not show.
+// ReadAll returns all rows of a partition and the version of the first page. A feed that
+// resumes from this version covers all changes that the later pages may lack.
 func ReadAll(ctx context.Context, s Store, table, partition string) ([]Row, uint64, error) {
 	page, err := s.Read(ctx, table, partition, "")
 	if err != nil {
--- a/internal/store/recovery_probe.go
+++ b/internal/store/recovery_probe.go
@@ -6,16 +6,17 @@
 )
 
 const (
-	// probePeriod is how often a lost store is asked whether it is back.
+	// probePeriod is the interval between probes of an unreachable store.
 	probePeriod = 250 * time.Millisecond
-	// probeTimeout bounds one such question: a store may have come back slow, and the next
-	// question goes out meanwhile.
+	// probeTimeout bounds one probe. It is longer than probePeriod, because a store may be
+	// slow after an outage; the next probe is sent in the meantime.
 	probeTimeout = 800 * time.Millisecond
 )
 
-// ProbeRecovery asks a lost store for a row, until ctx ends, so that its return is known
-// soon and callers are not refused needlessly. Where calls fail at once there are others
-// that ask often enough.
+// ProbeRecovery reads a row periodically while the store is unreachable, until ctx ends, so
+// that the end of an outage is detected soon and callers are not refused longer than needed.
+// It sends no probes while other calls keep ending (for example fail at once): those detect
+// the recovery themselves.
 func (w *Monitored) ProbeRecovery(ctx context.Context, table, partition, key string) {
 	ticker := time.NewTicker(probePeriod)
 	defer ticker.Stop()
@@ -31,7 +32,8 @@
 	}
 }
 
-// shouldProbe reports whether the store is lost and no call has ended lately.
+// shouldProbe reports whether the store is unreachable and no call has ended within the last
+// probePeriod.
 func (w *Monitored) shouldProbe(now time.Time) bool {
 	if w.UnreachableFor(now) == 0 {
 		return false
@@ -41,7 +43,8 @@
 	return now.Sub(w.endedAt) >= probePeriod
 }
 
-// probe makes one call that teaches nothing but whether the store answers.
+// probe makes one call and records only whether the store answers; it doesn't affect the
+// adaptive timeout.
 func (w *Monitored) probe(ctx context.Context, table, partition, key string) {
 	callCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
--- a/internal/store/recovery_probe_test.go
+++ b/internal/store/recovery_probe_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// outage is silent until it ends, and answers after that.
+// outage is a store that answers no call until the outage ends.
 type outage struct {
 	Store
 	ends time.Time
@@ -26,8 +26,8 @@
 	return 1, err
 }
 
-// Failure: callers are refused for 0.75 s after a silent store is back.
-func TestReturnOfASilentStoreIsNoticedSoon(t *testing.T) {
+// Guards against callers that are refused for 0.75 s after the end of an outage.
+func TestRecoveryIsDetectedSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -36,32 +36,32 @@
 		go w.ProbeRecovery(ctx, "t", "p", "k")
 		callCtx, giveUp := context.WithTimeout(ctx, time.Second)
 		defer giveUp()
-		_, _ = w.Commit(callCtx, Tx{}) // it is silent
+		_, _ = w.Commit(callCtx, Tx{}) // not answered
 		if w.Reachable() {
-			t.Fatal("the loss is not noticed")
+			t.Fatal("the outage is not detected")
 		}
 		time.Sleep(time.Until(o.ends) + 2*probePeriod)
 		if !w.Reachable() {
-			t.Error("the return is not noticed")
+			t.Error("the recovery is not detected")
 		}
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// Failure: in a store that has turned 100 times slower commits and submissions are made
-// again and again, and none is answered in time.
-func TestCallsGivenUpTeachPatienceThoughNobodyWasAnswered(t *testing.T) {
+// Guards against a retry storm: the store becomes 100 times slower, every commit and submission
+// times out and is retried, and none is answered in time.
+func TestTimedOutCallsRaiseTheCallTimeoutWithoutAnyAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const slowAnswer = 700 * time.Millisecond
 		w := NewMonitored(&scripted{took: slowAnswer})
 		for range 2 {
 			callCtx, giveUp := context.WithTimeout(t.Context(), w.CallTimeout())
-			_, _ = w.Commit(callCtx, Tx{}) // it is given up, or answered late
+			_, _ = w.Commit(callCtx, Tx{}) // times out, or is answered late
 			giveUp()
 		}
 		if got := w.CallTimeout(); got <= slowAnswer {
-			t.Errorf("waits %v for answers that take %v", got, slowAnswer)
+			t.Errorf("timeout %v for answers that take %v", got, slowAnswer)
 		}
 	})
 }
--- a/internal/store/retrying_reader.go
+++ b/internal/store/retrying_reader.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// pageTimeout bounds one attempt to read a page: a small link carries a large one in
-	// four seconds. The store's client ends one in which nothing comes.
+	// pageTimeout bounds one attempt to read a page. A large page takes 4 seconds on a slow
+	// link. If no data arrives, the store's client ends the attempt sooner.
 	pageTimeout = 5 * time.Second
-	// pageRetryInterval is the pause after an attempt that the store refused.
+	// pageRetryInterval is the pause before a failed read is retried.
 	pageRetryInterval = 100 * time.Millisecond
 )
 
-// RetryingReader is a Store that reads a page again while the store does not answer or
-// refuses, until the context ends. Contexts therefore need a deadline. A connection that
-// has lost an answer never delivers another one, so a read without a limit could last for
-// ever.
+// RetryingReader is a Store whose reads are retried until the context ends if the store refuses
+// or does not answer. Contexts therefore need a deadline. Each attempt has a timeout of its own,
+// because a connection that has lost a response delivers no further one: a read without a
+// limit could block indefinitely.
 type RetryingReader struct{ Store }
 
 // Read implements Store.
--- a/internal/store/retrying_reader_test.go
+++ b/internal/store/retrying_reader_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// flaky is a store whose first reads go as told: an error at once, or nil for no answer.
+// flaky is a store whose first reads are scripted: an error is returned at once, and nil means
+// that the read is not answered.
 type flaky struct {
 	Store
 	first []error
@@ -27,8 +28,8 @@
 	return Page{}, ErrUnknown
 }
 
-// Failure: an owner reads the cell for ever, and nothing is planned any more.
-func TestSilentReadIsRepeated(t *testing.T) {
+// Guards against an owner that blocks on an unanswered read of the cell and plans nothing.
+func TestUnansweredReadIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &flaky{first: []error{nil, ErrUnavailable, nil}}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
@@ -44,8 +45,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), 4*time.Second)
 		defer cancel()
-		silent := &flaky{first: make([]error, 100)}
-		if _, err := (RetryingReader{silent}).Read(ctx, "jobs", "", ""); !errors.Is(err, ErrUnknown) {
+		unanswered := &flaky{first: make([]error, 100)}
+		if _, err := (RetryingReader{unanswered}).Read(ctx, "jobs", "", ""); !errors.Is(err, ErrUnknown) {
 			t.Errorf("error %v at the deadline", err)
 		}
 		other := &flaky{first: []error{ErrHistoryGone}}
@@ -55,7 +56,7 @@
 	})
 }
 
-// slowPages is a store whose pages take a small link three seconds.
+// slowPages is a store whose pages take 3 seconds on a slow link.
 type slowPages struct {
 	Store
 	reads int
@@ -71,7 +72,8 @@
 	}
 }
 
-// Failure: a new owner on a small link loads nothing, as it gives each large page up.
+// Guards against a new owner on a slow link that times out on every large page and loads
+// nothing.
 func TestLargePageIsReadInOneAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &slowPages{}
--- a/internal/store/row_key.go
+++ b/internal/store/row_key.go
@@ -1,6 +1,6 @@
 package store
 
-// RowKey names a row of the transaction's partition.
+// RowKey identifies a row of the transaction's partition.
 type RowKey struct {
 	Table string
 	Key   string
--- a/internal/store/tx.go
+++ b/internal/store/tx.go
@@ -1,10 +1,10 @@
 package store
 
-// MaxEntries is how many checks, puts and removals one transaction may hold.
+// MaxEntries is the maximum number of checks, puts and removals in one transaction.
 const MaxEntries = 100
 
-// Tx is a conditional write of rows of one partition, or of several where the store
-// allows it; see Put.
+// Tx is a conditional, atomic write of rows in one partition, or in several where the store
+// supports it; see Put.
 type Tx struct {
 	Partition string
 	Checks    []Check
