--- a/internal/celljobs/commit_retry.go
+++ b/internal/celljobs/commit_retry.go
@@ -30,7 +30,7 @@
 // because in a store that has become slow a new attempt would take longer than the answer to the
 // first.
 type attempts struct {
-	store   *store.Watched
+	store   *store.Monitored
 	tx      store.Tx
 	results chan attemptResult
 	open    int
@@ -59,7 +59,7 @@
 		if done, version, err := a.await(ctx); done {
 			return version, err
 		}
-		if lost := j.store.LostFor(time.Now()); lost > storeLossLimit {
+		if lost := j.store.UnreachableFor(time.Now()); lost > storeLossLimit {
 			return 0, fmt.Errorf("%w: it has been lost for %s", store.ErrUnknown, lost.Round(time.Millisecond))
 		}
 	}
@@ -74,7 +74,7 @@
 // send starts a further attempt.
 func (a *attempts) send(ctx context.Context) {
 	a.open++
-	limit := attemptTimeoutFactor * a.store.Limit()
+	limit := attemptTimeoutFactor * a.store.CallTimeout()
 	go func() {
 		callCtx, cancel := context.WithTimeout(ctx, limit)
 		defer cancel()
@@ -85,7 +85,7 @@
 
 // await waits until an attempt resolves the outcome, or until the next attempt is due.
 func (a *attempts) await(ctx context.Context) (done bool, version uint64, err error) {
-	next := time.NewTimer(a.store.Limit())
+	next := time.NewTimer(a.store.CallTimeout())
 	defer next.Stop()
 	for {
 		select {
--- a/internal/celljobs/read.go
+++ b/internal/celljobs/read.go
@@ -45,7 +45,7 @@
 		wg.Go(func() {
 			for n := range next {
 				r := &results[n]
-				r.rows, r.version, r.err = store.ReadAll(ctx, store.Persistent{Store: j.store}, TableJobs, partitionName(j.cell, n))
+				r.rows, r.version, r.err = store.ReadAll(ctx, store.RetryingReader{Store: j.store}, TableJobs, partitionName(j.cell, n))
 			}
 		})
 	}
--- a/internal/cellleader/follow.go
+++ b/internal/cellleader/follow.go
@@ -96,8 +96,8 @@
 	l.refusals = 0
 	l.mu.Unlock()
 	lost := time.Duration(reply.StoreLostMillis) * time.Millisecond
-	limit := max(storeLossTimeout, l.store.Limit(), l.currentSuspicion(now).timeout()) + l.takeOverDelay(known.Term)
-	if lost > limit && l.store.GoodFor(now) > storeRecoverySkew {
+	limit := max(storeLossTimeout, l.store.CallTimeout(), l.currentSuspicion(now).timeout()) + l.takeOverDelay(known.Term)
+	if lost > limit && l.store.ReachableFor(now) > storeRecoverySkew {
 		l.tryTakeOver(ctx, known, takeOver{reason: "the owner does not reach the store", unresponsive: true})
 	}
 }
@@ -120,7 +120,7 @@
 	if now.Sub(suspicion.since) < ownerTimeout+l.takeOverDelay(known.Term) {
 		return
 	}
-	if !l.surveyInstances(ctx, known, seenWithin).allowsTakeOver(l.store.GoodFor(time.Now())) {
+	if !l.surveyInstances(ctx, known, seenWithin).allowsTakeOver(l.store.ReachableFor(time.Now())) {
 		return
 	}
 	l.tryTakeOver(ctx, known, takeOver{reason: "the owner is silent", unresponsive: true})
--- a/internal/cellowner/commit_test.go
+++ b/internal/cellowner/commit_test.go
@@ -66,7 +66,7 @@
 	o, order := ownerOfOne(t, client)
 	rows := &delayingStore{rows: map[string]store.Row{}}
 	o.deps.Store = rows
-	o.deps.Jobs = celljobs.New(store.NewWatched(rows), "cell-0")
+	o.deps.Jobs = celljobs.New(store.NewMonitored(rows), "cell-0")
 	o.start(t.Context(), order)
 	client.running = []runner.RunState{{Task: order.Start.Task, Run: order.Start.Run, Percent: 50, Checkpoint: "half"}}
 	o.pollWorker(t, client)
@@ -92,7 +92,7 @@
 	o, _ := ownerOfOne(t, client)
 	rows := &delayingStore{rows: map[string]store.Row{}, delay: true}
 	o.deps.Store = rows
-	o.deps.Jobs = celljobs.New(store.NewWatched(rows), "cell-0")
+	o.deps.Jobs = celljobs.New(store.NewMonitored(rows), "cell-0")
 	o.cell.Cancel("00000000000000aa", time.Now())
 	o.commitOnce(t.Context())
 	rows.delay = false
--- a/internal/cellowner/flush_test.go
+++ b/internal/cellowner/flush_test.go
@@ -15,7 +15,7 @@
 	o, _ := ownerOfOne(t, &lossyWorker{})
 	rows := &delayingStore{rows: map[string]store.Row{}}
 	o.deps.Store = rows
-	o.deps.Jobs = celljobs.New(store.NewWatched(rows), "cell-0")
+	o.deps.Jobs = celljobs.New(store.NewMonitored(rows), "cell-0")
 	o.cell.PollFailed("w", runner.ErrNoAnswer, time.Now())
 	o.Flush(t.Context())
 	stored := 0
--- a/internal/cellowner/load_test.go
+++ b/internal/cellowner/load_test.go
@@ -45,7 +45,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		log, _ := logtest.NewNullLogger()
 		s := &stalledStore{until: time.Now().Add(outage)}
-		o := New(cell.Settings{Term: 1}, store.Check{}, Deps{Store: s, Jobs: celljobs.New(store.NewWatched(s), "cell"), Roster: s,
+		o := New(cell.Settings{Term: 1}, store.Check{}, Deps{Store: s, Jobs: celljobs.New(store.NewMonitored(s), "cell"), Roster: s,
 			Leadership: confirmedLeadership{}, Metrics: NewMetrics(metrics.NewSet()), Log: log})
 		began := time.Now()
 		err = o.load(t.Context())
--- a/internal/cellowner/maintenance_controller.go
+++ b/internal/cellowner/maintenance_controller.go
@@ -28,7 +28,7 @@
 func (c *maintenanceController) readWaves(ctx context.Context) {
 	callCtx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	waves, err := c.Source.Open(callCtx)
+	waves, err := c.Source.Unfinished(callCtx)
 	if err != nil {
 		c.owner.deps.Log.WithError(err).Debug("waves_not_read")
 		return
@@ -57,8 +57,8 @@
 		c.owner.deps.Log.WithField("wave", w.Number).WithError(err).Info("wave_not_followed")
 		return
 	}
-	c.owner.deps.Log.WithFields(logrus.Fields{"wave": w.Number, "machines": len(w.Machines), "at_once": w.AtOnce,
-		"within_ms": w.Within.Milliseconds(), "begun": len(begun)}).Info("wave_followed")
+	c.owner.deps.Log.WithFields(logrus.Fields{"wave": w.Number, "machines": len(w.Machines), "at_once": w.MaxConcurrent,
+		"within_ms": w.TargetDuration.Milliseconds(), "begun": len(begun)}).Info("wave_followed")
 	c.trackers[w.Number] = upkeep.NewTracker(w, c.Duration, begun, time.Now())
 	c.report(ctx, w.Number, false)
 }
@@ -86,7 +86,7 @@
 	var orders []upkeep.Order
 	for number, t := range c.trackers {
 		plan := t.Plan(time.Now(), listed, c.owner.cell.WorkerLoad)
-		empty = append(empty, plan.Empty...)
+		empty = append(empty, plan.Evacuate...)
 		if plan.Completed {
 			c.complete(ctx, t)
 		}
@@ -95,7 +95,7 @@
 			continue
 		}
 		for _, machine := range plan.Begin {
-			t.Sending(machine, time.Now())
+			t.MarkOrdered(machine, time.Now())
 			orders = append(orders, upkeep.Order{Machine: machine, Wave: number, Holder: c.Holder, Token: c.owner.term})
 		}
 	}
@@ -150,7 +150,7 @@
 	}
 	for number, stored := range changed {
 		if stored {
-			c.owner.storeBegunMachines(ctx, number, c.trackers[number].Had())
+			c.owner.storeBegunMachines(ctx, number, c.trackers[number].BegunMachines())
 		}
 	}
 }
@@ -162,16 +162,16 @@
 	switch {
 	case a.err == nil:
 		now := time.Now()
-		worker, orderedAt := t.Begun(a.order.Machine, now)
+		worker, orderedAt := t.MarkBegun(a.order.Machine, now)
 		c.owner.cell.WorkerTerminated(worker, orderedAt, now)
 		log.WithField("worker", worker).Info("upkeep_begun")
 		return true
-	case errors.Is(a.err, upkeep.ErrNotConcerned):
-		t.Unneeded(a.order.Machine)
+	case errors.Is(a.err, upkeep.ErrNotInWave):
+		t.MarkNotInWave(a.order.Machine)
 	case errors.Is(a.err, upkeep.ErrFenced):
 		c.owner.deps.Leadership.Superseded("the fleet has seen a higher fencing token")
 	default:
-		t.Unanswered(a.order.Machine, time.Now())
+		t.MarkUnanswered(a.order.Machine, time.Now())
 	}
 	log.WithError(a.err).Info("upkeep_not_begun")
 	return false
--- a/internal/cellowner/maintenance_store.go
+++ b/internal/cellowner/maintenance_store.go
@@ -14,14 +14,14 @@
 	if err != nil || row.Version == 0 {
 		return nil, err
 	}
-	return upkeep.DecodeHad(row.Value)
+	return upkeep.DecodeBegunMachines(row.Value)
 }
 
 // storeBegunMachines stores the machines of a wave whose maintenance has begun. If that fails,
 // the next owner evacuates them again, and the fleet then answers that they have had their
 // maintenance.
 func (o *Owner) storeBegunMachines(ctx context.Context, wave uint64, begun []string) {
-	value, err := upkeep.EncodeHad(begun)
+	value, err := upkeep.EncodeBegunMachines(begun)
 	if err == nil {
 		callCtx, cancel := context.WithTimeout(ctx, readTimeout)
 		defer cancel()
--- a/internal/cellowner/maintenance_test.go
+++ b/internal/cellowner/maintenance_test.go
@@ -19,7 +19,7 @@
 	completed bool
 }
 
-func (o *oneWave) Open(context.Context) ([]upkeep.Wave, error) {
+func (o *oneWave) Unfinished(context.Context) ([]upkeep.Wave, error) {
 	if o.completed {
 		return nil, nil
 	}
@@ -79,8 +79,8 @@
 	t.Helper()
 	o, _ := ownerOfOne(t, &lossyWorker{})
 	o.term = 7
-	o.deps.Store, o.deps.Leadership, o.deps.Jobs = kept, l, celljobs.New(store.NewWatched(kept), "cell")
-	source := &oneWave{wave: upkeep.Wave{Number: 3, Machines: []string{"m-1"}, Within: time.Second, AtOnce: 1}}
+	o.deps.Store, o.deps.Leadership, o.deps.Jobs = kept, l, celljobs.New(store.NewMonitored(kept), "cell")
+	source := &oneWave{wave: upkeep.Wave{Number: 3, Machines: []string{"m-1"}, TargetDuration: time.Second, MaxConcurrent: 1}}
 	f.machines = []upkeep.Machine{{Name: "m-1", Worker: "idle", Up: true}}
 	c := &maintenanceController{owner: o, startedAt: time.Now().Add(-age), trackers: map[uint64]*upkeep.Tracker{},
 		MaintenanceDeps: MaintenanceDeps{Source: source, Fleet: f, Holder: "edge-1", HolderLease: 3 * time.Second}}
@@ -102,7 +102,7 @@
 	if !source.completed || len(c.trackers) > 0 {
 		t.Errorf("completed %v, %d trackers left", source.completed, len(c.trackers))
 	}
-	if had, err := upkeep.DecodeHad(kept.row.Value); err != nil || !slices.Equal(had, []string{"m-1"}) {
+	if had, err := upkeep.DecodeBegunMachines(kept.row.Value); err != nil || !slices.Equal(had, []string{"m-1"}) {
 		t.Errorf("stored %v, %v", had, err)
 	}
 }
--- a/internal/cellowner/poison_test.go
+++ b/internal/cellowner/poison_test.go
@@ -31,7 +31,7 @@
 		}
 		rows = append(rows, store.Row{Key: celljobs.JobKey(r.ID), Value: value, Version: 1})
 	}
-	o := New(cell.Settings{Term: 1}, store.Check{}, Deps{Log: log, Jobs: celljobs.New(store.NewWatched(&delayingStore{}), "cell-0")})
+	o := New(cell.Settings{Term: 1}, store.Check{}, Deps{Log: log, Jobs: celljobs.New(store.NewMonitored(&delayingStore{}), "cell-0")})
 	o.loadJobs(rows, []store.Row{{Key: noSuchTask.ID, Value: kept, Version: 1}})
 	o.applyJobRows(rows)
 	if _, known := o.Cell().Status(sound.ID); !known {
--- a/internal/cellowner/stored_state.go
+++ b/internal/cellowner/stored_state.go
@@ -23,7 +23,7 @@
 }
 
 func (s *storedState) readProgress(ctx context.Context, d Deps) {
-	rows, _, err := store.ReadAll(ctx, store.Persistent{Store: d.Store}, celljobs.TableProgress, d.Jobs.ProgressPartition())
+	rows, _, err := store.ReadAll(ctx, store.RetryingReader{Store: d.Store}, celljobs.TableProgress, d.Jobs.ProgressPartition())
 	if err != nil {
 		s.progressErr = fmt.Errorf("read progress: %w", err)
 	}
--- a/internal/cellpeer/directory.go
+++ b/internal/cellpeer/directory.go
@@ -121,8 +121,8 @@
 }
 
 // WatchStore detects the recovery of a lost store by reading this instance's own row.
-func (d *Directory) WatchStore(ctx context.Context, s *store.Watched) {
-	s.WatchReturn(ctx, tableInstances, "", d.self.Name)
+func (d *Directory) WatchStore(ctx context.Context, s *store.Monitored) {
+	s.ProbeRecovery(ctx, tableInstances, "", d.self.Name)
 }
 
 // register writes this instance's row, with retries until it succeeds or ctx ends.
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -56,9 +56,9 @@
 func (s *Server) instanceStatus(inst live.Instance) InstanceStatus {
 	st := InstanceStatus{Instance: inst.Process.Instance, Zone: inst.Zone, Address: inst.Address, Config: inst.ConfigVersion, Stopping: inst.Stopping}
 	if inst.Process == s.identity.Process {
-		st.Heard, st.Config = true, s.config.Number()
+		st.Reachable, st.Config = true, s.config.Number()
 	} else if remote, ok := s.hub.Remote(inst.Process.Instance); ok && !remote.HeardAt.IsZero() {
-		st.Heard = s.hub.HeardLately(inst.Process.Instance)
+		st.Reachable = s.hub.HeardLately(inst.Process.Instance)
 		st.Config = max(st.Config, remote.ConfigNumber)
 	}
 	return st
@@ -67,7 +67,7 @@
 // warnings names work that no worker could hold, as far as this instance can
 // tell from the planner's runs. The fleet changes, so it is no mistake.
 func (s *Server) warnings(text *spec.Text) []string {
-	largest := s.largest()
+	largest := s.largestWorker()
 	if largest.IsZero() {
 		return nil
 	}
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -51,7 +51,7 @@
 // Intake accepts, cancels and reports jobs of callers.
 type Intake struct {
 	jobs      *celljobs.Jobs
-	store     *store.Watched
+	store     *store.Monitored
 	ownership Ownership
 	clients   *cellpeer.Clients
 	finder    *cellpeer.StoreFinder
@@ -64,7 +64,7 @@
 }
 
 // New returns an Intake.
-func New(jobs *celljobs.Jobs, s *store.Watched, o Ownership, f *cellpeer.StoreFinder, c *cellpeer.Clients, m *Metrics, log logrus.FieldLogger) *Intake {
+func New(jobs *celljobs.Jobs, s *store.Monitored, o Ownership, f *cellpeer.StoreFinder, c *cellpeer.Clients, m *Metrics, log logrus.FieldLogger) *Intake {
 	return &Intake{jobs: jobs, store: s, ownership: o, clients: c, finder: f, metrics: m, log: log,
 		queries: newSemaphore(maxOwnerCalls), notifications: newSemaphore(maxOwnerCalls),
 		waiting: waitingCounts{byQueue: map[string]waitingCount{}}}
@@ -268,7 +268,7 @@
 func (i *Intake) faultFromStore(err error) error {
 	if errors.Is(err, store.ErrUnavailable) {
 		after := outageRetryAfter
-		if i.store.LostFor(time.Now()) > longOutage {
+		if i.store.UnreachableFor(time.Now()) > longOutage {
 			after = longOutageRetryAfter
 		}
 		return fault.New(fault.PlatformUnavailable, "the store: %w", err).WithRetryAfter(after)
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -27,12 +27,12 @@
 type testInstance struct {
 	intake *intake.Intake
 	jobs   *celljobs.Jobs
-	store  *store.Watched
+	store  *store.Monitored
 	proxy  *standin.Proxy
 }
 
 // noOwner is the Ownership of an instance that knows no owner.
-type noOwner struct{ store *store.Watched }
+type noOwner struct{ store *store.Monitored }
 
 func (o noOwner) Ping(*cellpb.PingRequest) *cellpb.PingReply {
 	return &cellpb.PingReply{StoreOk: o.store.Reachable()}
@@ -80,7 +80,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(proxy.Close)
-	e := &testInstance{proxy: proxy, store: store.NewWatched(platform.NewStore(proxy.Address()))}
+	e := &testInstance{proxy: proxy, store: store.NewMonitored(platform.NewStore(proxy.Address()))}
 	e.jobs = celljobs.New(e.store, "cell-0")
 	server := httptest.NewServer(cellpeer.NewServer(noOwner{e.store}, e.jobs, nil, nil, log))
 	t.Cleanup(server.Close)
--- a/internal/node/catalog_follower_test.go
+++ b/internal/node/catalog_follower_test.go
@@ -26,19 +26,19 @@
 	err     error
 }
 
-func (s *scripted) next(call string) (catalog.News, error) {
+func (s *scripted) next(call string) (catalog.Update, error) {
 	s.asked = append(s.asked, call)
 	a := s.answers[0]
 	s.answers = s.answers[1:]
 	if a.err != nil || a.version == 0 {
-		return catalog.News{Position: a.at}, a.err
+		return catalog.Update{Position: a.at}, a.err
 	}
-	return catalog.News{Catalog: catalog.New(catalog.Content{Version: a.version}), Position: a.at}, nil
+	return catalog.Update{Catalog: catalog.New(catalog.Content{Version: a.version}), Position: a.at}, nil
 }
 
-func (s *scripted) Newest(context.Context) (catalog.News, error) { return s.next("newest") }
+func (s *scripted) Newest(context.Context) (catalog.Update, error) { return s.next("newest") }
 
-func (s *scripted) Since(_ context.Context, _ uint64, wait time.Duration) (catalog.News, error) {
+func (s *scripted) Since(_ context.Context, _ uint64, wait time.Duration) (catalog.Update, error) {
 	s.waits = append(s.waits, wait)
 	return s.next("since")
 }
@@ -67,9 +67,9 @@
 	f, source, hook := followerOf(scriptedAnswer{version: 1, at: 10}, scriptedAnswer{err: store.ErrUnavailable},
 		scriptedAnswer{err: store.ErrUnavailable}, scriptedAnswer{at: 11})
 	for range 4 {
-		f.note(f.step(t.Context()))
+		f.logTransition(f.step(t.Context()))
 	}
-	if want := []time.Duration{catalogWait, catalogProbe, catalogProbe}; len(source.waits) != 3 || source.waits[0] != want[0] || source.waits[2] != want[2] {
+	if want := []time.Duration{feedWait, probeWait, probeWait}; len(source.waits) != 3 || source.waits[0] != want[0] || source.waits[2] != want[2] {
 		t.Errorf("waits %v, want %v", source.waits, want)
 	}
 	var events []string
@@ -81,15 +81,15 @@
 	}
 }
 
-// narrow is a source whose catalog takes a small link three seconds.
-type narrow struct{ scripted }
+// slowLinkSource is a source whose catalog takes a small link three seconds.
+type slowLinkSource struct{ scripted }
 
-func (n *narrow) Newest(ctx context.Context) (catalog.News, error) {
+func (n *slowLinkSource) Newest(ctx context.Context) (catalog.Update, error) {
 	select {
 	case <-time.After(3 * time.Second):
 		return n.scripted.Newest(ctx)
 	case <-ctx.Done():
-		return catalog.News{}, store.ErrUnknown
+		return catalog.Update{}, store.ErrUnknown
 	}
 }
 
@@ -97,7 +97,7 @@
 func TestLargeCatalogIsReadInOneAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, _ := logtest.NewNullLogger()
-		source := &narrow{scripted{answers: []scriptedAnswer{{version: 1, at: 10}}}}
+		source := &slowLinkSource{scripted{answers: []scriptedAnswer{{version: 1, at: 10}}}}
 		f := newCatalogFollower(newCatalogReader(source, &catalog.Current{}, log), nil, access.Policy{}, log)
 		if err := f.step(t.Context()); err != nil || f.reader.current.Get() == nil || f.reader.current.Get().Version != 1 {
 			t.Errorf("error %v, catalog %+v", err, f.reader.current.Get())
--- a/internal/node/catalog_peers_test.go
+++ b/internal/node/catalog_peers_test.go
@@ -15,22 +15,24 @@
 	"gentianstand/internal/store"
 )
 
-// serving is an instance that the store serves.
-type serving struct{ cellpeer.CellOwner }
+// servedInstance is an instance that the store serves.
+type servedInstance struct{ cellpeer.CellOwner }
 
-func (serving) Ping(*cellpb.PingRequest) *cellpb.PingReply { return &cellpb.PingReply{StoreOk: true} }
+func (servedInstance) Ping(*cellpb.PingRequest) *cellpb.PingReply {
+	return &cellpb.PingReply{StoreOk: true}
+}
 
-// listing is a store that lists one other instance.
-type listing struct {
+// directoryStore is a store that lists one other instance.
+type directoryStore struct {
 	store.Store
 	rows []store.Row
 }
 
-func (l *listing) Commit(context.Context, store.Tx) (uint64, error) { return 1, nil }
-func (l *listing) Read(context.Context, string, string, string) (store.Page, error) {
+func (l *directoryStore) Commit(context.Context, store.Tx) (uint64, error) { return 1, nil }
+func (l *directoryStore) Read(context.Context, string, string, string) (store.Page, error) {
 	return store.Page{Rows: l.rows, Version: 1}, nil
 }
-func (l *listing) Changes(context.Context, string, uint64, time.Duration) (store.Page, error) {
+func (l *directoryStore) Changes(context.Context, string, uint64, time.Duration) (store.Page, error) {
 	return store.Page{Version: 1}, nil
 }
 
@@ -39,17 +41,17 @@
 func TestViewIsConfirmedByAnotherInstance(t *testing.T) {
 	log, _ := logtest.NewNullLogger()
 	// The clocks of the two instances have nothing to do with one another.
-	theirs := &slowSource{now: steady.Instant(time.Hour), news: catalog.News{Position: 5, Catalog: catalog.New(catalog.Content{Version: 4,
+	theirs := &slowSource{now: steady.Instant(time.Hour), news: catalog.Update{Position: 5, Catalog: catalog.New(catalog.Content{Version: 4,
 		Workspaces: []catalog.Workspace{{Name: "north", Keys: []catalog.KeyDigest{catalog.DigestOf("k")}}}})}}
 	peer := readerOf(theirs)
 	if err := peer.read(t.Context(), 0); err != nil {
 		t.Fatal(err)
 	}
 	theirs.now = theirs.now.Add(400 * time.Millisecond)
-	server := httptest.NewServer(cellpeer.NewServer(serving{}, nil, nil, &catalogPeers{reader: peer}, log))
+	server := httptest.NewServer(cellpeer.NewServer(servedInstance{}, nil, nil, &catalogPeers{reader: peer}, log))
 	defer server.Close()
 
-	directory := cellpeer.NewDirectory(cellpeer.Instance{Name: "here"}, &listing{rows: []store.Row{instanceRow(t, "there", server.Listener.Addr().String())}}, log)
+	directory := cellpeer.NewDirectory(cellpeer.Instance{Name: "here"}, &directoryStore{rows: []store.Row{instanceRow(t, "there", server.Listener.Addr().String())}}, log)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go directory.Run(ctx)
--- a/internal/store/persistent_test.go
+++ b/internal/store/retrying_reader_test.go
@@ -8,14 +8,15 @@
 	"time"
 )
 
-// moody is a store whose first reads go as told: an error at once, or nil for no answer.
-type moody struct {
+// flaky is a store whose first reads are scripted: an error is returned at once, and nil means
+// that the read is not answered.
+type flaky struct {
 	Store
 	first []error
 	reads int
 }
 
-func (m *moody) Read(ctx context.Context, _, _, _ string) (Page, error) {
+func (m *flaky) Read(ctx context.Context, _, _, _ string) (Page, error) {
 	m.reads++
 	if m.reads > len(m.first) {
 		return Page{Version: 7}, nil
@@ -27,13 +28,13 @@
 	return Page{}, ErrUnknown
 }
 
-// Failure: an owner reads the cell for ever, and nothing is planned any more.
-func TestSilentReadIsRepeated(t *testing.T) {
+// Guards against an owner that blocks on an unanswered read of the cell and plans nothing.
+func TestUnansweredReadIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &moody{first: []error{nil, ErrUnavailable, nil}}
+		m := &flaky{first: []error{nil, ErrUnavailable, nil}}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		page, err := Persistent{m}.Read(ctx, "jobs", "cell-0/001", "")
+		page, err := RetryingReader{m}.Read(ctx, "jobs", "cell-0/001", "")
 		if err != nil || page.Version != 7 || m.reads != 4 {
 			t.Errorf("page %+v, error %v after %d reads", page, err, m.reads)
 		}
@@ -44,24 +45,24 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), 4*time.Second)
 		defer cancel()
-		silent := &moody{first: make([]error, 100)}
-		if _, err := (Persistent{silent}).Read(ctx, "jobs", "", ""); !errors.Is(err, ErrUnknown) {
+		unanswered := &flaky{first: make([]error, 100)}
+		if _, err := (RetryingReader{unanswered}).Read(ctx, "jobs", "", ""); !errors.Is(err, ErrUnknown) {
 			t.Errorf("error %v at the deadline", err)
 		}
-		other := &moody{first: []error{ErrHistoryGone}}
-		if _, err := (Persistent{other}).Read(t.Context(), "jobs", "", ""); !errors.Is(err, ErrHistoryGone) || other.reads != 1 {
+		other := &flaky{first: []error{ErrHistoryGone}}
+		if _, err := (RetryingReader{other}).Read(t.Context(), "jobs", "", ""); !errors.Is(err, ErrHistoryGone) || other.reads != 1 {
 			t.Errorf("error %v after %d reads", err, other.reads)
 		}
 	})
 }
 
-// large is a store whose pages take a small link three seconds.
-type large struct {
+// slowPages is a store whose pages take 3 seconds on a slow link.
+type slowPages struct {
 	Store
 	reads int
 }
 
-func (l *large) Read(ctx context.Context, _, _, _ string) (Page, error) {
+func (l *slowPages) Read(ctx context.Context, _, _, _ string) (Page, error) {
 	l.reads++
 	select {
 	case <-time.After(3 * time.Second):
@@ -71,13 +72,14 @@
 	}
 }
 
-// Failure: a new owner on a small link loads nothing, as it gives each large page up.
+// Guards against a new owner on a slow link that times out on every large page and loads
+// nothing.
 func TestLargePageIsReadInOneAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := &large{}
+		l := &slowPages{}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		if page, err := (Persistent{l}).Read(ctx, "progress", "cell-0", ""); err != nil || page.Version != 7 || l.reads != 1 {
+		if page, err := (RetryingReader{l}).Read(ctx, "progress", "cell-0", ""); err != nil || page.Version != 7 || l.reads != 1 {
 			t.Errorf("page %+v, error %v after %d reads", page, err, l.reads)
 		}
 	})
