--- a/internal/entry/keyed.go
+++ b/internal/entry/keyed.go
@@ -13,7 +13,7 @@
 // key if that is here, else by passing it on to the home.
 func (s *Server) serveKeyed(ctx context.Context, w http.ResponseWriter, c *call) error {
 	view := s.view()
-	home := idempotency.HomeOf(c.service.Name, c.key, shardNames(view))
+	home := idempotency.OwningShard(c.service.Name, c.key, shardNames(view))
 	if home == "" {
 		return fault.New(fault.Overloaded, "no shard is known yet")
 	}
@@ -46,7 +46,7 @@
 	if err != nil {
 		return err
 	}
-	keep := &keeper{limit: idempotency.MaxKeptBody}
+	keep := &keeper{limit: idempotency.MaxStoredBody}
 	recorder := &statusRecorder{ResponseWriter: w}
 	ended := false
 	defer func() {
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -37,7 +37,7 @@
 	store    *config.Store
 	trail    *audit.Trail
 	table    platform.Table
-	register *idempotency.Register
+	register *idempotency.Registry
 	runs     Runs
 	view     func() live.View
 	ready    func() error
--- a/internal/idempotency/home.go
+++ b/internal/idempotency/home.go
@@ -6,9 +6,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// HomeOf returns the shard that is home to a key, by rendezvous hashing: when
+// OwningShard returns the shard that is home to a key, by rendezvous hashing: when
 // shards come or go, only their own keys move.
-func HomeOf(service, key string, shards []string) string {
+func OwningShard(service, key string, shards []string) string {
 	home, highest := "", uint64(0)
 	for _, shard := range slices.Sorted(slices.Values(shards)) {
 		if h := xxhash.Sum64String(shard + "\x00" + service + "\x00" + key); home == "" || h > highest {
--- a/internal/idempotency/limits.go
+++ b/internal/idempotency/limits.go
@@ -8,8 +8,8 @@
 	Retention = 15 * time.Minute
 	// maxKeys bounds the keys of one shard.
 	maxKeys = 200_000
-	// MaxKeptBody bounds the answers that are kept for repeats, in bytes.
-	MaxKeptBody = 4 << 10
+	// MaxStoredBody bounds the answers that are kept for repeats, in bytes.
+	MaxStoredBody = 4 << 10
 	// maxBatch bounds the rows of one write.
 	maxBatch = 200
 	// writeTimeout bounds a write.
--- a/internal/idempotency/loader.go
+++ b/internal/idempotency/loader.go
@@ -11,7 +11,7 @@
 
 // loadShards reads the keys of shards that were taken over, once the owners
 // before have certainly stopped.
-func (r *Register) loadShards(ctx context.Context) {
+func (r *Registry) loadShards(ctx context.Context) {
 	now := time.Now()
 	for name, s := range r.unready(now) {
 		records, err := r.load(ctx, name, s.held.Shard.Epoch)
@@ -26,12 +26,12 @@
 	}
 }
 
-func (r *Register) unready(now time.Time) map[string]*shardKeys {
+func (r *Registry) unready(now time.Time) map[string]*shardKeys {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	list := map[string]*shardKeys{}
 	for name, s := range r.shards {
-		if !s.ready && !now.Before(s.held.PredecessorsStop(r.timing)) {
+		if !s.ready && !now.Before(s.held.PredecessorsStoppedBy(r.timing)) {
 			list[name] = s
 		}
 	}
@@ -39,7 +39,7 @@
 }
 
 // load reads the rows of a shard and the objects of earlier epochs.
-func (r *Register) load(ctx context.Context, shard string, epoch uint64) (map[string]*Record, error) {
+func (r *Registry) load(ctx context.Context, shard string, epoch uint64) (map[string]*Record, error) {
 	records := map[string]*Record{}
 	for e := epochsBack(epoch); e < epoch; e++ {
 		if err := r.loadSegments(ctx, shard, e, records); err != nil {
@@ -73,7 +73,7 @@
 	return epoch - maxEpochsBack
 }
 
-func (r *Register) loadSegments(ctx context.Context, shard string, epoch uint64, records map[string]*Record) error {
+func (r *Registry) loadSegments(ctx context.Context, shard string, epoch uint64, records map[string]*Record) error {
 	for n := 0; ; n++ {
 		data, err := r.objects.GetObject(ctx, segmentKey(shard, epoch, n))
 		if err != nil {
--- a/internal/idempotency/register.go
+++ b/internal/idempotency/register.go
@@ -16,9 +16,9 @@
 	"gentianstand/internal/platform"
 )
 
-// Register keeps the keys of the shards that this process owns. It is safe for
+// Registry keeps the keys of the shards that this process owns. It is safe for
 // concurrent use.
-type Register struct {
+type Registry struct {
 	process string
 	timing  membership.Timing
 	table   platform.Table
@@ -39,9 +39,9 @@
 	written     chan error
 }
 
-// NewRegister returns a Register without shards.
-func NewRegister(process live.Process, timing membership.Timing, table platform.Table, objects platform.Objects, rights Rights, set *metrics.Set, log *logrus.Entry) *Register {
-	return &Register{
+// NewRegistry returns a Register without shards.
+func NewRegistry(process live.Process, timing membership.Timing, table platform.Table, objects platform.Objects, rights Rights, set *metrics.Set, log *logrus.Entry) *Registry {
+	return &Registry{
 		process: process.String(), timing: timing, table: table, objects: objects, rights: rights, log: log,
 		starts: make(chan start, 1024), shards: map[string]*shardKeys{},
 		writes: set.NewCounter("gentianstand_key_writes_total"),
@@ -49,12 +49,12 @@
 }
 
 // SetHeld takes in which shards this process owns.
-func (r *Register) SetHeld(held []ownership.Held) {
+func (r *Registry) SetHeld(held []ownership.HeldShard) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	next := map[string]*shardKeys{}
 	for _, h := range held {
-		if !h.GivenAt.IsZero() || h.Shard.Name == live.PlannerShard {
+		if !h.HandedOverAt.IsZero() || h.Shard.Name == live.PlannerShard {
 			continue
 		}
 		s, ok := r.shards[h.Shard.Name]
@@ -71,7 +71,7 @@
 // the key is kept; the caller must then call End or Release. Otherwise the
 // error says what is known of the key, and the response, if not nil, is what
 // the first request was answered.
-func (r *Register) Begin(ctx context.Context, shard, service, key string) (*Response, error) {
+func (r *Registry) Begin(ctx context.Context, shard, service, key string) (*Response, error) {
 	s, name, err := r.await(ctx, shard, service, key)
 	if err != nil {
 		return s, err
@@ -92,7 +92,7 @@
 
 // await is enter, but for a few seconds after a shard has changed hands it
 // waits until the keys let go before are known.
-func (r *Register) await(ctx context.Context, shard, service, key string) (*Response, string, error) {
+func (r *Registry) await(ctx context.Context, shard, service, key string) (*Response, string, error) {
 	for {
 		response, name, err := r.enter(shard, service, key)
 		if !errors.Is(err, errTakingOver) {
@@ -107,7 +107,7 @@
 }
 
 // enter marks a key as started in memory, or says why not.
-func (r *Register) enter(shard, service, key string) (*Response, string, error) {
+func (r *Registry) enter(shard, service, key string) (*Response, string, error) {
 	now := time.Now()
 	name := nameOf(service, key)
 	r.mu.Lock()
@@ -130,7 +130,7 @@
 	return nil, name, nil
 }
 
-func (r *Register) known(rec *Record) error {
+func (r *Registry) known(rec *Record) error {
 	switch {
 	case rec.State == Ended:
 		return fault.New(fault.AlreadyRan, "the request of this key was executed at %s", rec.At.Format(time.RFC3339))
@@ -143,14 +143,14 @@
 
 // End notes how the request of a key ended: Ended if an upstream answered,
 // Unknown if it may have run. response may be nil; a large one is not kept.
-func (r *Register) End(shard, service, key string, state State, response *Response) {
+func (r *Registry) End(shard, service, key string, state State, response *Response) {
 	r.update(shard, service, key, func(s *shardKeys, name string) {
 		rec, ok := s.records[name]
 		if !ok {
 			return
 		}
 		rec.State = state
-		if response != nil && len(response.Body) <= MaxKeptBody {
+		if response != nil && len(response.Body) <= MaxStoredBody {
 			rec.Response = response
 		}
 		s.dirty[name] = true
@@ -158,7 +158,7 @@
 }
 
 // Release forgets a key whose request certainly did not run.
-func (r *Register) Release(shard, service, key string) {
+func (r *Registry) Release(shard, service, key string) {
 	r.update(shard, service, key, func(s *shardKeys, name string) {
 		delete(s.records, name)
 		delete(s.dirty, name)
@@ -166,7 +166,7 @@
 	})
 }
 
-func (r *Register) update(shard, service, key string, f func(*shardKeys, string)) {
+func (r *Registry) update(shard, service, key string, f func(*shardKeys, string)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if s, ok := r.shards[shard]; ok {
--- a/internal/idempotency/shard.go
+++ b/internal/idempotency/shard.go
@@ -9,7 +9,7 @@
 // shardKeys is what this process knows of the keys of one shard that it owns.
 // The Register's lock guards it.
 type shardKeys struct {
-	held    ownership.Held
+	held    ownership.HeldShard
 	ready   bool
 	records map[string]*Record
 	// dirty holds names whose records are to be written to the table.
@@ -20,7 +20,7 @@
 	segments int
 }
 
-func newShardKeys(held ownership.Held) *shardKeys {
+func newShardKeys(held ownership.HeldShard) *shardKeys {
 	return &shardKeys{held: held, records: map[string]*Record{}, dirty: map[string]bool{}, gone: map[string]bool{}}
 }
 
--- a/internal/idempotency/writer.go
+++ b/internal/idempotency/writer.go
@@ -13,7 +13,7 @@
 
 // Run writes keys until ctx ends. Starts that arrive while a write is under
 // way go together with the next one, so a burst costs few writes.
-func (r *Register) Run(ctx context.Context) {
+func (r *Registry) Run(ctx context.Context) {
 	ticker := time.NewTicker(flushPeriod)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
@@ -29,7 +29,7 @@
 	}
 }
 
-func (r *Register) gather(first start) []start {
+func (r *Registry) gather(first start) []start {
 	batch := []start{first}
 	for len(batch) < maxBatch {
 		select {
@@ -44,7 +44,7 @@
 
 // writeStarts keeps keys in the table, or in the object store while an outage
 // of the table is confirmed. If neither takes them, the requests do not go.
-func (r *Register) writeStarts(ctx context.Context, batch []start) {
+func (r *Registry) writeStarts(ctx context.Context, batch []start) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	var err error
@@ -66,7 +66,7 @@
 	}
 }
 
-func (r *Register) writeRows(ctx context.Context, batch []start) error {
+func (r *Registry) writeRows(ctx context.Context, batch []start) error {
 	tx := platform.Tx{ID: uuid.NewString()}
 	for _, st := range batch {
 		value, err := json.Marshal(st.record)
@@ -81,7 +81,7 @@
 // writeSegments writes one object for each shard in the batch. Each has a new
 // number, so nothing is overwritten; a new owner reads them until one is
 // missing, and numbers are only used up by objects that were written.
-func (r *Register) writeSegments(ctx context.Context, batch []start) error {
+func (r *Registry) writeSegments(ctx context.Context, batch []start) error {
 	byShard := map[string]map[string]Record{}
 	for _, st := range batch {
 		if byShard[st.shard] == nil {
@@ -97,7 +97,7 @@
 	return nil
 }
 
-func (r *Register) writeSegment(ctx context.Context, shard string, records map[string]Record) error {
+func (r *Registry) writeSegment(ctx context.Context, shard string, records map[string]Record) error {
 	r.mu.Lock()
 	s, ok := r.shards[shard]
 	if !ok {
@@ -123,7 +123,7 @@
 }
 
 // flush writes ends to the table and removes old keys, in one write.
-func (r *Register) flush(ctx context.Context) {
+func (r *Registry) flush(ctx context.Context) {
 	now := time.Now()
 	if r.rights.Outage(now) || !r.rights.MayAct(now) {
 		return
@@ -141,7 +141,7 @@
 }
 
 // pending takes a batch of what is to be written; undo puts it back.
-func (r *Register) pending(now time.Time) (platform.Tx, func()) {
+func (r *Registry) pending(now time.Time) (platform.Tx, func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	tx := platform.Tx{ID: uuid.NewString()}
--- a/internal/instance/directory.go
+++ b/internal/instance/directory.go
@@ -59,15 +59,15 @@
 
 // places returns the shards that should have owners: the planner, and each
 // rack with a worker.
-func (d *directory) places() []ownership.Place {
+func (d *directory) places() []ownership.ShardLocation {
 	seen := map[string]bool{}
-	places := []ownership.Place{{Name: live.PlannerShard}}
+	places := []ownership.ShardLocation{{Name: live.PlannerShard}}
 	for _, inst := range d.instances() {
 		if inst.Role == platform.RoleWorker && !seen[inst.Rack] {
 			seen[inst.Rack] = true
-			places = append(places, ownership.Place{Name: inst.Rack, Region: inst.Region, Zone: inst.Zone})
+			places = append(places, ownership.ShardLocation{Name: inst.Rack, Region: inst.Region, Zone: inst.Zone})
 		}
 	}
-	slices.SortFunc(places, func(a, b ownership.Place) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(places, func(a, b ownership.ShardLocation) int { return strings.Compare(a.Name, b.Name) })
 	return places
 }
--- a/internal/instance/gauges.go
+++ b/internal/instance/gauges.go
@@ -19,7 +19,7 @@
 
 // registerGauges publishes what an operator wants to be alarmed by.
 func registerGauges(set *metrics.Set, session *membership.Session, current *config.Current, e *entry.Server) {
-	set.NewGauge("gentianstand_table_silence_seconds", func() float64 { return session.Silence(time.Now()).Seconds() })
+	set.NewGauge("gentianstand_table_silence_seconds", func() float64 { return session.SinceTableAnswer(time.Now()).Seconds() })
 	set.NewGauge("gentianstand_rights", func() float64 { return rights(session, time.Now()) })
 	set.NewGauge("gentianstand_config_number", func() float64 { return float64(current.Number()) })
 	set.NewGauge("gentianstand_requests_in_progress", func() float64 { return float64(e.InFlight()) })
--- a/internal/instance/listener.go
+++ b/internal/instance/listener.go
@@ -19,7 +19,7 @@
 	hub      *peer.Hub
 	owner    *owner.Owner
 	planner  *planner.Planner
-	register *idempotency.Register
+	register *idempotency.Registry
 	follower *configFollower
 	readAt   atomic.Int64
 	shards   atomic.Pointer[map[string]uint64]
@@ -39,11 +39,11 @@
 }
 
 // HeldChanged implements ownership.Listener.
-func (l *listener) HeldChanged(held []ownership.Held) {
+func (l *listener) HeldChanged(held []ownership.HeldShard) {
 	shards := map[string]uint64{}
 	var planning *live.Shard
 	for _, h := range held {
-		if !h.GivenAt.IsZero() {
+		if !h.HandedOverAt.IsZero() {
 			continue
 		}
 		shards[h.Shard.Name] = h.Shard.Epoch
--- a/internal/instance/module.go
+++ b/internal/instance/module.go
@@ -96,7 +96,7 @@
 	state := func() peer.State {
 		return peer.State{
 			ConfigNumber: current.Number(), Shards: l.get(), Slots: router.Slots(),
-			Stopping: l.stopping.Load(), SilenceMillis: session.Silence(time.Now()).Milliseconds(),
+			Stopping: l.stopping.Load(), SilenceMillis: session.SinceTableAnswer(time.Now()).Milliseconds(),
 		}
 	}
 	hub := peer.NewHub(id, state, current, set, func() { follower.notify(0) }, log)
@@ -118,15 +118,15 @@
 }
 
 func newPlanner(table platform.Table, objects platform.Objects, hub *peer.Hub, session *membership.Session, v *view, d *directory, current *config.Current, set *metrics.Set, log *logrus.Entry) *planner.Planner {
-	around := planner.Surroundings{View: v.get, Directory: d.instances, Config: current}
+	around := planner.Environment{View: v.get, Directory: d.instances, Config: current}
 	return planner.New(table, objects, hub, session, around, set, log)
 }
 
-func newRegister(process live.Process, timing membership.Timing, table platform.Table, objects platform.Objects, session *membership.Session, set *metrics.Set, log *logrus.Entry) *idempotency.Register {
-	return idempotency.NewRegister(process, timing, table, objects, session, set, log)
+func newRegister(process live.Process, timing membership.Timing, table platform.Table, objects platform.Objects, session *membership.Session, set *metrics.Set, log *logrus.Entry) *idempotency.Registry {
+	return idempotency.NewRegistry(process, timing, table, objects, session, set, log)
 }
 
-func newListener(process live.Process, hub *peer.Hub, o *owner.Owner, p *planner.Planner, r *idempotency.Register, f *configFollower, l *lazyShards, shutdown fx.Shutdowner, log *logrus.Entry) *listener {
+func newListener(process live.Process, hub *peer.Hub, o *owner.Owner, p *planner.Planner, r *idempotency.Registry, f *configFollower, l *lazyShards, shutdown fx.Shutdowner, log *logrus.Entry) *listener {
 	lst := &listener{me: process, hub: hub, owner: o, planner: p, register: r, follower: f}
 	l.listener = lst
 	lst.lost = func() {
@@ -148,11 +148,11 @@
 	return k
 }
 
-func newEntry(s Settings, id ownership.Identity, router *routing.Router, hub *peer.Hub, current *config.Current, store *config.Store, trail *audit.Trail, table platform.Table, register *idempotency.Register, client *peer.PlannerClient, v *view, k *ownership.Keeper, l *listener, lazy *lazyShards, o *owner.Owner, set *metrics.Set, log *logrus.Entry) *entry.Server {
+func newEntry(s Settings, id ownership.Identity, router *routing.Router, hub *peer.Hub, current *config.Current, store *config.Store, trail *audit.Trail, table platform.Table, register *idempotency.Registry, client *peer.PlannerClient, v *view, k *ownership.Keeper, l *listener, lazy *lazyShards, o *owner.Owner, set *metrics.Set, log *logrus.Entry) *entry.Server {
 	return entry.NewServer(entry.Deps{
 		Identity: id, Router: router, Hub: hub, Config: current, Store: store, Trail: trail, Table: table,
 		Register: register, Runs: client, View: v.get, Changed: k.Kick, Token: s.OperatorToken,
-		Largest: o.Largest, Metrics: set, Log: log,
+		Largest: o.MaxCapacity, Metrics: set, Log: log,
 		Ready: func() error { return readiness(l, lazy) },
 	})
 }
--- a/internal/instance/parts.go
+++ b/internal/instance/parts.go
@@ -30,7 +30,7 @@
 	Hub       *peer.Hub
 	Owner     *owner.Owner
 	Planner   *planner.Planner
-	Register  *idempotency.Register
+	Register  *idempotency.Registry
 	Entry     *entry.Server
 	Servers   *servers
 	Current   *config.Current
@@ -79,7 +79,7 @@
 // cannotHandOver reports whether the table is out of reach, so that waiting to
 // hand over would only use up the time for requests in progress.
 func (p parts) cannotHandOver() bool {
-	return p.Session.Silence(time.Now()) > p.Timing.SessionTTL
+	return p.Session.SinceTableAnswer(time.Now()) > p.Timing.SessionTTL
 }
 
 // alone reports whether nobody is there to hand over to.
--- a/internal/membership/elector.go
+++ b/internal/membership/elector.go
@@ -23,15 +23,15 @@
 	return &Elector{timing: timing, session: session, fenced: map[live.Process]time.Time{}}
 }
 
-// Vouch reports whether the table is silent here too and subject is not
+// AttestOutage reports whether the table is silent here too and subject is not
 // fenced. A process that was replaced vouches for nobody.
-func (e *Elector) Vouch(subject live.Process, now time.Time) bool {
+func (e *Elector) AttestOutage(subject live.Process, now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if _, fenced := e.fenced[subject]; fenced {
 		return false
 	}
-	return e.session.Silent(now)
+	return e.session.TableUnresponsive(now)
 }
 
 // Fence makes this elector never vouch for subject again. The memory of it
--- a/internal/membership/session.go
+++ b/internal/membership/session.go
@@ -50,25 +50,25 @@
 	s.failedAt = now
 }
 
-// Silent reports whether the table has not answered for VouchAfter although it
+// TableUnresponsive reports whether the table has not answered for VouchAfter although it
 // was asked of late. A process that was frozen has heard nothing for long, but
 // that says nothing about the table.
-func (s *Session) Silent(now time.Time) bool {
+func (s *Session) TableUnresponsive(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	asked := !s.failedAt.IsZero() && now.Sub(s.failedAt) < s.timing.VouchTTL
-	return !s.lost && asked && now.Sub(s.tableAt) >= s.timing.VouchAfter
+	asked := !s.failedAt.IsZero() && now.Sub(s.failedAt) < s.timing.AttestationTTL
+	return !s.lost && asked && now.Sub(s.tableAt) >= s.timing.AttestAfter
 }
 
-// Lose ends the session for good: another process has taken this row.
-func (s *Session) Lose() {
+// MarkLost ends the session for good: another process has taken this row.
+func (s *Session) MarkLost() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lost = true
 }
 
-// Confirmed notes that a majority of electors vouched, asked at askedAt.
-func (s *Session) Confirmed(askedAt time.Time) {
+// OutageConfirmed notes that a majority of electors vouched, asked at askedAt.
+func (s *Session) OutageConfirmed(askedAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if askedAt.After(s.vouched) {
@@ -99,8 +99,8 @@
 	return !s.validLocked(now) && s.outageLocked(now)
 }
 
-// Silence returns how long the table has not answered.
-func (s *Session) Silence(now time.Time) time.Duration {
+// SinceTableAnswer returns how long the table has not answered.
+func (s *Session) SinceTableAnswer(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return now.Sub(s.tableAt)
@@ -121,6 +121,6 @@
 	if s.lost || s.renewedAt.IsZero() || s.vouched.IsZero() {
 		return false
 	}
-	fresh := now.Sub(s.vouched) < s.timing.Shorter(s.timing.VouchTTL)
+	fresh := now.Sub(s.vouched) < s.timing.Shorter(s.timing.AttestationTTL)
 	return fresh && now.Sub(s.renewedAt) < s.timing.Shorter(s.timing.OutageGrace)
 }
--- a/internal/membership/timing.go
+++ b/internal/membership/timing.go
@@ -9,15 +9,15 @@
 	Poll time.Duration
 	// SessionTTL is how long an unchanged row counts as alive.
 	SessionTTL time.Duration
-	// VouchAfter is how long the table must be silent before an elector
+	// AttestAfter is how long the table must be silent before an elector
 	// vouches, and VouchTTL how long a vouch counts.
-	VouchAfter time.Duration
-	VouchTTL   time.Duration
+	AttestAfter    time.Duration
+	AttestationTTL time.Duration
 	// WorkerLease is how long a worker goes on without hearing its owner.
 	WorkerLease time.Duration
-	// HandOver is how long an owner that gave a shard away keeps its workers
+	// HandoverGrace is how long an owner that gave a shard away keeps its workers
 	// served until the next owner has claimed them.
-	HandOver time.Duration
+	HandoverGrace time.Duration
 	// OutageGrace bounds how long an owner goes on in an outage, and so how
 	// long a newcomer waits that could not fence it.
 	OutageGrace time.Duration
@@ -27,14 +27,14 @@
 // DefaultTiming returns the periods used in production.
 func DefaultTiming() Timing {
 	return Timing{
-		Poll:        750 * time.Millisecond,
-		SessionTTL:  2800 * time.Millisecond,
-		VouchAfter:  1500 * time.Millisecond,
-		VouchTTL:    3 * time.Second,
-		WorkerLease: 10 * time.Second,
-		HandOver:    3 * time.Second,
-		OutageGrace: 3 * time.Hour,
-		Drift:       0.02,
+		Poll:           750 * time.Millisecond,
+		SessionTTL:     2800 * time.Millisecond,
+		AttestAfter:    1500 * time.Millisecond,
+		AttestationTTL: 3 * time.Second,
+		WorkerLease:    10 * time.Second,
+		HandoverGrace:  3 * time.Second,
+		OutageGrace:    3 * time.Hour,
+		Drift:          0.02,
 	}
 }
 
--- a/internal/owner/handover_test.go
+++ b/internal/owner/handover_test.go
@@ -45,7 +45,7 @@
 		defer o.quit()
 		o.dial = func(string) worker.Agent { return agent }
 		o.SetDirectory([]platform.Instance{{ID: "w", Role: platform.RoleWorker, Rack: "rack"}})
-		o.SetHeld([]ownership.Held{{Shard: live.Shard{Name: "rack", Epoch: 1}, TakenAt: time.Now()}})
+		o.SetHeld([]ownership.HeldShard{{Shard: live.Shard{Name: "rack", Epoch: 1}, TakenAt: time.Now()}})
 		synctest.Wait()
 		req := routing.Request{ID: "q", Deadline: time.Now().Add(time.Minute)}
 		g := o.router.TryAcquire(context.Background(), "desk", req, time.Now())
--- a/internal/owner/minder.go
+++ b/internal/owner/minder.go
@@ -43,7 +43,7 @@
 
 	mu       sync.Mutex
 	tracker  *Tracker
-	held     ownership.Held
+	held     ownership.HeldShard
 	dirty    bool
 	draining bool
 }
@@ -93,7 +93,7 @@
 	}
 	doubt := m.owner.router.Unanswered(m.id, now.Add(-doubtAfter))
 	m.mu.Lock()
-	req := m.tracker.Next(doubt)
+	req := m.tracker.NextRequest(doubt)
 	m.mu.Unlock()
 	reply, err := m.agent.Sync(ctx, req)
 	m.owner.metrics.syncs.Inc()
@@ -118,13 +118,13 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	given := m.held.GivenAt
-	return given.IsZero() || now.Sub(given) < m.owner.timing.HandOver
+	given := m.held.HandedOverAt
+	return given.IsZero() || now.Sub(given) < m.owner.timing.HandoverGrace
 }
 
 func (m *minder) replied(reply worker.SyncReply, now time.Time) {
 	m.mu.Lock()
-	changed := m.tracker.Replied(reply, now)
+	changed := m.tracker.HandleReply(reply, now)
 	m.dirty = m.dirty || changed
 	m.mu.Unlock()
 	m.changed(changed, now)
@@ -134,9 +134,9 @@
 	mayAct := m.mayAct(now)
 	m.mu.Lock()
 	before := m.tracker.State()
-	changed := m.tracker.Failed(err, now, mayAct)
+	changed := m.tracker.HandleFailure(err, now, mayAct)
 	m.dirty = m.dirty || changed
-	after, stale := m.tracker.State(), m.tracker.Stale()
+	after, stale := m.tracker.State(), m.tracker.Superseded()
 	m.mu.Unlock()
 	if stale {
 		m.owner.overtaken(m)
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -41,7 +41,7 @@
 func (m *minder) assign(a fleet.Assignment) {
 	m.mu.Lock()
 	changed := m.tracker.Assign(a)
-	waiting := m.tracker.Waiting()
+	waiting := m.tracker.NeedsSync()
 	m.dirty = m.dirty || changed
 	m.mu.Unlock()
 	if changed && waiting {
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -46,7 +46,7 @@
 
 	mu           sync.Mutex
 	minders      map[string]*minder
-	held         map[string]ownership.Held
+	held         map[string]ownership.HeldShard
 	directory    []platform.Instance
 	drains       map[string]live.Drain
 	plannerEpoch uint64
@@ -66,7 +66,7 @@
 	o := &Owner{
 		id: id, timing: timing, gate: gate, dial: dial, router: router, planner: planner, log: log,
 		news: make(chan struct{}, 1), base: base, quit: quit,
-		minders: map[string]*minder{}, held: map[string]ownership.Held{}, drains: map[string]live.Drain{},
+		minders: map[string]*minder{}, held: map[string]ownership.HeldShard{}, drains: map[string]live.Drain{},
 		metrics: ownerMetrics{
 			syncs:   set.NewCounter("gentianstand_worker_syncs_total"),
 			reports: set.NewCounter("gentianstand_reports_sent_total"),
@@ -78,10 +78,10 @@
 }
 
 // SetHeld takes in which shards this process holds now.
-func (o *Owner) SetHeld(held []ownership.Held) {
+func (o *Owner) SetHeld(held []ownership.HeldShard) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.held = map[string]ownership.Held{}
+	o.held = map[string]ownership.HeldShard{}
 	for _, h := range held {
 		if h.Shard.Name != live.PlannerShard {
 			o.held[h.Shard.Name] = h
@@ -127,7 +127,7 @@
 }
 
 // mindLocked starts or refreshes the minder of a worker.
-func (o *Owner) mindLocked(inst platform.Instance, h ownership.Held) {
+func (o *Owner) mindLocked(inst platform.Instance, h ownership.HeldShard) {
 	m, ok := o.minders[inst.ID]
 	if ok && m.epoch == h.Shard.Epoch && m.address == inst.Address {
 		m.refresh(inst, h, o.drains)
@@ -136,11 +136,11 @@
 	if ok {
 		o.dropLocked(inst.ID, m)
 	}
-	if !h.GivenAt.IsZero() {
+	if !h.HandedOverAt.IsZero() {
 		return
 	}
 	ctx, quit := context.WithCancel(o.base)
-	site := Site{Instance: inst, Shard: inst.Rack, Epoch: h.Shard.Epoch}
+	site := OwnedWorker{Instance: inst, Shard: inst.Rack, Epoch: h.Shard.Epoch}
 	_, draining := o.drains[inst.ID]
 	m = &minder{
 		id: inst.ID, epoch: h.Shard.Epoch, address: inst.Address, shard: inst.Rack,
@@ -152,7 +152,7 @@
 }
 
 // refresh takes in what may have changed around a worker.
-func (m *minder) refresh(inst platform.Instance, h ownership.Held, drains map[string]live.Drain) {
+func (m *minder) refresh(inst platform.Instance, h ownership.HeldShard, drains map[string]live.Drain) {
 	_, draining := drains[inst.ID]
 	m.mu.Lock()
 	changed := m.draining != draining || m.tracker.site.Instance.Leaving != inst.Leaving
@@ -169,7 +169,7 @@
 
 // over reports whether the worker needs no minding any more: its shard is not
 // held, or it left the list and nothing of it can be running.
-func (m *minder) over(held map[string]ownership.Held, listed bool) bool {
+func (m *minder) over(held map[string]ownership.HeldShard, listed bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	h, ok := held[m.shard]
@@ -219,8 +219,8 @@
 	return n
 }
 
-// Largest returns the most of each dimension that any worker here has.
-func (o *Owner) Largest() resource.Amount {
+// MaxCapacity returns the most of each dimension that any worker here has.
+func (o *Owner) MaxCapacity() resource.Amount {
 	var largest resource.Amount
 	for _, r := range o.Reports() {
 		largest = largest.Max(r.Capacity)
--- a/internal/owner/site.go
+++ b/internal/owner/site.go
@@ -2,8 +2,8 @@
 
 import "gentianstand/internal/platform"
 
-// Site says which worker a Tracker is about and under what right.
-type Site struct {
+// OwnedWorker says which worker a Tracker is about and under what right.
+type OwnedWorker struct {
 	Instance platform.Instance
 	Shard    string
 	Epoch    uint64
--- a/internal/owner/tracker.go
+++ b/internal/owner/tracker.go
@@ -17,7 +17,7 @@
 // Tracker is what an owner knows of one worker. It is not safe for concurrent
 // use and has no clock.
 type Tracker struct {
-	site   Site
+	site   OwnedWorker
 	owner  string
 	timing membership.Timing
 
@@ -43,7 +43,7 @@
 }
 
 // NewTracker returns the tracker of a worker that has not been claimed yet.
-func NewTracker(site Site, owner string, timing membership.Timing, oldLeasesEnd time.Time) *Tracker {
+func NewTracker(site OwnedWorker, owner string, timing membership.Timing, oldLeasesEnd time.Time) *Tracker {
 	t := &Tracker{site: site, owner: owner, timing: timing, state: fleet.Claiming, oldLeasesEnd: oldLeasesEnd}
 	t.forget()
 	return t
@@ -63,13 +63,13 @@
 // State returns the worker's state.
 func (t *Tracker) State() fleet.WorkerState { return t.state }
 
-// Stale reports whether a later owner has claimed the worker.
-func (t *Tracker) Stale() bool { return t.stale }
+// Superseded reports whether a later owner has claimed the worker.
+func (t *Tracker) Superseded() bool { return t.stale }
 
-// Next returns the next message to the worker. The lease it asks for is
+// NextRequest returns the next message to the worker. The lease it asks for is
 // counted from the worker's own clock in its last reply, so it ends at most
 // WorkerLease after that reply was received, however late this arrives.
-func (t *Tracker) Next(doubt []string) worker.SyncRequest {
+func (t *Tracker) NextRequest(doubt []string) worker.SyncRequest {
 	t.seq++
 	req := worker.SyncRequest{
 		Owner: t.owner, Epoch: t.site.Epoch, Seq: t.seq, Boot: t.boot, Since: t.version, Doubt: doubt,
@@ -88,9 +88,9 @@
 	return req
 }
 
-// Replied takes in the answer to the message that Next returned last, and
+// HandleReply takes in the answer to the message that Next returned last, and
 // reports whether anything changed that the planner should hear of.
-func (t *Tracker) Replied(reply worker.SyncReply, receivedAt time.Time) bool {
+func (t *Tracker) HandleReply(reply worker.SyncReply, receivedAt time.Time) bool {
 	changed := t.state != fleet.Ready || t.capacity != reply.Capacity || len(reply.Tasks) > 0
 	if t.boot != reply.Boot {
 		changed = true
@@ -146,9 +146,9 @@
 	}
 }
 
-// Failed takes in that the last message got no answer, and reports whether
+// HandleFailure takes in that the last message got no answer, and reports whether
 // the state changed.
-func (t *Tracker) Failed(err error, now time.Time, mayAct bool) bool {
+func (t *Tracker) HandleFailure(err error, now time.Time, mayAct bool) bool {
 	if errors.Is(err, worker.ErrStaleEpoch) {
 		t.stale = true
 		return true
--- a/internal/owner/tracker_report.go
+++ b/internal/owner/tracker_report.go
@@ -39,7 +39,7 @@
 	return slices.Compact(names)
 }
 
-// Waiting reports whether there is something to send before the next beat.
-func (t *Tracker) Waiting() bool {
+// NeedsSync reports whether there is something to send before the next beat.
+func (t *Tracker) NeedsSync() bool {
 	return t.state == fleet.Claiming || len(t.start)+len(t.stop) > 0
 }
--- a/internal/owner/tracker_test.go
+++ b/internal/owner/tracker_test.go
@@ -32,9 +32,9 @@
 // owner returns a tracker under an epoch that has claimed the worker.
 func (r *rig) owner(epoch uint64) *Tracker {
 	r.t.Helper()
-	site := Site{Instance: platform.Instance{ID: "w"}, Shard: "rack", Epoch: epoch}
+	site := OwnedWorker{Instance: platform.Instance{ID: "w"}, Shard: "rack", Epoch: epoch}
 	tr := NewTracker(site, "owner", membership.DefaultTiming(), r.now)
-	r.deliver(tr, tr.Next(nil))
+	r.deliver(tr, tr.NextRequest(nil))
 	return tr
 }
 
@@ -42,10 +42,10 @@
 func (r *rig) deliver(tr *Tracker, req worker.SyncRequest) error {
 	reply, err := r.worker.Sync(context.Background(), req)
 	if err != nil {
-		tr.Failed(err, r.now, true)
+		tr.HandleFailure(err, r.now, true)
 		return err
 	}
-	tr.Replied(reply, r.now)
+	tr.HandleReply(reply, r.now)
 	return nil
 }
 
@@ -70,15 +70,15 @@
 	r := newRig(t)
 	old := r.owner(1)
 	for range 5 {
-		_ = r.deliver(old, old.Next(nil))
+		_ = r.deliver(old, old.NextRequest(nil))
 	}
 	r.order(old, 0, 1, 1000)
-	late := old.Next(nil)
+	late := old.NextRequest(nil)
 	r.owner(2)
 	if err := r.deliver(old, late); !errors.Is(err, worker.ErrStaleEpoch) {
 		t.Errorf("the late message got %v", err)
 	}
-	if !old.Stale() {
+	if !old.Superseded() {
 		t.Error("the old owner does not know that it was overtaken")
 	}
 	r.expectRunning(0)
@@ -89,14 +89,14 @@
 	r := newRig(t)
 	tr := r.owner(1)
 	r.order(tr, 0, 1, 1000)
-	late := tr.Next(nil)
-	_ = r.deliver(tr, tr.Next(nil))
+	late := tr.NextRequest(nil)
+	_ = r.deliver(tr, tr.NextRequest(nil))
 	r.now = r.now.Add(5 * time.Second)
-	_ = r.deliver(tr, tr.Next(nil))
+	_ = r.deliver(tr, tr.NextRequest(nil))
 	tr.Assign(fleet.Assignment{Boot: tr.boot, Stop: []worker.TaskStop{{Ref: late.Start[0].Ref, Action: worker.Kill}}})
-	_ = r.deliver(tr, tr.Next(nil))
+	_ = r.deliver(tr, tr.NextRequest(nil))
 	tr.Acknowledge(late.Start[0].Ref)
-	_ = r.deliver(tr, tr.Next(nil))
+	_ = r.deliver(tr, tr.NextRequest(nil))
 	_ = r.deliver(tr, late)
 	r.expectRunning(0)
 }
@@ -106,9 +106,9 @@
 	r := newRig(t)
 	tr := r.owner(1)
 	r.order(tr, 0, 1, 1000)
-	_ = r.deliver(tr, tr.Next(nil))
+	_ = r.deliver(tr, tr.NextRequest(nil))
 	r.expectRunning(1)
-	late := tr.Next(nil)
+	late := tr.NextRequest(nil)
 	lease := membership.DefaultTiming().WorkerLease
 	r.now = r.now.Add(lease - time.Millisecond)
 	r.expectRunning(1)
@@ -124,7 +124,7 @@
 	timing := membership.DefaultTiming()
 	tr := r.owner(1)
 	r.order(tr, 0, 1, 1000)
-	_ = r.deliver(tr, tr.Next(nil))
+	_ = r.deliver(tr, tr.NextRequest(nil))
 	started := r.now
 	for r.now.Before(started.Add(timing.Longer(timing.WorkerLease))) {
 		tr.Tick(r.now, true)
@@ -148,7 +148,7 @@
 // only when leases of owners before it have ended.
 func TestNewOwnerWaitsForOldLeases(t *testing.T) {
 	now := time.Unix(1000, 0)
-	tr := NewTracker(Site{Epoch: 2}, "o", membership.DefaultTiming(), now.Add(time.Minute))
+	tr := NewTracker(OwnedWorker{Epoch: 2}, "o", membership.DefaultTiming(), now.Add(time.Minute))
 	tr.Tick(now.Add(59*time.Second), true)
 	if tr.State() == fleet.Lost {
 		t.Error("lost while old leases may run")
@@ -167,7 +167,7 @@
 	for i := range 6 {
 		r.order(tr, i, 1, 1000)
 	}
-	_ = r.deliver(tr, tr.Next(nil))
+	_ = r.deliver(tr, tr.NextRequest(nil))
 	r.expectRunning(4)
 	refused := 0
 	for _, status := range tr.Report().Tasks {
@@ -187,10 +187,10 @@
 	tr := r.owner(1)
 	r.order(tr, 0, 1, 1000)
 	ref := worker.TaskRef{Run: "r", Index: 0, Attempt: 1}
-	tr.Next(nil) // lost on its way
+	tr.NextRequest(nil) // lost on its way
 	tr.Assign(fleet.Assignment{Boot: tr.boot, Stop: []worker.TaskStop{{Ref: ref, Action: worker.Kill}}})
 	for range 3 {
-		_ = r.deliver(tr, tr.Next(nil))
+		_ = r.deliver(tr, tr.NextRequest(nil))
 	}
 	r.expectRunning(0)
 }
@@ -201,10 +201,10 @@
 	r := newRig(t)
 	tr := r.owner(1)
 	r.order(tr, 0, 1, 1000)
-	req := tr.Next(nil)
+	req := tr.NextRequest(nil)
 	r.worker.Restart()
 	_ = r.deliver(tr, req)
 	r.expectRunning(0)
-	_ = r.deliver(tr, tr.Next(nil))
+	_ = r.deliver(tr, tr.NextRequest(nil))
 	r.expectRunning(0)
 }
--- a/internal/ownership/decide.go
+++ b/internal/ownership/decide.go
@@ -9,9 +9,9 @@
 
 // Input is what Decide looks at.
 type Input struct {
-	Me     live.Process
-	View   live.View
-	Places []Place
+	Self      live.Process
+	View      live.View
+	Locations []ShardLocation
 	// Alive tells whether a process holds its session.
 	Alive func(live.Process) bool
 	// Renewing tells whether a process has been seen to renew it since the
@@ -26,9 +26,9 @@
 func Decide(in Input) []Action {
 	alive := aliveInstances(in)
 	current := currentOwners(in)
-	desired := Desired(alive, in.Places, current)
+	desired := Desired(alive, in.Locations, current)
 	var actions []Action
-	for _, p := range in.Places {
+	for _, p := range in.Locations {
 		if a, ok := decidePlace(in, p.Name, desired[p.Name], current[p.Name]); ok {
 			actions = append(actions, a)
 		}
@@ -38,14 +38,14 @@
 
 func decidePlace(in Input, name, wanted, holder string) (Action, bool) {
 	row := in.View.Shards[name]
-	mine := row.Owner == in.Me
+	mine := row.Owner == in.Self
 	switch {
 	case wanted == "" || wanted == holder:
 		return Action{}, false
 	case mine:
 		return in.change(name, row, in.View.Instances[wanted].Process, true), true
-	case holder == "" && wanted == in.Me.Instance:
-		return in.change(name, row, in.Me, false), true
+	case holder == "" && wanted == in.Self.Instance:
+		return in.change(name, row, in.Self, false), true
 	default:
 		return Action{}, false
 	}
@@ -57,7 +57,7 @@
 		old := live.Predecessor{Process: row.Owner, HandedOver: handedOver, Electors: in.electorsOf(row.Owner)}
 		next.Predecessors = append(next.Predecessors, old)
 	}
-	return Action{Shard: next, Was: row.Version}
+	return Action{Shard: next, ExpectedVersion: row.Version}
 }
 
 // electorsOf returns the electors that p's row named when it was last seen.
@@ -77,7 +77,7 @@
 func aliveInstances(in Input) []live.Instance {
 	var alive []live.Instance
 	for _, inst := range in.View.Instances {
-		if !inst.Stopping && in.Alive(inst.Process) && (inst.Process == in.Me || in.Renewing(inst.Process)) {
+		if !inst.Stopping && in.Alive(inst.Process) && (inst.Process == in.Self || in.Renewing(inst.Process)) {
 			alive = append(alive, inst)
 		}
 	}
--- a/internal/ownership/desired.go
+++ b/internal/ownership/desired.go
@@ -18,14 +18,14 @@
 // together: the owner lives, knows that it let the leases lapse, and starts
 // the work elsewhere within seconds. If both went, a newcomer could not tell
 // a dead owner from one that still renews the leases behind a cut.
-func Desired(alive []live.Instance, places []Place, current map[string]string) map[string]string {
+func Desired(alive []live.Instance, places []ShardLocation, current map[string]string) map[string]string {
 	if len(alive) == 0 {
 		return map[string]string{}
 	}
 	a := newAssigner(alive, len(places))
 	ordered := slices.Clone(places)
-	slices.SortFunc(ordered, func(x, y Place) int { return strings.Compare(x.Name, y.Name) })
-	var open []Place
+	slices.SortFunc(ordered, func(x, y ShardLocation) int { return strings.Compare(x.Name, y.Name) })
+	var open []ShardLocation
 	for _, p := range ordered {
 		if !a.keep(p, current[p.Name]) {
 			open = append(open, p)
@@ -54,7 +54,7 @@
 	return a
 }
 
-func (a *assigner) keep(p Place, owner string) bool {
+func (a *assigner) keep(p ShardLocation, owner string) bool {
 	inst, ok := a.byID[owner]
 	if !ok || a.load[owner] >= a.most || distance(p, inst) > a.nearest(p) {
 		return false
@@ -63,19 +63,19 @@
 	return true
 }
 
-func (a *assigner) assign(p Place) {
+func (a *assigner) assign(p ShardLocation) {
 	best := slices.MinFunc(a.alive, func(x, y live.Instance) int { return a.compare(p, x, y) })
 	a.give(p, best.Process.Instance)
 }
 
-func (a *assigner) give(p Place, owner string) {
+func (a *assigner) give(p ShardLocation, owner string) {
 	a.owner[p.Name] = owner
 	a.load[owner]++
 }
 
 // compare prefers an instance with room, then the right zone, then the least
 // loaded, then the highest hash.
-func (a *assigner) compare(p Place, x, y live.Instance) int {
+func (a *assigner) compare(p ShardLocation, x, y live.Instance) int {
 	if fx, fy := a.load[x.Process.Instance] >= a.most, a.load[y.Process.Instance] >= a.most; fx != fy {
 		return boolOrder(fx)
 	}
@@ -91,7 +91,7 @@
 	return 1
 }
 
-func (a *assigner) nearest(p Place) int {
+func (a *assigner) nearest(p ShardLocation) int {
 	best := farAway
 	for _, inst := range a.alive {
 		best = min(best, distance(p, inst))
@@ -106,7 +106,7 @@
 	farAway
 )
 
-func distance(p Place, inst live.Instance) int {
+func distance(p ShardLocation, inst live.Instance) int {
 	switch {
 	case p.Zone == "":
 		return otherZone
--- a/internal/ownership/held.go
+++ b/internal/ownership/held.go
@@ -7,14 +7,14 @@
 	"gentianstand/internal/membership"
 )
 
-// Held is a shard that this process owns, and what it knows of the owners
+// HeldShard is a shard that this process owns, and what it knows of the owners
 // before.
-type Held struct {
+type HeldShard struct {
 	Shard   live.Shard
 	TakenAt time.Time
-	// GivenAt is when this process handed the shard over; it keeps its
+	// HandedOverAt is when this process handed the shard over; it keeps its
 	// workers served for Timing.HandOver more. Zero while it owns the shard.
-	GivenAt time.Time
+	HandedOverAt time.Time
 	// Fenced tells when a majority of a predecessor's electors had fenced it.
 	Fenced map[live.Process]time.Time
 }
@@ -22,7 +22,7 @@
 // OldLeasesEnd returns when no lease that an earlier owner gave can still be
 // running on a worker that does not answer. Only then may tasks of such a
 // worker be started elsewhere.
-func (h Held) OldLeasesEnd(t membership.Timing) time.Time {
+func (h HeldShard) OldLeasesEnd(t membership.Timing) time.Time {
 	end := h.TakenAt
 	for _, p := range h.Shard.Predecessors {
 		stops := h.stopsRenewing(p, t)
@@ -33,8 +33,8 @@
 	return end
 }
 
-// PredecessorsStop returns when all owners before have certainly stopped.
-func (h Held) PredecessorsStop(t membership.Timing) time.Time {
+// PredecessorsStoppedBy returns when all owners before have certainly stopped.
+func (h HeldShard) PredecessorsStoppedBy(t membership.Timing) time.Time {
 	end := h.TakenAt
 	for _, p := range h.Shard.Predecessors {
 		if stops := h.stopsRenewing(p, t); stops.After(end) {
@@ -45,18 +45,18 @@
 }
 
 // stopsRenewing returns when predecessor p has certainly stopped.
-func (h Held) stopsRenewing(p live.Predecessor, t membership.Timing) time.Time {
+func (h HeldShard) stopsRenewing(p live.Predecessor, t membership.Timing) time.Time {
 	if p.HandedOver {
-		return h.TakenAt.Add(t.Longer(t.HandOver))
+		return h.TakenAt.Add(t.Longer(t.HandoverGrace))
 	}
 	if fenced, ok := h.Fenced[p.Process]; ok {
-		return fenced.Add(t.Longer(t.VouchTTL))
+		return fenced.Add(t.Longer(t.AttestationTTL))
 	}
 	return h.TakenAt.Add(t.Longer(t.OutageGrace))
 }
 
-// Settled reports whether all predecessors have certainly stopped and their
+// PredecessorsGone reports whether all predecessors have certainly stopped and their
 // leases have lapsed.
-func (h Held) Settled(t membership.Timing, now time.Time) bool {
+func (h HeldShard) PredecessorsGone(t membership.Timing, now time.Time) bool {
 	return !now.Before(h.OldLeasesEnd(t))
 }
--- a/internal/ownership/keeper.go
+++ b/internal/ownership/keeper.go
@@ -22,7 +22,7 @@
 	timing   membership.Timing
 	table    platform.Table
 	peers    Peers
-	places   func() []Place
+	places   func() []ShardLocation
 	listener Listener
 	session  *membership.Session
 	log      *logrus.Entry
@@ -41,19 +41,19 @@
 	beat     uint64
 	rights   string
 	replaced live.Predecessor
-	held     map[string]Held
-	given    map[string]Held
+	held     map[string]HeldShard
+	given    map[string]HeldShard
 	// doubted holds the row versions of hand-overs whose answers were lost.
 	doubted map[string]uint64
 }
 
 // NewKeeper returns a Keeper. places lists the shards that should exist.
-func NewKeeper(id Identity, timing membership.Timing, table platform.Table, peers Peers, session *membership.Session, places func() []Place, listener Listener, log *logrus.Entry) *Keeper {
+func NewKeeper(id Identity, timing membership.Timing, table platform.Table, peers Peers, session *membership.Session, places func() []ShardLocation, listener Listener, log *logrus.Entry) *Keeper {
 	return &Keeper{
 		id: id, timing: timing, table: table, peers: peers, places: places, listener: listener, session: session, log: log,
 		kick:     make(chan struct{}, 1),
 		observer: membership.NewObserver(timing),
-		held:     map[string]Held{}, given: map[string]Held{}, doubted: map[string]uint64{},
+		held:     map[string]HeldShard{}, given: map[string]HeldShard{}, doubted: map[string]uint64{},
 	}
 }
 
--- a/internal/ownership/keeper_electors.go
+++ b/internal/ownership/keeper_electors.go
@@ -13,7 +13,7 @@
 // confirmOutage asks all electors at once and notes if a majority vouches.
 func (k *Keeper) confirmOutage(ctx context.Context) {
 	now := time.Now()
-	if k.session.Silence(now) < k.timing.VouchAfter {
+	if k.session.SinceTableAnswer(now) < k.timing.AttestAfter {
 		return
 	}
 	k.mu.Lock()
@@ -23,7 +23,7 @@
 		return
 	}
 	vouched := k.ask(ctx, slices.Concat(lists...), func(ctx context.Context, elector live.Process) bool {
-		ok, err := k.peers.Vouch(ctx, elector, k.id.Process)
+		ok, err := k.peers.AttestOutage(ctx, elector, k.id.Process)
 		return err == nil && ok
 	})
 	for _, list := range lists {
@@ -31,7 +31,7 @@
 			return
 		}
 	}
-	k.session.Confirmed(now)
+	k.session.OutageConfirmed(now)
 	k.log.WithField("vouched", len(vouched)).Debug("outage_confirmed")
 }
 
--- a/internal/ownership/keeper_offers.go
+++ b/internal/ownership/keeper_offers.go
@@ -14,17 +14,17 @@
 		return
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), k.timing.HandOver)
+		ctx, cancel := context.WithTimeout(context.Background(), k.timing.HandoverGrace)
 		defer cancel()
-		if err := k.peers.Give(ctx, shard); err != nil {
+		if err := k.peers.OfferShard(ctx, shard); err != nil {
 			k.log.WithError(err).WithFields(shardFields(shard)).Info("shard_not_offered")
 		}
 	}()
 }
 
-// Given takes in that the written row of a shard names this process as its owner.
+// ShardOffered takes in that the written row of a shard names this process as its owner.
 // It may be called from anywhere.
-func (k *Keeper) Given(shard live.Shard) {
+func (k *Keeper) ShardOffered(shard live.Shard) {
 	k.mu.Lock()
 	k.offered = append(k.offered, shard)
 	k.mu.Unlock()
--- a/internal/ownership/keeper_offers_test.go
+++ b/internal/ownership/keeper_offers_test.go
@@ -29,8 +29,8 @@
 	to *Keeper
 }
 
-func (g giving) Give(_ context.Context, shard live.Shard) error {
-	g.to.Given(shard)
+func (g giving) OfferShard(_ context.Context, shard live.Shard) error {
+	g.to.ShardOffered(shard)
 	return nil
 }
 
@@ -38,10 +38,10 @@
 
 func (h *heldNames) ViewRead(live.View) {}
 func (h *heldNames) SessionLost()       {}
-func (h *heldNames) HeldChanged(held []Held) {
+func (h *heldNames) HeldChanged(held []HeldShard) {
 	h.names = map[string]bool{}
 	for _, one := range held {
-		if one.GivenAt.IsZero() {
+		if one.HandedOverAt.IsZero() {
 			h.names[one.Shard.Name] = true
 		}
 	}
@@ -52,7 +52,7 @@
 	log.SetOutput(io.Discard)
 	timing := membership.DefaultTiming()
 	id := Identity{Process: live.Process{Instance: name, Incarnation: "1"}}
-	return NewKeeper(id, timing, downTable{}, peers, membership.NewSession(timing, time.Now()), func() []Place { return nil }, l, logrus.NewEntry(log))
+	return NewKeeper(id, timing, downTable{}, peers, membership.NewSession(timing, time.Now()), func() []ShardLocation { return nil }, l, logrus.NewEntry(log))
 }
 
 // Failure: services and watch tasks of two racks stop in an outage of the table, and
@@ -81,9 +81,9 @@
 	k := keeperIn("next", nil, heard)
 	other := live.Process{Instance: "other", Incarnation: "1"}
 	k.view = live.View{Shards: map[string]live.Shard{"moved-on": {Name: "moved-on", Owner: other, Epoch: 5}}}
-	k.Given(live.Shard{Name: "moved-on", Owner: k.id.Process, Epoch: 4})
-	k.Given(live.Shard{Name: "of-another", Owner: other, Epoch: 4})
-	k.Given(live.Shard{Name: "of-the-process-before", Owner: live.Process{Instance: "next", Incarnation: "0"}, Epoch: 4})
+	k.ShardOffered(live.Shard{Name: "moved-on", Owner: k.id.Process, Epoch: 4})
+	k.ShardOffered(live.Shard{Name: "of-another", Owner: other, Epoch: 4})
+	k.ShardOffered(live.Shard{Name: "of-the-process-before", Owner: live.Process{Instance: "next", Incarnation: "0"}, Epoch: 4})
 	k.acceptOffered()
 	k.publish()
 	if len(heard.names) > 0 {
--- a/internal/ownership/keeper_session.go
+++ b/internal/ownership/keeper_session.go
@@ -24,7 +24,7 @@
 		rights = "confirmed_outage"
 	}
 	if rights != k.rights {
-		k.log.WithFields(logrus.Fields{"from": k.rights, "to": rights, "table_silence": k.session.Silence(now)}).Warn("rights_changed")
+		k.log.WithFields(logrus.Fields{"from": k.rights, "to": rights, "table_silence": k.session.SinceTableAnswer(now)}).Warn("rights_changed")
 		k.rights = rights
 	}
 }
@@ -114,8 +114,8 @@
 }
 
 func (k *Keeper) loseSession() {
-	k.session.Lose()
-	k.held, k.given = map[string]Held{}, map[string]Held{}
+	k.session.MarkLost()
+	k.held, k.given = map[string]HeldShard{}, map[string]HeldShard{}
 	k.log.Error("session_lost")
 	k.listener.SessionLost()
 }
--- a/internal/ownership/keeper_shards.go
+++ b/internal/ownership/keeper_shards.go
@@ -19,7 +19,7 @@
 		return
 	}
 	k.bury(ctx, view)
-	actions := Decide(Input{Me: k.id.Process, View: view, Places: k.places(), Alive: k.observer.Alive, Renewing: k.observer.Renewing})
+	actions := Decide(Input{Self: k.id.Process, View: view, Locations: k.places(), Alive: k.observer.Alive, Renewing: k.observer.Renewing})
 	if len(actions) == 0 {
 		return
 	}
@@ -30,7 +30,7 @@
 			return
 		}
 		key := live.ShardKey(a.Shard.Name)
-		tx.Checks = append(tx.Checks, platform.Check{Key: key, Version: a.Was})
+		tx.Checks = append(tx.Checks, platform.Check{Key: key, Version: a.ExpectedVersion})
 		tx.Puts = append(tx.Puts, platform.Put{Key: key, Value: value})
 	}
 	sentAt := time.Now()
@@ -86,7 +86,7 @@
 	for _, a := range actions {
 		if a.Shard.Owner != k.id.Process {
 			k.give(a.Shard.Name, sentAt)
-			k.doubted[a.Shard.Name] = a.Was
+			k.doubted[a.Shard.Name] = a.ExpectedVersion
 		}
 	}
 	k.log.WithField("shards", len(actions)).Warn("shard_write_in_doubt")
@@ -127,7 +127,7 @@
 }
 
 func (k *Keeper) take(row live.Shard) {
-	k.held[row.Name] = Held{Shard: row, TakenAt: time.Now(), Fenced: map[live.Process]time.Time{}}
+	k.held[row.Name] = HeldShard{Shard: row, TakenAt: time.Now(), Fenced: map[live.Process]time.Time{}}
 	delete(k.given, row.Name)
 	k.log.WithFields(shardFields(row)).Info("shard_taken")
 }
@@ -137,7 +137,7 @@
 	if !ok {
 		return
 	}
-	held.GivenAt = sentAt
+	held.HandedOverAt = sentAt
 	k.given[name] = held
 	delete(k.held, name)
 	k.log.WithFields(shardFields(held.Shard)).Info("shard_handed_over")
@@ -151,7 +151,7 @@
 func (k *Keeper) settle(ctx context.Context) {
 	now := time.Now()
 	for name, held := range k.held {
-		if len(held.Shard.Predecessors) == 0 || held.Shard.Version == 0 || !held.Settled(k.timing, now) {
+		if len(held.Shard.Predecessors) == 0 || held.Shard.Version == 0 || !held.PredecessorsGone(k.timing, now) {
 			continue
 		}
 		next := held.Shard
@@ -180,12 +180,12 @@
 
 func (k *Keeper) publish() {
 	now := time.Now()
-	list := make([]Held, 0, len(k.held)+len(k.given))
+	list := make([]HeldShard, 0, len(k.held)+len(k.given))
 	for _, held := range k.held {
 		list = append(list, held)
 	}
 	for name, held := range k.given {
-		if now.Sub(held.GivenAt) >= k.timing.HandOver {
+		if now.Sub(held.HandedOverAt) >= k.timing.HandoverGrace {
 			delete(k.given, name)
 			continue
 		}
--- a/internal/ownership/listener.go
+++ b/internal/ownership/listener.go
@@ -7,7 +7,7 @@
 	// ViewRead brings the watched rows of each successful read.
 	ViewRead(view live.View)
 	// HeldChanged brings all shards that this process holds.
-	HeldChanged(held []Held)
+	HeldChanged(held []HeldShard)
 	// SessionLost says that another process took this one's place.
 	SessionLost()
 }
--- a/internal/ownership/place.go
+++ b/internal/ownership/place.go
@@ -1,7 +1,7 @@
 package ownership
 
-// Place is a shard that should have an owner.
-type Place struct {
+// ShardLocation is a shard that should have an owner.
+type ShardLocation struct {
 	Name   string
 	Region string
 	Zone   string
--- a/internal/peer/calls.go
+++ b/internal/peer/calls.go
@@ -10,9 +10,9 @@
 	"gentianstand/internal/peer/peerpb"
 )
 
-// Vouch implements ownership.Peers. An elector that was replaced by another
+// AttestOutage implements ownership.Peers. An elector that was replaced by another
 // process does not count.
-func (h *Hub) Vouch(ctx context.Context, elector, subject live.Process) (bool, error) {
+func (h *Hub) AttestOutage(ctx context.Context, elector, subject live.Process) (bool, error) {
 	client, err := h.clientOf(elector.Instance)
 	if err != nil {
 		return false, err
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// Give implements ownership.Peers.
-func (h *Hub) Give(ctx context.Context, shard live.Shard) error {
+// OfferShard implements ownership.Peers.
+func (h *Hub) OfferShard(ctx context.Context, shard live.Shard) error {
 	client, err := h.clientOf(shard.Owner.Instance)
 	if err != nil {
 		return err
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -42,7 +42,7 @@
 
 // Vouch implements peerpb.Peer.
 func (s *Server) Vouch(_ context.Context, req *peerpb.VouchRequest) (*peerpb.VouchReply, error) {
-	vouched := s.elector.Vouch(processFromMessage(req.GetSubject()), time.Now())
+	vouched := s.elector.AttestOutage(processFromMessage(req.GetSubject()), time.Now())
 	return &peerpb.VouchReply{Vouched: vouched, From: processToMessage(s.me)}, nil
 }
 
@@ -58,7 +58,7 @@
 	if err := json.Unmarshal(req.GetRow(), &shard); err != nil {
 		return nil, twirp.InvalidArgumentError("row", err.Error())
 	}
-	s.keeper.Given(shard)
+	s.keeper.ShardOffered(shard)
 	return &peerpb.GiveReply{}, nil
 }
 
--- a/internal/planner/core_test.go
+++ b/internal/planner/core_test.go
@@ -258,7 +258,7 @@
 	s.report("w0", fleet.Ready)
 	s.report("w1", fleet.Ready)
 	s.expectStarts("reported meanwhile", 0)
-	s.core.Failed(batch, false, nil)
+	s.core.CommitFailed(batch, false, nil)
 	s.expectStarts("not written", 0)
 	s.core.ReleaseUnwritten()
 	s.expectStarts("in a confirmed outage", 2)
--- a/internal/planner/persist.go
+++ b/internal/planner/persist.go
@@ -121,11 +121,11 @@
 	}
 }
 
-// Failed puts a batch back that may not have been written. In a confirmed
+// CommitFailed puts a batch back that may not have been written. In a confirmed
 // outage its starts may leave all the same: nobody else can plan now, and
 // whoever does later accounts for the workers first. Who waits to hear that
 // something new is kept is told that it is not known.
-func (c *Core) Failed(b *Batch, outage bool, err error) {
+func (c *Core) CommitFailed(b *Batch, outage bool, err error) {
 	c.written(b)
 	for _, id := range b.runs {
 		if e, ok := c.runs[id]; ok {
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -23,7 +23,7 @@
 	objects platform.Objects
 	owners  Owners
 	rights  Rights
-	around  Surroundings
+	around  Environment
 	log     *logrus.Entry
 	metrics plannerMetrics
 
@@ -34,7 +34,7 @@
 }
 
 // New returns a Planner that is not in office.
-func New(table platform.Table, objects platform.Objects, owners Owners, rights Rights, around Surroundings, set *metrics.Set, log *logrus.Entry) *Planner {
+func New(table platform.Table, objects platform.Objects, owners Owners, rights Rights, around Environment, set *metrics.Set, log *logrus.Entry) *Planner {
 	p := &Planner{table: table, objects: objects, owners: owners, rights: rights, around: around, log: log, metrics: newPlannerMetrics(set)}
 	set.NewGauge("gentianstand_planner", func() float64 { return float64(p.Epoch()) })
 	return p
--- a/internal/planner/surroundings.go
+++ b/internal/planner/surroundings.go
@@ -6,8 +6,8 @@
 	"gentianstand/internal/platform"
 )
 
-// Surroundings is what a planner looks at besides its own state.
-type Surroundings struct {
+// Environment is what a planner looks at besides its own state.
+type Environment struct {
 	// View returns the watched rows as last read.
 	View func() live.View
 	// Directory returns the platform's list as last read.
--- a/internal/planner/term_commit.go
+++ b/internal/planner/term_commit.go
@@ -60,7 +60,7 @@
 	default:
 		t.log.WithError(result.err).Warn("planner_commit_failed")
 		t.retryAt = time.Now().Add(idlePeriod)
-		t.core.Failed(result.batch, t.planner.rights.Outage(time.Now()), doubtfulWrite(result.err))
+		t.core.CommitFailed(result.batch, t.planner.rights.Outage(time.Now()), doubtfulWrite(result.err))
 	}
 	return true
 }
--- a/test/cell/cell_test.go
+++ b/test/cell/cell_test.go
@@ -93,10 +93,10 @@
 	return list
 }
 
-func (c *cell) places() []ownership.Place {
-	places := []ownership.Place{{Name: live.PlannerShard}}
+func (c *cell) places() []ownership.ShardLocation {
+	places := []ownership.ShardLocation{{Name: live.PlannerShard}}
 	for n := 0; n < workers; n += 2 {
-		places = append(places, ownership.Place{Name: rackOf(n), Region: "r", Zone: fmt.Sprintf("z%d", n/2)})
+		places = append(places, ownership.ShardLocation{Name: rackOf(n), Region: "r", Zone: fmt.Sprintf("z%d", n/2)})
 	}
 	return places
 }
--- a/test/cell/fakes_test.go
+++ b/test/cell/fakes_test.go
@@ -119,9 +119,9 @@
 	})
 }
 
-func (p peers) Vouch(ctx context.Context, elector, subject live.Process) (bool, error) {
+func (p peers) AttestOutage(ctx context.Context, elector, subject live.Process) (bool, error) {
 	return toPeer(ctx, p, elector.Instance, func(m *member) (bool, error) {
-		return m.process == elector && m.elector.Vouch(subject, time.Now()), nil
+		return m.process == elector && m.elector.AttestOutage(subject, time.Now()), nil
 	})
 }
 
@@ -136,9 +136,9 @@
 	return err
 }
 
-func (p peers) Give(ctx context.Context, shard live.Shard) error {
+func (p peers) OfferShard(ctx context.Context, shard live.Shard) error {
 	_, err := toPeer(ctx, p, shard.Owner.Instance, func(m *member) (struct{}, error) {
-		m.keeper.Given(shard)
+		m.keeper.ShardOffered(shard)
 		return struct{}{}, nil
 	})
 	return err
--- a/test/cell/member_test.go
+++ b/test/cell/member_test.go
@@ -57,7 +57,7 @@
 		return agent{gate: m.gate, id: address, worker: c.workers[address]}
 	}
 	m.owner = owner.New(id, timing, m.session, dial, router, others, set, entry)
-	around := planner.Surroundings{
+	around := planner.Environment{
 		View:      func() live.View { return m.keeper.View() },
 		Directory: func() []platform.Instance { return c.directory() }, Config: m.current,
 	}
@@ -88,10 +88,10 @@
 func (m *member) ViewRead(view live.View) { m.owner.SetDrains(view.Drains) }
 
 // HeldChanged implements ownership.Listener.
-func (m *member) HeldChanged(held []ownership.Held) {
+func (m *member) HeldChanged(held []ownership.HeldShard) {
 	var planning *live.Shard
 	for _, h := range held {
-		if h.Shard.Name == live.PlannerShard && h.GivenAt.IsZero() {
+		if h.Shard.Name == live.PlannerShard && h.HandedOverAt.IsZero() {
 			planning = &h.Shard
 		}
 	}
