--- a/internal/entry/keyed.go
+++ b/internal/entry/keyed.go
@@ -13,7 +13,7 @@
 // key if that is here, else by passing it on to the home.
 func (s *Server) serveKeyed(ctx context.Context, w http.ResponseWriter, c *call) error {
 	view := s.view()
-	shard := idempotency.HomeOf(c.service.Name, c.key, shardNames(view))
+	shard := idempotency.OwningShard(c.service.Name, c.key, shardNames(view))
 	if shard == "" {
 		return fault.New(fault.Overloaded, "no shard is known yet")
 	}
@@ -46,7 +46,7 @@
 	if err != nil {
 		return err
 	}
-	capture := &bodyCapture{limit: idempotency.MaxKeptBody}
+	capture := &bodyCapture{limit: idempotency.MaxStoredBody}
 	recorder := &statusRecorder{ResponseWriter: w}
 	ended := false
 	defer func() {
