--- a/internal/cellleader/leader_test.go
+++ b/internal/cellleader/leader_test.go
@@ -97,7 +97,7 @@
 		m.term.Store(term)
 		m.earlier.Store(earlierStopped)
 		return cellowner.New(cell.Settings{Term: term, Lease: time.Second}, claim, cellowner.Deps{
-			Store: watched, Jobs: jobs, Roster: platform.RosterIn(watched, log), Runner: platform.NewWorkers(),
+			Store: watched, Jobs: jobs, Roster: platform.NewRoster(watched, log), Runner: platform.NewWorkers(),
 			Advisers: cellpeer.NewAdvicePool(directory, clients, nil, nil), Catalog: (&catalog.Current{}).Get, Leadership: l, Metrics: ownerMetrics, Log: log,
 		})
 	}
--- a/internal/command/instance.go
+++ b/internal/command/instance.go
@@ -62,8 +62,8 @@
 	log := node.NewLog(f.logLevel, given.Name, std.Out)
 	outside := node.Outside{
 		Store: platform.NewStore(given.Store), Workers: platform.NewWorkers(), Adviser: platform.NewAdviser(given.Adviser),
-		Roster: platform.RosterIn, Catalogs: platform.CatalogsIn, Callers: platform.NewCallers,
-		Waves: platform.WavesIn, Fleet: platform.NewFleet(given.Fleet),
+		Roster: platform.NewRoster, Catalogs: platform.NewCatalogs, Callers: platform.NewCallers,
+		Waves: platform.NewWaves, Fleet: platform.NewFleet(given.Fleet),
 	}
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		return Record{}, err
 	}
-	err = platform.Settle(ctx, s.table, tx)
+	err = platform.CommitWithRetry(ctx, s.table, tx)
 	switch {
 	case err == nil:
 		return rec, nil
--- a/internal/dev/system.go
+++ b/internal/dev/system.go
@@ -33,7 +33,7 @@
 	Record    *standworker.Record
 
 	settings Settings
-	faulty   *standplatform.Faulty
+	faulty   *standplatform.FaultyStore
 	store    *standplatform.Store
 	apps     []*fx.App
 	servers  []*http.Server
@@ -43,7 +43,7 @@
 // Start starts a system. It must be stopped also after an error.
 func Start(ctx context.Context, s Settings, log io.Writer) (*System, error) {
 	sys := &System{settings: s, Record: &standworker.Record{}, store: standplatform.NewStore()}
-	sys.faulty = standplatform.NewFaulty(sys.store)
+	sys.faulty = standplatform.NewFaultyStore(sys.store)
 	address, err := sys.serve(standplatform.NewServer(sys.store, sys.faulty).Handler())
 	if err != nil {
 		return sys, err
--- a/internal/entry/drains.go
+++ b/internal/entry/drains.go
@@ -39,7 +39,7 @@
 	entry := audit.Entry{At: time.Now().UTC(), By: operator(c), Action: action, Subject: subject, Outcome: audit.Accepted}
 	tx.ID = uuid.NewString()
 	tx.Puts = append(tx.Puts, s.trail.Put(entry))
-	if err := platform.Settle(callContext(c), s.table, tx); err != nil {
+	if err := platform.CommitWithRetry(callContext(c), s.table, tx); err != nil {
 		return fault.New(fault.PlatformUnavailable, "the table did not say whether the %s was kept: %w", action, err).WithOutcome(fault.MayHaveRun)
 	}
 	s.changed()
--- a/internal/owner/handover_test.go
+++ b/internal/owner/handover_test.go
@@ -24,11 +24,11 @@
 	}
 	status := worker.TaskStatus{Ref: worker.TaskRef{Run: "r"}, Workload: "desk", Service: true, State: worker.Running}
 	reply := worker.SyncReply{Boot: "b", Slots: 8, Tasks: []worker.TaskStatus{status}}
-	reply.Doubts, _ = a.Ask(context.Background(), req.Doubt)
+	reply.RequestStates, _ = a.QueryRequests(context.Background(), req.UnconfirmedRequests)
 	return reply, nil
 }
 
-func (a *handedOver) Ask(_ context.Context, ids []string) ([]worker.RequestState, error) {
+func (a *handedOver) QueryRequests(_ context.Context, ids []string) ([]worker.RequestState, error) {
 	states := make([]worker.RequestState, len(ids))
 	for i := range states {
 		states[i] = worker.RequestRevoked
--- a/internal/owner/minder.go
+++ b/internal/owner/minder.go
@@ -103,7 +103,7 @@
 		return
 	}
 	m.replied(reply, received)
-	for i, state := range reply.Doubts {
+	for i, state := range reply.RequestStates {
 		if i < len(doubt) {
 			m.owner.router.Resolve(m.id, doubt[i], state, received)
 		}
--- a/internal/owner/remainder.go
+++ b/internal/owner/remainder.go
@@ -29,7 +29,7 @@
 	if len(doubt) == 0 {
 		return
 	}
-	states, err := m.agent.Ask(ctx, doubt)
+	states, err := m.agent.QueryRequests(ctx, doubt)
 	if err != nil {
 		m.log().WithError(err).WithField("requests", len(doubt)).Warn("requests_not_asked_about")
 		return
--- a/internal/owner/tracker.go
+++ b/internal/owner/tracker.go
@@ -72,7 +72,7 @@
 func (t *Tracker) Next(doubt []string) worker.SyncRequest {
 	t.seq++
 	req := worker.SyncRequest{
-		Owner: t.owner, Epoch: t.site.Epoch, Seq: t.seq, Boot: t.boot, Since: t.version, Doubt: doubt,
+		Owner: t.owner, Epoch: t.site.Epoch, Seq: t.seq, Boot: t.boot, Since: t.version, UnconfirmedRequests: doubt,
 	}
 	if t.boot != "" {
 		req.LeaseUntil = t.stamp + t.timing.WorkerLease.Milliseconds()
--- a/internal/platform/settle.go
+++ b/internal/platform/settle.go
@@ -9,15 +9,15 @@
 // settleBackoff is the wait between two attempts of one transaction.
 const settleBackoff = 50 * time.Millisecond
 
-// Settle commits tx and returns only when the result is known or ctx ends.
+// CommitWithRetry commits tx and returns only when the result is known or ctx ends.
 //
 // A write may take effect although its answer is lost. Without care the
 // repeat would find its own first attempt as a conflict and report a failure
-// that did not happen. Settle repeats the same conditional transaction, so at
+// that did not happen. CommitWithRetry repeats the same conditional transaction, so at
 // most one attempt takes effect, and on a conflict looks for its own
 // transaction id in the rows it put. tx must therefore put at least one row
 // that nobody else overwrites at once.
-func Settle(ctx context.Context, t Table, tx Tx) error {
+func CommitWithRetry(ctx context.Context, t Table, tx Tx) error {
 	doubtful := false
 	for {
 		err := t.Commit(ctx, tx)
--- a/internal/standin/platform/faulty.go
+++ b/internal/standin/platform/faulty_store.go
@@ -17,9 +17,9 @@
 	ReadsPerSecond  = 2000
 )
 
-// Faulty is a Store seen by one client through the current faults and the
+// FaultyStore is a Store seen by one client through the current faults and the
 // service's limits.
-type Faulty struct {
+type FaultyStore struct {
 	store  *Store
 	client string
 	state  *faultState
@@ -33,21 +33,21 @@
 	reads  *rate.Limiter
 }
 
-// NewFaulty returns a faultless view of store; For gives it to clients.
-func NewFaulty(store *Store) *Faulty {
-	return &Faulty{store: store, state: &faultState{
+// NewFaultyStore returns a faultless view of store; For gives it to clients.
+func NewFaultyStore(store *Store) *FaultyStore {
+	return &FaultyStore{store: store, state: &faultState{
 		writes: rate.NewLimiter(WritesPerSecond, WritesPerSecond),
 		reads:  rate.NewLimiter(ReadsPerSecond, ReadsPerSecond),
 	}}
 }
 
-// For returns the view of one named client. All views share their faults.
-func (f *Faulty) For(client string) *Faulty {
-	return &Faulty{store: f.store, client: client, state: f.state}
+// ForClient returns the view of one named client. All views share their faults.
+func (f *FaultyStore) ForClient(client string) *FaultyStore {
+	return &FaultyStore{store: f.store, client: client, state: f.state}
 }
 
-// Set replaces the current faults.
-func (f *Faulty) Set(fault Fault) {
+// SetFault replaces the current faults.
+func (f *FaultyStore) SetFault(fault Fault) {
 	list, _ := f.store.Instances(context.Background())
 	f.state.mu.Lock()
 	defer f.state.mu.Unlock()
@@ -58,7 +58,7 @@
 }
 
 // Get implements platform.Table.
-func (f *Faulty) Get(ctx context.Context, key string) (platform.Row, error) {
+func (f *FaultyStore) Get(ctx context.Context, key string) (platform.Row, error) {
 	if err := f.enterTable(ctx, f.state.reads); err != nil {
 		return platform.Row{}, err
 	}
@@ -66,7 +66,7 @@
 }
 
 // Scan implements platform.Table.
-func (f *Faulty) Scan(ctx context.Context, prefix, after string, limit int) ([]platform.Row, error) {
+func (f *FaultyStore) Scan(ctx context.Context, prefix, after string, limit int) ([]platform.Row, error) {
 	if err := f.enterTable(ctx, f.state.reads); err != nil {
 		return nil, err
 	}
@@ -74,7 +74,7 @@
 }
 
 // Commit implements platform.Table.
-func (f *Faulty) Commit(ctx context.Context, tx platform.Tx) error {
+func (f *FaultyStore) Commit(ctx context.Context, tx platform.Tx) error {
 	if err := f.enterTable(ctx, f.state.writes); err != nil {
 		return err
 	}
@@ -86,7 +86,7 @@
 }
 
 // PutObject implements platform.Objects.
-func (f *Faulty) PutObject(ctx context.Context, key string, data []byte) error {
+func (f *FaultyStore) PutObject(ctx context.Context, key string, data []byte) error {
 	if err := f.enter(ctx, f.current().ObjectsDown); err != nil {
 		return err
 	}
@@ -94,7 +94,7 @@
 }
 
 // GetObject implements platform.Objects.
-func (f *Faulty) GetObject(ctx context.Context, key string) ([]byte, error) {
+func (f *FaultyStore) GetObject(ctx context.Context, key string) ([]byte, error) {
 	if err := f.enter(ctx, f.current().ObjectsDown); err != nil {
 		return nil, err
 	}
@@ -102,7 +102,7 @@
 }
 
 // Instances implements platform.Directory.
-func (f *Faulty) Instances(ctx context.Context) ([]platform.Instance, error) {
+func (f *FaultyStore) Instances(ctx context.Context) ([]platform.Instance, error) {
 	if err := f.enter(ctx, false); err != nil {
 		return nil, err
 	}
@@ -115,7 +115,7 @@
 	return f.store.Instances(ctx)
 }
 
-func (f *Faulty) enterTable(ctx context.Context, limit *rate.Limiter) error {
+func (f *FaultyStore) enterTable(ctx context.Context, limit *rate.Limiter) error {
 	if err := f.enter(ctx, f.current().TableDown); err != nil {
 		return err
 	}
@@ -125,7 +125,7 @@
 	return nil
 }
 
-func (f *Faulty) enter(ctx context.Context, down bool) error {
+func (f *FaultyStore) enter(ctx context.Context, down bool) error {
 	fault := f.current()
 	if fault.DelayMillis > 0 {
 		select {
@@ -140,13 +140,13 @@
 	return nil
 }
 
-func (f *Faulty) current() Fault {
+func (f *FaultyStore) current() Fault {
 	f.state.mu.Lock()
 	defer f.state.mu.Unlock()
 	return f.state.fault
 }
 
-func (f *Faulty) loseAnswer() bool {
+func (f *FaultyStore) loseAnswer() bool {
 	f.state.mu.Lock()
 	defer f.state.mu.Unlock()
 	if f.state.fault.LoseAnswers == 0 {
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -21,11 +21,11 @@
 // Server serves a Faulty over the platform's wire.
 type Server struct {
 	store  *Store
-	faulty *Faulty
+	faulty *FaultyStore
 }
 
 // NewServer returns a server of store, seen through faulty.
-func NewServer(store *Store, faulty *Faulty) *Server {
+func NewServer(store *Store, faulty *FaultyStore) *Server {
 	return &Server{store: store, faulty: faulty}
 }
 
@@ -43,8 +43,8 @@
 	return mux
 }
 
-func (s *Server) view(r *http.Request) *Faulty {
-	return s.faulty.For(r.Header.Get(httpwire.HeaderClient))
+func (s *Server) view(r *http.Request) *FaultyStore {
+	return s.faulty.ForClient(r.Header.Get(httpwire.HeaderClient))
 }
 
 func (s *Server) get(w http.ResponseWriter, r *http.Request) {
@@ -99,7 +99,7 @@
 func (s *Server) setFault(w http.ResponseWriter, r *http.Request) {
 	var fault Fault
 	if decode(w, r, &fault) {
-		s.faulty.Set(fault)
+		s.faulty.SetFault(fault)
 		answer(w, fault, nil)
 	}
 }
--- a/internal/standin/worker/record.go
+++ b/internal/standin/worker/record.go
@@ -29,13 +29,13 @@
 
 // The events of a record.
 const (
-	TaskStarted   EventType = "task_started"
-	TaskEnded     EventType = "task_ended"
-	RequestRan    EventType = "request_ran"
-	OverCapacity  EventType = "over_capacity"
-	OverSlots     EventType = "over_slots"
-	LeaseLapsed   EventType = "lease_lapsed"
-	RefusedEpochs EventType = "refused_epoch"
+	TaskStarted  EventType = "task_started"
+	TaskEnded    EventType = "task_ended"
+	RequestRan   EventType = "request_ran"
+	OverCapacity EventType = "over_capacity"
+	OverSlots    EventType = "over_slots"
+	LeaseExpired EventType = "lease_lapsed"
+	RefusedEpoch EventType = "refused_epoch"
 )
 
 // Add appends an event.
--- a/internal/standin/worker/requests.go
+++ b/internal/standin/worker/requests.go
@@ -14,7 +14,7 @@
 	w.advanceLocked()
 	switch {
 	case epoch < w.epoch:
-		w.record.Add(Event{At: w.now(), Worker: w.cfg.ID, Type: RefusedEpochs})
+		w.record.Add(Event{At: w.now(), Worker: w.cfg.ID, Type: RefusedEpoch})
 		return httpwire.RefusedEpoch
 	case w.revoked[id]:
 		return httpwire.RefusedRevoked
--- a/internal/standin/worker/server.go
+++ b/internal/standin/worker/server.go
@@ -34,7 +34,7 @@
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(httpwire.PathSync, s.sync)
-	mux.HandleFunc(httpwire.PathAsk, s.ask)
+	mux.HandleFunc(httpwire.PathRequests, s.ask)
 	mux.HandleFunc(httpwire.PathServe, s.serve)
 	mux.HandleFunc(PathFault, s.setFault)
 	mux.HandleFunc(PathRecord, func(w http.ResponseWriter, _ *http.Request) {
@@ -102,7 +102,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	states, err := s.worker.Ask(r.Context(), ids)
+	states, err := s.worker.QueryRequests(r.Context(), ids)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
--- a/internal/standin/worker/sync.go
+++ b/internal/standin/worker/sync.go
@@ -19,7 +19,7 @@
 		return worker.SyncReply{}, worker.ErrUnreachable
 	}
 	if req.Epoch < w.epoch {
-		w.record.Add(Event{At: w.now(), Worker: w.cfg.ID, Type: RefusedEpochs})
+		w.record.Add(Event{At: w.now(), Worker: w.cfg.ID, Type: RefusedEpoch})
 		return worker.SyncReply{}, worker.ErrStaleEpoch
 	}
 	if req.Epoch == w.epoch && req.Seq <= w.seq {
@@ -30,8 +30,8 @@
 	return w.replyLocked(req), nil
 }
 
-// Ask implements worker.Agent.
-func (w *Worker) Ask(_ context.Context, ids []string) ([]worker.RequestState, error) {
+// QueryRequests implements worker.Agent.
+func (w *Worker) QueryRequests(_ context.Context, ids []string) ([]worker.RequestState, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.fault.DropAgent {
@@ -147,7 +147,7 @@
 			reply.OlderRequests++
 		}
 	}
-	reply.Doubts = w.doubtsLocked(req.Doubt)
+	reply.RequestStates = w.doubtsLocked(req.UnconfirmedRequests)
 	return reply
 }
 
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -106,7 +106,7 @@
 	lapsed := w.leaseUntil > 0 && !now.Before(lapse)
 	if lapsed {
 		w.leaseUntil = 0
-		w.record.Add(Event{At: lapse, Worker: w.cfg.ID, Type: LeaseLapsed})
+		w.record.Add(Event{At: lapse, Worker: w.cfg.ID, Type: LeaseExpired})
 	}
 	for _, t := range w.tasks {
 		due := !t.endsAt.IsZero() && !now.Before(t.endsAt)
--- a/internal/worker/agent.go
+++ b/internal/worker/agent.go
@@ -15,8 +15,8 @@
 	// returns what the worker runs. Repeating a Sync is harmless. It returns
 	// ErrStaleEpoch when a later owner has claimed the worker.
 	Sync(ctx context.Context, req SyncRequest) (SyncReply, error)
-	// Ask returns the states of requests that the caller sent itself, in the
+	// QueryRequests returns the states of requests that the caller sent itself, in the
 	// order of their ids, and has the worker revoke those it has not seen. Unlike
 	// Sync it needs no epoch: an earlier owner may ask about its own requests.
-	Ask(ctx context.Context, ids []string) ([]RequestState, error)
+	QueryRequests(ctx context.Context, ids []string) ([]RequestState, error)
 }
--- a/internal/worker/httpwire/client.go
+++ b/internal/worker/httpwire/client.go
@@ -15,9 +15,9 @@
 
 // The paths and headers of the wire.
 const (
-	PathSync  = "/v1/sync"
-	PathAsk   = "/v1/requests"
-	PathServe = "/serve/"
+	PathSync     = "/v1/sync"
+	PathRequests = "/v1/requests"
+	PathServe    = "/serve/"
 	// HeaderEpoch carries the owner's epoch with each request.
 	HeaderEpoch = "X-Worker-Epoch"
 	// HeaderRequest carries the id of a request.
@@ -57,10 +57,10 @@
 	return reply, nil
 }
 
-// Ask implements worker.Agent.
-func (a *Agent) Ask(ctx context.Context, ids []string) ([]worker.RequestState, error) {
+// QueryRequests implements worker.Agent.
+func (a *Agent) QueryRequests(ctx context.Context, ids []string) ([]worker.RequestState, error) {
 	var states []worker.RequestState
-	if err := a.post(ctx, PathAsk, ids, &states); err != nil {
+	if err := a.post(ctx, PathRequests, ids, &states); err != nil {
 		return nil, fmt.Errorf("ask: %w", err)
 	}
 	if len(states) != len(ids) {
--- a/internal/worker/sync_reply.go
+++ b/internal/worker/sync_reply.go
@@ -18,6 +18,6 @@
 	// OlderRequests counts requests in progress that came under an epoch
 	// below the present one; they hold slots the owner does not know of.
 	OlderRequests int `json:"older_requests,omitempty"`
-	// Doubts answers SyncRequest.Doubt in its order.
-	Doubts []RequestState `json:"doubts,omitempty"`
+	// RequestStates answers SyncRequest.Doubt in its order.
+	RequestStates []RequestState `json:"doubts,omitempty"`
 }
--- a/internal/worker/sync_request.go
+++ b/internal/worker/sync_request.go
@@ -25,7 +25,7 @@
 	// Since is SyncReply.Version of the last reply; tasks that have not
 	// changed since are left out of the next one. 0 asks for all.
 	Since uint64 `json:"since"`
-	// Doubt lists ids of requests that were sent but not answered. One that
+	// UnconfirmedRequests lists ids of requests that were sent but not answered. One that
 	// the worker has not seen, it must refuse from now on.
-	Doubt []string `json:"doubt,omitempty"`
+	UnconfirmedRequests []string `json:"doubt,omitempty"`
 }
--- a/test/cell/cell_test.go
+++ b/test/cell/cell_test.go
@@ -59,7 +59,7 @@
 	seed    uint64
 	log     io.Writer
 	store   *standplatform.Store
-	faulty  *standplatform.Faulty
+	faulty  *standplatform.FaultyStore
 	record  *standworker.Record
 	workers map[string]*standworker.Worker
 	current *config.Current
@@ -71,7 +71,7 @@
 
 func newCell(seed uint64, log io.Writer) *cell {
 	c := &cell{seed: seed, log: log, store: standplatform.NewStore(), record: &standworker.Record{}, workers: map[string]*standworker.Worker{}, current: config.NewCurrent()}
-	c.faulty = standplatform.NewFaulty(c.store)
+	c.faulty = standplatform.NewFaultyStore(c.store)
 	for n := range workers {
 		id := fmt.Sprintf("worker-%d", n)
 		cfg := standworker.Config{ID: id, Slots: 8, Work: time.Second, Capacity: resource.Amount{MilliCPU: 6000, MemoryMiB: 16 << 10}}
@@ -147,7 +147,7 @@
 
 // heal ends all faults and replaces dead members.
 func (c *cell) heal() {
-	c.faulty.Set(standplatform.Fault{})
+	c.faulty.SetFault(standplatform.Fault{})
 	for _, w := range c.workers {
 		w.SetFault(standworker.Fault{})
 	}
--- a/test/cell/fakes_test.go
+++ b/test/cell/fakes_test.go
@@ -20,7 +20,7 @@
 // table is the platform's table as one member reaches it.
 type table struct {
 	gate   *gate
-	faulty *standplatform.Faulty
+	faulty *standplatform.FaultyStore
 }
 
 func (t table) Get(ctx context.Context, key string) (platform.Row, error) {
@@ -69,8 +69,8 @@
 	return toWorker(ctx, a, func() (worker.SyncReply, error) { return a.worker.Sync(ctx, req) })
 }
 
-func (a agent) Ask(ctx context.Context, ids []string) ([]worker.RequestState, error) {
-	return toWorker(ctx, a, func() ([]worker.RequestState, error) { return a.worker.Ask(ctx, ids) })
+func (a agent) QueryRequests(ctx context.Context, ids []string) ([]worker.RequestState, error) {
+	return toWorker(ctx, a, func() ([]worker.RequestState, error) { return a.worker.QueryRequests(ctx, ids) })
 }
 
 func toWorker[T any](ctx context.Context, a agent, call func() (T, error)) (T, error) {
--- a/test/cell/focused_test.go
+++ b/test/cell/focused_test.go
@@ -97,10 +97,10 @@
 // Failure: tasks run in two places after an outage that a cut follows.
 func TestOwnerInOutageThenCut(t *testing.T) {
 	afterCut(t, 2, func(c *cell, owner int) {
-		c.faulty.Set(standplatform.Fault{TableDown: true})
+		c.faulty.SetFault(standplatform.Fault{TableDown: true})
 		time.Sleep(20 * time.Second)
 		c.splitOff(owner, rack0)
-		c.faulty.Set(standplatform.Fault{})
+		c.faulty.SetFault(standplatform.Fault{})
 	})
 }
 
@@ -112,7 +112,7 @@
 		// The first hand-overs are over by then; a shard that was given away in
 		// the last moment before an outage has no owner during it.
 		time.Sleep(8 * time.Second)
-		c.faulty.Set(standplatform.Fault{TableDown: true})
+		c.faulty.SetFault(standplatform.Fault{TableDown: true})
 		time.Sleep(time.Hour)
 		if n := c.replicas(); n != 2 {
 			t.Errorf("%d replicas run after an hour", n)
@@ -126,7 +126,7 @@
 		if letters < 24 {
 			t.Errorf("%d of 24 accepted letters were done in the outage", letters)
 		}
-		c.faulty.Set(standplatform.Fault{})
+		c.faulty.SetFault(standplatform.Fault{})
 		if problems := c.awaitEnd(3 * time.Minute); len(problems) > 0 {
 			t.Errorf("after the outage: %v", problems)
 		}
--- a/test/cell/member_test.go
+++ b/test/cell/member_test.go
@@ -47,7 +47,7 @@
 	log.SetLevel(logrus.DebugLevel)
 	entry := log.WithField("member", m.process.String())
 	timing := membership.DefaultTiming()
-	tbl := table{gate: m.gate, faulty: c.faulty.For(id)}
+	tbl := table{gate: m.gate, faulty: c.faulty.ForClient(id)}
 	others := peers{cell: c, me: m}
 	set := metrics.NewSet()
 	m.session = membership.NewSession(timing, time.Now())
--- a/test/cell/mixed_test.go
+++ b/test/cell/mixed_test.go
@@ -79,13 +79,13 @@
 	case "heal_member":
 		with(func(m *member) { m.gate.heal() })
 	case "table_down":
-		c.faulty.Set(standplatform.Fault{TableDown: true})
+		c.faulty.SetFault(standplatform.Fault{TableDown: true})
 	case "table_up":
-		c.faulty.Set(standplatform.Fault{})
+		c.faulty.SetFault(standplatform.Fault{})
 	case "table_slow":
-		c.faulty.Set(standplatform.Fault{DelayMillis: 700})
+		c.faulty.SetFault(standplatform.Fault{DelayMillis: 700})
 	case "lose_answers":
-		c.faulty.Set(standplatform.Fault{LoseAnswers: 5})
+		c.faulty.SetFault(standplatform.Fault{LoseAnswers: 5})
 	case "worker_silent":
 		w.SetFault(standworker.Fault{DropAgent: true})
 	case "worker_back":
--- a/test/e2e/stops_test.go
+++ b/test/e2e/stops_test.go
@@ -59,7 +59,7 @@
 		s.awaitAnswered(inst, "casedesk/drained")
 	}
 	for _, e := range s.judge() {
-		if e.Worker == target.id && e.At.After(quiet) && e.Type != standworker.RefusedEpochs {
+		if e.Worker == target.id && e.At.After(quiet) && e.Type != standworker.RefusedEpoch {
 			t.Errorf("after the drain: %+v", e)
 		}
 	}
--- a/test/soak/caller_test.go
+++ b/test/soak/caller_test.go
@@ -33,12 +33,12 @@
 }
 
 // endsWell reports whether the job may be in a final state.
-func (s submission) endsWell(j *standin.Judge, state string) bool {
+func (s submission) endsWell(j *standin.Checker, state string) bool {
 	switch state {
 	case "completed":
 		return !s.fails
 	case "failed":
-		return s.fails || j.CrashedUnder(s.id)
+		return s.fails || j.IsPoisonJob(s.id)
 	}
 	return false
 }
--- a/test/soak/lasting_test.go
+++ b/test/soak/lasting_test.go
@@ -21,21 +21,21 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	c.world.judge.Blame("the lasting job %s was not accepted", s.id)
+	c.world.judge.AddViolation("the lasting job %s was not accepted", s.id)
 	return s
 }
 
 // lasts reports whether all tasks of a lasting job run. A job under which workers crashed may
 // have been given up.
 func (c *callers) lasts(s submission, rnd *rand.Rand) bool {
-	if c.world.judge.CrashedUnder(s.id) {
+	if c.world.judge.IsPoisonJob(s.id) {
 		_, state := c.ask(http.MethodGet, s, c.world.workspaces.valid(s.workspace), "", rnd)
 		if state == "failed" {
 			return true
 		}
 	}
 	for index := range lastingTasks {
-		if !c.world.judge.Runs(fmt.Sprintf("%s.0.0.%d", s.id, index)) {
+		if !c.world.judge.Running(fmt.Sprintf("%s.0.0.%d", s.id, index)) {
 			return false
 		}
 	}
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -126,7 +126,7 @@
 		return len(left) == 0
 	})
 	waitFor(t, "the lasting tasks run", func() bool { return c.lasts(lasting, lastingRnd) })
-	for _, line := range w.judge.Broken() {
+	for _, line := range w.judge.Violations() {
 		t.Error(line)
 	}
 	t.Logf("seed %d: %d jobs, %d starts, faults %q", seed, len(c.jobs), w.judge.Starts(), played)
--- a/test/soak/workspaces_test.go
+++ b/test/soak/workspaces_test.go
@@ -161,10 +161,10 @@
 	defer s.mu.Unlock()
 	switch {
 	case status == http.StatusOK && k.from.IsZero():
-		s.world.judge.Blame("ROUTE: a key that no configuration held is served")
+		s.world.judge.AddViolation("ROUTE: a key that no configuration held is served")
 	case status == http.StatusOK && k.removed && sent.Sub(k.until) > revokeMillis*time.Millisecond:
-		s.world.judge.Blame("CONFIG: %s is served, sent %v after it was taken away", k.text, sent.Sub(k.until))
+		s.world.judge.AddViolation("CONFIG: %s is served, sent %v after it was taken away", k.text, sent.Sub(k.until))
 	case status == http.StatusUnauthorized && !k.from.IsZero() && !k.removed && sent.Sub(k.from) > knownAfter:
-		s.world.judge.Blame("CONFIG: %s is refused for good, sent %v after it was added", k.text, sent.Sub(k.from))
+		s.world.judge.AddViolation("CONFIG: %s is refused for good, sent %v after it was added", k.text, sent.Sub(k.from))
 	}
 }
--- a/test/soak/world_test.go
+++ b/test/soak/world_test.go
@@ -29,7 +29,7 @@
 // world is everything around the processes.
 type world struct {
 	t       *testing.T
-	judge   *standin.Judge
+	judge   *standin.Checker
 	store   *standin.Store
 	callers *callers
 	// workspaces are those of the configuration.
@@ -70,7 +70,7 @@
 // newWorld starts the stand-ins and the processes.
 func newWorld(t *testing.T, binary string, number int, tells bool) *world {
 	t.Helper()
-	w := &world{t: t, tells: tells, judge: standin.NewJudge(taskCPU), store: standin.NewStore()}
+	w := &world{t: t, tells: tells, judge: standin.NewChecker(taskCPU), store: standin.NewStore()}
 	storeServer := httptest.NewServer(w.store)
 	t.Cleanup(storeServer.Close)
 	adviser := httptest.NewServer(http.HandlerFunc(advise))
@@ -189,9 +189,9 @@
 func (w *world) newLife(i int, id string, cpu int64) *standin.Worker {
 	agent := standin.NewWorker(id, cpu, w.judge)
 	if w.tells {
-		agent.Born = time.Now().UnixMilli()
+		agent.Incarnation = time.Now().UnixMilli()
 	}
-	agent.Crashed = func() { time.AfterFunc(workerAway, func() { w.comeBack(i, agent) }) }
+	agent.OnCrash = func() { time.AfterFunc(workerAway, func() { w.comeBack(i, agent) }) }
 	w.agents[i] = agent
 	w.workerAt[i].Reset()
 	return agent
@@ -218,8 +218,8 @@
 		"service": "desk", "address": w.workerAt[i].Address(), "zone": "zone-0", "state": "ready",
 		"capacity": map[string]int64{"cpu": agent.CPU, "mem_mb": 32768, "gpu": 0}, "labels": []string{"a", "r1"},
 	}
-	if agent.Born != 0 {
-		entry["born"] = agent.Born
+	if agent.Incarnation != 0 {
+		entry["born"] = agent.Incarnation
 	}
 	return entry
 }
--- a/test/standin/main.go
+++ b/test/standin/main.go
@@ -27,7 +27,7 @@
 	switch *kind {
 	case "platform":
 		store := standplatform.NewStore()
-		handler = standplatform.NewServer(store, standplatform.NewFaulty(store)).Handler()
+		handler = standplatform.NewServer(store, standplatform.NewFaultyStore(store)).Handler()
 	case "worker":
 		record := &standworker.Record{}
 		w := standworker.New(standworker.Config{
