--- a/internal/cell/ask_held_test.go
+++ b/internal/cell/ask_held_test.go
@@ -9,16 +9,16 @@
 	"gentianstand/internal/runner"
 )
 
-// adviser answers each question after the time that it takes, with tickets for all workers.
-type adviser struct {
+// fakeAdviser answers each question after the time that it takes, with tickets for all workers.
+type fakeAdviser struct {
 	site    *site
 	pending []AdviceOrder
 	due     []time.Time
 	asked   int
 }
 
-// serve takes the questions of the last plan and answers those that are due.
-func (a *adviser) serve() {
+// answerDue takes the questions of the last plan and answers those that are due.
+func (a *fakeAdviser) answerDue() {
 	for _, q := range a.site.questions() {
 		a.asked++
 		a.pending = append(a.pending, q)
@@ -36,21 +36,21 @@
 
 // Failure: after a take-over beside a lost worker a task waits for its leases and then for
 // the adviser, too.
-func TestTicketsAreThereWhenATaskIsNotHeldBackAnyMore(t *testing.T) {
+func TestTicketsAreReadyWhenATaskIsReleased(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"), usualWorker("b"))
-	lasting := step(1)
-	lasting.LongRunning = true
-	r := s.record(1, lasting)
+	longRunning := step(1)
+	longRunning.LongRunning = true
+	r := s.record(1, longRunning)
 	r.Advice = &job.AdviceCost{PerCall: 560 * time.Millisecond, PerWorker: 8 * time.Millisecond, TicketTTL: 2 * time.Second}
 	s.cell.Load(r, nil)
 	began, limit := s.now, s.cell.earlierLeaseLimit()
-	asks := &adviser{site: s}
+	asks := &fakeAdviser{site: s}
 	for len(s.plan()) == 0 {
 		if s.now.Sub(began) > 2*limit {
 			t.Fatal("never started")
 		}
-		asks.serve()
-		s.pass(10 * time.Millisecond)
+		asks.answerDue()
+		s.advance(10 * time.Millisecond)
 		s.report("b")
 	}
 	took := s.now.Sub(began)
@@ -65,17 +65,17 @@
 	}
 }
 
-// silentUntilStarted lets time pass beside a silent worker a until the next start, and
+// timeToStart lets time pass beside a silent worker a until the next start, and
 // returns how long that took.
-func (a *adviser) silentUntilStarted() time.Duration {
+func (a *fakeAdviser) timeToStart() time.Duration {
 	s := a.site
 	began := s.now
 	for len(s.plan()) == 0 {
 		if s.now.Sub(began) > 20*time.Second {
 			s.t.Fatal("never started")
 		}
-		a.serve()
-		s.pass(10 * time.Millisecond)
+		a.answerDue()
+		s.advance(10 * time.Millisecond)
 		s.cell.NextPoll("a", s.now)
 		s.cell.PollFailed("a", runner.ErrNoAnswer, s.now)
 		s.report("b")
@@ -83,19 +83,19 @@
 	return s.now.Sub(began)
 }
 
-// lastingOnA starts the lasting task of an advised job on worker a, the only one that reports.
-func (s *site) lastingOnA() (*adviser, *job.Record) {
-	r := s.record(1, lasting(1, 0))
+// startLongRunningOnA starts the lasting task of an advised job on worker a, the only one that reports.
+func (s *site) startLongRunningOnA() (*fakeAdviser, *job.Record) {
+	r := s.record(1, longRunning(1, 0))
 	r.Advice = &job.AdviceCost{PerCall: 560 * time.Millisecond, PerWorker: 8 * time.Millisecond, TicketTTL: 2 * time.Second}
-	asks := &adviser{site: s}
+	asks := &fakeAdviser{site: s}
 	s.report("a")
 	s.cell.Add(r, true)
 	for len(s.cell.workers["a"].attempts) == 0 {
 		for _, o := range s.plan() {
 			s.confirm(o)
 		}
-		asks.serve()
-		s.pass(10 * time.Millisecond)
+		asks.answerDue()
+		s.advance(10 * time.Millisecond)
 		s.report("a")
 	}
 	return asks, r
@@ -103,21 +103,21 @@
 
 // Failure: a lasting task of a crashed worker waits for the lease there and then for the
 // adviser, too.
-func TestTicketsAreThereWhenTheLeaseOfASilentWorkerIsOver(t *testing.T) {
+func TestTicketsAreReadyWhenTheLeaseOfAnUnresponsiveWorkerExpires(t *testing.T) {
 	const slack = 150 * time.Millisecond
 	for name, takenOver := range map[string]bool{"same owner": false, "next owner": true} {
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
-			asks, r := s.lastingOnA()
+			asks, r := s.startLongRunningOnA()
 			over := s.cell.workers["a"].leaseOverAt()
 			if takenOver {
-				s.silentFor("a", time.Second, "b")
+				s.advanceUnresponsive("a", time.Second, "b")
 				s.takeOver(r, "a", "b")
 				over = s.now.Add(s.cell.earlierLeaseLimit())
 			}
 			asks.asked = 0
 			limit := over.Sub(s.now)
-			took := asks.silentUntilStarted()
+			took := asks.timeToStart()
 			if took < limit {
 				t.Errorf("started after %v, while the lease on a may last for %v", took, limit)
 			}
@@ -132,18 +132,18 @@
 }
 
 // Failure: the adviser is asked for tickets that nothing can use yet.
-func TestNoTicketsAreAskedForATaskThatPauses(t *testing.T) {
+func TestNoTicketsAreRequestedDuringABackoff(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
-	asks, r := s.lastingOnA()
+	asks, r := s.startLongRunningOnA()
 	crashes := &s.cell.jobs[r.ID].stages[0].tasks[0].crashes
 	crashes.unresponsive = []uint64{90, 91, 92}
 	crashes.lostAt = s.now
 	asks.asked = 0
-	for end := s.cell.workers["a"].leaseOverAt(); s.now.Before(end); s.pass(10 * time.Millisecond) {
+	for end := s.cell.workers["a"].leaseOverAt(); s.now.Before(end); s.advance(10 * time.Millisecond) {
 		s.cell.PollFailed("a", runner.ErrNoAnswer, s.now)
 		s.report("b")
 		s.plan()
-		asks.serve()
+		asks.answerDue()
 	}
 	if asks.asked > 0 {
 		t.Errorf("asked %d times", asks.asked)
@@ -152,10 +152,10 @@
 
 // Failure: a lasting task of a crashed worker is asked about only when other work leaves a
 // lane of the adviser.
-func TestLastingTaskOfASilentWorkerIsAskedAboutBeforeOtherWork(t *testing.T) {
+func TestLongRunningTaskOfAnUnresponsiveWorkerIsAskedAboutFirst(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	s.report("a")
-	r := advised(s.record(1, lasting(1, 0)), 560*time.Millisecond)
+	r := advised(s.record(1, longRunning(1, 0)), 560*time.Millisecond)
 	r.Priority = 1
 	s.cell.Add(r, true)
 	s.plan()
@@ -163,7 +163,7 @@
 	for _, o := range s.plan() {
 		s.confirm(o)
 	}
-	for over := s.cell.workers["a"].leaseOverAt().Add(-300 * time.Millisecond); s.now.Before(over); s.pass(100 * time.Millisecond) {
+	for over := s.cell.workers["a"].leaseOverAt().Add(-300 * time.Millisecond); s.now.Before(over); s.advance(100 * time.Millisecond) {
 		s.cell.PollFailed("a", runner.ErrNoAnswer, s.now)
 		s.report("b")
 	}
--- a/internal/cell/ask_order_test.go
+++ b/internal/cell/ask_order_test.go
@@ -39,7 +39,7 @@
 }
 
 // Failure: a stage of many tasks asks about workers that are nearly full.
-func TestWorkersWithMoreRoomAreAskedAboutFirst(t *testing.T) {
+func TestWorkersWithMoreFreeCapacityAreAskedAboutFirst(t *testing.T) {
 	workers := manyWorkers(24)
 	for i := range workers {
 		if i%2 == 1 {
--- a/internal/cell/ask_test.go
+++ b/internal/cell/ask_test.go
@@ -36,7 +36,7 @@
 }
 
 // Failure: after a fault nothing was placed any more, beside free workers.
-func TestAdviceIsAskedOnlyWhenALaneIsFree(t *testing.T) {
+func TestAdviceIsAskedOnlyWhenASlotIsFree(t *testing.T) {
 	s := newSite(t, 1, manyWorkers(4)...)
 	for _, w := range manyWorkers(4) {
 		s.report(w.ID)
@@ -90,7 +90,7 @@
 	if len(s.questions()) != 0 {
 		t.Error("asked again while the ticket is valid")
 	}
-	s.pass(1700 * time.Millisecond)
+	s.advance(1700 * time.Millisecond)
 	s.report("a")
 	s.report("b")
 	s.plan()
@@ -122,7 +122,7 @@
 	if len(s.questions()) != 0 {
 		t.Error("asked again at once")
 	}
-	s.pass(adviceRetryDelay)
+	s.advance(adviceRetryDelay)
 	s.plan()
 	if len(s.questions()) != 1 {
 		t.Error("not asked again after the pause")
@@ -161,22 +161,22 @@
 	two.Steps[1].DependsOn = []int{0}
 	s.cell.Add(two, true)
 	s.plan()
-	s.pass(300 * time.Millisecond)
+	s.advance(300 * time.Millisecond)
 	s.report("a")
 	for _, o := range s.plan() {
 		s.confirm(o)
-		s.pass(time.Second)
+		s.advance(time.Second)
 		s.finish(o, runner.Failed)
 		s.report("a")
 	}
 	for _, o := range s.plan() {
 		s.confirm(o)
-		s.pass(time.Second)
+		s.advance(time.Second)
 		s.finish(o, runner.Done)
 		s.report("a")
 	}
 	for _, o := range s.plan() {
-		s.pass(20 * time.Millisecond)
+		s.advance(20 * time.Millisecond)
 		s.confirm(o)
 	}
 	if len(waited) != 2 || waited[0] < 300*time.Millisecond || waited[0] > 400*time.Millisecond || waited[1] != 20*time.Millisecond {
--- a/internal/cell/away_test.go
+++ b/internal/cell/away_test.go
@@ -9,8 +9,8 @@
 )
 
 // Failure: a lasting task was away for seconds, and no log said why.
-func TestLastingTasksThatAreAwayAreExplained(t *testing.T) {
-	wide := lasting(1, 0)
+func TestDownLongRunningTasksHaveAReason(t *testing.T) {
+	wide := longRunning(1, 0)
 	wide.Need.MilliCPU = 15500
 	for _, test := range []struct {
 		name    string
@@ -21,9 +21,9 @@
 	}{
 		{"no room", wide, false, func(s *site, _ string) { s.cell.Add(s.record(9, step(16)), true) }, CapacityExhausted},
 		{"its start within the urgent reserve is not answered", wide, false, nil, RunStarting},
-		{"the adviser is asked", lasting(1, 0), true, nil, AdvicePending},
-		{"its start is not answered", lasting(1, 0), false, nil, RunStarting},
-		{"its workers were lost", lasting(1, 0), false, func(s *site, task string) {
+		{"the adviser is asked", longRunning(1, 0), true, nil, AdvicePending},
+		{"its start is not answered", longRunning(1, 0), false, nil, RunStarting},
+		{"its workers were lost", longRunning(1, 0), false, func(s *site, task string) {
 			s.cell.taskByName(task).crashes = crashHistory{unresponsive: []uint64{1, 2, 3}, lostAt: s.now}
 		}, CrashBackoff},
 	} {
@@ -40,7 +40,7 @@
 		}
 		s.cell.taskByName(r.ID + ".0.0.0").stage.lostWorkers = true
 		s.plan()
-		s.pass(downAfter)
+		s.advance(downAfter)
 		s.report("a")
 		aways, total := s.cell.DownTasks(4, s.now)
 		if total != 1 || aways[0].Reason != test.want || aways[0].DownFor < downAfter {
@@ -50,16 +50,16 @@
 }
 
 // Failure: a lasting task that is at work was told to be away.
-func TestLastingTaskAtWorkIsNotAway(t *testing.T) {
+func TestRunningLongRunningTaskIsNotDown(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
-	r := s.record(1, lasting(1, 0))
+	r := s.record(1, longRunning(1, 0))
 	s.cell.Add(r, true)
 	start := s.plan()[r.ID+".0.0.0"]
 	s.confirm(start)
 	s.runs["a"] = []runner.RunState{{Task: start.Start.Task, Run: 1, Percent: workingPercent}}
 	for range 5 {
-		s.pass(time.Second)
+		s.advance(time.Second)
 		s.report("a")
 		if aways, total := s.cell.DownTasks(4, s.now); total != 0 {
 			t.Fatalf("away: %+v", aways)
--- a/internal/cell/closing_test.go
+++ b/internal/cell/closing_test.go
@@ -8,7 +8,7 @@
 
 // Failure: after a take-over nothing was placed for four to five seconds, although all
 // workers but one answered.
-func TestOnlyTheRunsOfASilentWorkerWait(t *testing.T) {
+func TestOnlyTheRunsOfAnUnresponsiveWorkerWait(t *testing.T) {
 	before := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	before.report("a")
 	before.report("b")
@@ -24,7 +24,7 @@
 		}
 	}
 	before.cell.PollFailed("b", runner.ErrNoAnswer, before.now)
-	before.pass(unresponsiveAfter)
+	before.advance(unresponsiveAfter)
 	before.plan()
 	commit := before.cell.NextCommit(10)
 	waiting := before.record(2, step(3))
@@ -46,7 +46,7 @@
 	if again, ok := starts[onB]; ok {
 		t.Errorf("run %d of the task on b was started", again.Start.Run)
 	}
-	s.pass(s.cell.earlierLeaseLimit())
+	s.advance(s.cell.earlierLeaseLimit())
 	s.report("a")
 	s.report("c")
 	if _, ok := s.plan()[onB]; !ok {
@@ -73,16 +73,16 @@
 }
 
 // Failure: a task runs twice.
-func TestAnOpenedWorkerGetsNothingBeforeItIsStored(t *testing.T) {
+func TestUncordonedWorkerGetsNothingBeforeItIsStored(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
 	s.cell.PollFailed("a", runner.ErrNoAnswer, s.now)
-	s.pass(unresponsiveAfter)
+	s.advance(unresponsiveAfter)
 	s.plan()
 	s.commit()
 	s.cell.Add(s.record(1, step(1)), true)
 	s.report("a")
-	s.pass(watchPeriod)
+	s.advance(watchPeriod)
 	if starts := s.plan(); len(starts) > 0 {
 		t.Fatalf("started %v on a closed worker", starts)
 	}
--- a/internal/cell/condense_test.go
+++ b/internal/cell/condense_test.go
@@ -20,7 +20,7 @@
 	return l, ended, going
 }
 
-func TestOnlyJobsThatEndedSomeTimeAgoAreCondensed(t *testing.T) {
+func TestOnlyJobsThatEndedSomeTimeAgoAreCompacted(t *testing.T) {
 	l, ended, going := endedLoad(t)
 	if list := l.cell.Compact(time.Minute, l.now, 10); len(list) > 0 {
 		t.Errorf("%d jobs are condensed too early", len(list))
@@ -47,7 +47,7 @@
 }
 
 // Failure: the owner ends, or a task of a job that has ended runs on.
-func TestLateNewsOfACondensedJob(t *testing.T) {
+func TestLateReportsOfACompactedJob(t *testing.T) {
 	l, ended, _ := endedLoad(t)
 	l.cell.Compact(time.Second, l.now, 10)
 	stage := job.StageID{Job: ended}
@@ -66,7 +66,7 @@
 }
 
 // Failure: a job that has ended runs again after a take-over.
-func TestCondensedJobsAreReadAsEnded(t *testing.T) {
+func TestCompactedJobsAreReadAsEnded(t *testing.T) {
 	r := job.EndedRecord(&job.Record{ID: "00000000000000aa", Queue: "q", Service: "desk"})
 	l := newLoad(t, 1)
 	l.cell.Load(r, &job.Progress{Final: job.Failed, EndedAtMillis: l.now.UnixMilli()})
--- a/internal/cell/copies_test.go
+++ b/internal/cell/copies_test.go
@@ -9,7 +9,7 @@
 	"gentianstand/internal/runner"
 )
 
-var errSilent = errors.New("no answer")
+var errUnresponsive = errors.New("no answer")
 
 // runOnA starts one task on worker a, beside an idle worker b.
 func runOnA(t *testing.T, s *site, twice bool, maxAttempts int) StartOrder {
@@ -32,11 +32,11 @@
 	return StartOrder{}
 }
 
-// silence has looks at a worker fail for some time, while the other one answers.
-func (s *site) silence(worker, other string, d time.Duration) map[string]StartOrder {
+// failPolls has looks at a worker fail for some time, while the other one answers.
+func (s *site) failPolls(worker, other string, d time.Duration) map[string]StartOrder {
 	for passed := time.Duration(0); passed < d; passed += 100 * time.Millisecond {
-		s.pass(100 * time.Millisecond)
-		s.cell.PollFailed(worker, errSilent, s.now)
+		s.advance(100 * time.Millisecond)
+		s.cell.PollFailed(worker, errUnresponsive, s.now)
 		s.report(other)
 		s.commit()
 		if starts := s.plan(); len(starts) > 0 {
@@ -50,7 +50,7 @@
 func TestTaskThatMayRunTwiceDoesNotWaitForALease(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	o := runOnA(t, s, true, 3)
-	starts := s.silence("a", "b", time.Second)
+	starts := s.failPolls("a", "b", time.Second)
 	if second := starts[o.Start.Task]; second.Worker.ID != "b" || second.Start.Run <= o.Start.Run {
 		t.Errorf("no copy on b within a second: %v", starts)
 	}
@@ -60,17 +60,17 @@
 func TestTaskThatMayNotRunTwiceWaitsForTheLease(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	runOnA(t, s, false, 3)
-	if starts := s.silence("a", "b", 3*time.Second); len(starts) > 0 {
+	if starts := s.failPolls("a", "b", 3*time.Second); len(starts) > 0 {
 		t.Errorf("started again before the end of the lease: %v", starts)
 	}
 }
 
 // Failure: a task that may run twice waits 0.9 s for the stop of its run.
-func TestCopyOfAStalledRunDoesNotWaitForItsStop(t *testing.T) {
+func TestSpeculativeRunDoesNotWaitForTheStopOfAStalledRun(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	o := runOnA(t, s, true, 3)
 	for range 30 {
-		s.pass(100 * time.Millisecond)
+		s.advance(100 * time.Millisecond)
 		s.report("a")
 		s.report("b")
 		starts := s.plan()
@@ -89,7 +89,7 @@
 func slowRun(t *testing.T, s *site, o StartOrder) StartOrder {
 	t.Helper()
 	for percent := 1; percent < 20; percent++ {
-		s.pass(500 * time.Millisecond)
+		s.advance(500 * time.Millisecond)
 		s.progress(o, percent)
 		s.report("a")
 		s.report("b")
@@ -102,7 +102,7 @@
 }
 
 // Failure: a slow run that was nearly done is stopped, and its task begins anew.
-func TestSlowRunGoesOnBesideItsCopyUntilOneIsDone(t *testing.T) {
+func TestSlowRunAndSpeculativeRunContinueUntilOneIsDone(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	o := runOnA(t, s, true, 3)
 	second := slowRun(t, s, o)
@@ -124,7 +124,7 @@
 }
 
 // Failure: a job fails although its task succeeded.
-func TestFailureOfACopyAfterTheSuccessDoesNotCount(t *testing.T) {
+func TestFailureAfterTheSuccessOfASpeculativeRunDoesNotCount(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	s.report("a")
 	only := step(1)
@@ -152,7 +152,7 @@
 }
 
 // Failure: a worker runs a task twice.
-func TestCopyIsNeverPlacedBesideItsOriginal(t *testing.T) {
+func TestSpeculativeRunIsNeverPlacedOnTheSameWorker(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
 	only := step(1)
@@ -162,7 +162,7 @@
 		s.confirm(o)
 	}
 	for range 40 {
-		s.pass(100 * time.Millisecond)
+		s.advance(100 * time.Millisecond)
 		s.report("a")
 		if starts := s.plan(); len(starts) > 0 {
 			t.Fatalf("started beside itself: %v", starts)
@@ -171,11 +171,11 @@
 }
 
 // Failure: on days with slow workers short tasks take 5 s instead of 1 s.
-func TestShortTaskOnASlowWorkerIsCopied(t *testing.T) {
+func TestShortTaskOnASlowWorkerGetsASpeculativeRun(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	o := runOnA(t, s, true, 3)
 	for tick := 1; tick <= 4; tick++ {
-		s.pass(300 * time.Millisecond)
+		s.advance(300 * time.Millisecond)
 		s.progress(o, 5*tick)
 		s.report("a")
 		s.report("b")
@@ -187,11 +187,11 @@
 }
 
 // Failure: each short task runs twice, and the workers are full.
-func TestTaskThatEndsSoonIsNotCopied(t *testing.T) {
+func TestTaskThatEndsSoonGetsNoSpeculativeRun(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	o := runOnA(t, s, true, 3)
 	for tick := 1; tick <= 4; tick++ {
-		s.pass(300 * time.Millisecond)
+		s.advance(300 * time.Millisecond)
 		s.progress(o, 23*tick)
 		s.report("a")
 		s.report("b")
--- a/internal/cell/crash_blame_test.go
+++ b/internal/cell/crash_blame_test.go
@@ -10,40 +10,40 @@
 
 // A task lost three workers in a row and was not at fault: they were cut off, ran on until
 // their leases were over, and came back. It must be neither given up nor forgotten.
-func TestAWorkerThatIsCutOffIsNoCrash(t *testing.T) {
+func TestAnUnreachableWorkerIsNoCrash(t *testing.T) {
 	w := newCrashWorld(t, 6)
 	id := w.submit(0, letters(1))
-	cuts := 0
+	unreachableWorkers := 0
 	w.run(2*time.Minute, func() {
 		for worker, state := range w.states {
-			if len(w.workers[worker].runs) > 0 && cuts < 3 && !state.cut {
-				state.cut = true
-				cuts++
+			if len(w.workers[worker].runs) > 0 && unreachableWorkers < 3 && !state.unreachable {
+				state.unreachable = true
+				unreachableWorkers++
 			}
-			if state.cut && w.now.Sub(state.lease) > 3*time.Second {
-				state.cut = false
+			if state.unreachable && w.now.Sub(state.lease) > 3*time.Second {
+				state.unreachable = false
 			}
 		}
 	})
-	if cuts != 3 {
-		t.Fatalf("%d workers were cut off, want 3", cuts)
+	if unreachableWorkers != 3 {
+		t.Fatalf("%d workers were cut off, want 3", unreachableWorkers)
 	}
 	w.checkState(id, job.Completed)
 }
 
 // Workers crash by themselves: a sixth of them at once, three times, ten seconds apart. The
 // jobs that were starting there are not at fault, each time again others, and all are done.
-func TestJobsOnWorkersThatCrashByThemselvesAreNotGivenUp(t *testing.T) {
+func TestJobsOnWorkersThatCrashByThemselvesDoNotFail(t *testing.T) {
 	w := newCrashWorld(t, 24)
 	strikes := 0
-	others := w.playBeside(50*time.Second, func() {
+	others := w.runWithBackgroundJobs(50*time.Second, func() {
 		if w.now.Sub(siteStart) < time.Duration(strikes+1)*10*time.Second || strikes == 3 {
 			return
 		}
 		strikes++
 		struck := 0
 		for _, id := range w.workerIDs() {
-			if state := w.states[id]; !w.away(id) && len(w.workers[id].runs) > 0 && struck < 4 {
+			if state := w.states[id]; !w.answersNothing(id) && len(w.workers[id].runs) > 0 && struck < 4 {
 				struck++
 				state.crashAt = w.now
 			}
@@ -59,7 +59,7 @@
 
 // Failure: sound jobs are given up when many workers crash by themselves, again and
 // again.
-func TestCorrelatedCrashesGiveNoJobUp(t *testing.T) {
+func TestCorrelatedCrashesFailNoJob(t *testing.T) {
 	for seed := range 6 {
 		w := newCrashWorld(t, 24)
 		w.rnd.Seed(int64(seed))
@@ -77,14 +77,14 @@
 			ids := w.workerIDs()
 			struck := 0
 			for _, at := range w.rnd.Perm(len(ids)) {
-				if struck < 4 && !w.away(ids[at]) {
+				if struck < 4 && !w.answersNothing(ids[at]) {
 					struck++
 					w.states[ids[at]].crashAt = w.now
 				}
 			}
 		})
 		for _, id := range others {
-			if w.mostCrashesUnder(id) < maxCrashes {
+			if w.maxCrashesUnder(id) < maxCrashes {
 				w.checkState(id, job.Completed)
 			}
 		}
@@ -92,7 +92,7 @@
 }
 
 // Failure: a job is given up whose tasks only started beside a poison task.
-func TestANeighbourOfAPoisonTaskIsNotGivenUp(t *testing.T) {
+func TestNeighborOfAPoisonTaskDoesNotFail(t *testing.T) {
 	for seed := range 8 {
 		w := newCrashWorld(t, 8)
 		w.rnd.Seed(int64(seed))
@@ -134,7 +134,7 @@
 
 // A task that may run twice became a suspect when its worker fell silent; its copy survived
 // elsewhere. That the first worker crashed then, behind a cut, does not count.
-func TestACopyThatSurvivesClearsItsTask(t *testing.T) {
+func TestSurvivingSpeculativeRunClearsTheCrashHistory(t *testing.T) {
 	w := newCrashWorld(t, 6)
 	s := mayRunTwice(1)
 	s.Estimate = 3 * time.Second
@@ -142,12 +142,12 @@
 	w.run(30*time.Millisecond, nil)
 	task := w.cell.jobs[id].stages[0].tasks[0]
 	first := task.attempts[0].worker.ID
-	w.states[first].cut = true
+	w.states[first].unreachable = true
 	w.run(time.Second, nil)
 	if task.crashes.any() {
 		t.Errorf("the task has a crash history although its copy has survived: %+v", task.crashes)
 	}
-	w.states[first].cut = false
+	w.states[first].unreachable = false
 	w.states[first].crashAt = w.now
 	w.run(5*time.Second, nil)
 	if task.crashes.any() {
@@ -168,7 +168,7 @@
 		}
 		unreached := w.now.Sub(siteStart)%(2*time.Second) < 500*time.Millisecond && w.now.Sub(siteStart) < 12*time.Second
 		for _, state := range w.states {
-			state.cut = unreached
+			state.unreachable = unreached
 		}
 		for _, j := range w.cell.active {
 			for _, task := range j.stages[0].tasks {
--- a/internal/cell/crash_test.go
+++ b/internal/cell/crash_test.go
@@ -23,14 +23,14 @@
 	return s
 }
 
-func watchers(count int) job.Step {
+func longRunningStep(count int) job.Step {
 	s := lookup(count)
 	s.LongRunning = true
 	return s
 }
 
-// playBeside lets time pass beside a stream of other jobs, and returns these.
-func (w *crashWorld) playBeside(d time.Duration, each func()) []string {
+// runWithBackgroundJobs lets time pass beside a stream of other jobs, and returns these.
+func (w *crashWorld) runWithBackgroundJobs(d time.Duration, each func()) []string {
 	var others []string
 	began := w.now
 	w.run(d, func() {
@@ -46,7 +46,7 @@
 
 // Failure: a task that crashes each worker that starts it takes down one after the
 // other.
-func TestAPoisonTaskIsGivenUp(t *testing.T) {
+func TestPoisonTaskFails(t *testing.T) {
 	w := newCrashWorld(t, 24)
 	poison := w.submit(0, mayRunTwice(12), 0)
 	var others []string
@@ -76,7 +76,7 @@
 
 // Failure: the same, as what is known of the crashes does not outlive other faults.
 func TestCrashesAreCountedBesideOtherFaults(t *testing.T) {
-	steps := map[string]func(int) job.Step{"may run twice": mayRunTwice, "once": once, "gang": gang, "lasting": watchers}
+	steps := map[string]func(int) job.Step{"may run twice": mayRunTwice, "once": once, "gang": gang, "lasting": longRunningStep}
 	faults := map[string]func(w *crashWorld) func(){
 		"none": func(*crashWorld) func() { return nil },
 		"owner lost at once, twice": func(w *crashWorld) func() {
@@ -92,19 +92,19 @@
 		"store away": func(w *crashWorld) func() {
 			return func() {
 				away := w.now.Sub(siteStart)
-				w.storeAway = away > 100*time.Millisecond && away < 15*time.Second
+				w.storeDown = away > 100*time.Millisecond && away < 15*time.Second
 			}
 		},
 		"back after the lease": func(w *crashWorld) func() {
-			w.backAfter = 5 * time.Second
+			w.restartAfter = 5 * time.Second
 			return nil
 		},
 		"back after it is forgotten": func(w *crashWorld) func() {
-			w.backAfter = 12 * time.Second
+			w.restartAfter = 12 * time.Second
 			return nil
 		},
 		"back elsewhere": func(w *crashWorld) func() {
-			w.elsewhere = true
+			w.newAddress = true
 			return nil
 		},
 		"starts unanswered": func(w *crashWorld) func() {
@@ -121,7 +121,7 @@
 				w.run(100*time.Millisecond, nil)
 				first := w.submit(0, step(12), 0)
 				second := w.submit(0, step(8), 3)
-				others := w.playBeside(15*time.Second, each)
+				others := w.runWithBackgroundJobs(15*time.Second, each)
 				w.runUntilEnded(time.Minute, each)
 				w.checkPoison()
 				if fault != "starts unanswered" {
@@ -138,7 +138,7 @@
 
 // A task under which worker after worker was lost pauses before further starts from the
 // second one on.
-func TestCrashHistoryPauses(t *testing.T) {
+func TestCrashHistoryBackoff(t *testing.T) {
 	var h crashHistory
 	for n, want := range []time.Duration{0, 5 * time.Second, 10 * time.Second, 10 * time.Second} {
 		h.addUnresponsive(uint64(n+1), siteStart)
@@ -167,7 +167,7 @@
 	ended := 0
 	for _, id := range poison {
 		w.checkState(id, job.Failed)
-		ended += w.mostCrashesUnder(id)
+		ended += w.maxCrashesUnder(id)
 	}
 	for _, id := range others {
 		w.checkState(id, job.Completed)
--- a/internal/cell/crash_worker_test.go
+++ b/internal/cell/crash_worker_test.go
@@ -12,25 +12,25 @@
 
 // crashWorker is what befalls one life of a worker.
 type crashWorker struct {
-	crashAt  time.Time
-	backAt   time.Time
-	replaced bool
-	// cut says that nothing reaches it; what runs goes on until its lease is over.
-	cut   bool
-	lease time.Time
+	crashAt   time.Time
+	restartAt time.Time
+	replaced  bool
+	// unreachable says that nothing reaches it; what runs goes on until its lease is over.
+	unreachable bool
+	lease       time.Time
 }
 
-// live lets a worker work, end and come back.
-func (w *crashWorld) live(id string) {
+// advanceWorker lets a worker work, end and come back.
+func (w *crashWorld) advanceWorker(id string) {
 	worker, state := w.workers[id], w.states[id]
 	switch {
-	case !state.crashAt.IsZero() && !w.now.Before(state.crashAt) && state.backAt.IsZero():
+	case !state.crashAt.IsZero() && !w.now.Before(state.crashAt) && state.restartAt.IsZero():
 		w.crash(id)
-	case !state.backAt.IsZero():
-		if !state.replaced && !w.now.Before(state.backAt) {
+	case !state.restartAt.IsZero():
+		if !state.replaced && !w.now.Before(state.restartAt) {
 			w.replace(id)
 		}
-	case state.cut && w.now.After(state.lease):
+	case state.unreachable && w.now.After(state.lease):
 		for task, r := range maps.Clone(worker.runs) {
 			worker.end(task, r.run, runner.LeaseExpired)
 		}
@@ -47,7 +47,7 @@
 	lost := worker.runs
 	worker.runs, worker.ends = map[string]*loadRun{}, nil
 	w.breakGangs(lost)
-	state.backAt = w.now.Add(w.backAfter)
+	state.restartAt = w.now.Add(w.restartAfter)
 	if w.onCrash != nil {
 		w.onCrash()
 	}
@@ -75,7 +75,7 @@
 // replace has a new life of a worker register at the address.
 func (w *crashWorld) replace(id string) {
 	old := w.workers[id]
-	w.lives++
+	w.incarnations++
 	r := old.roster
 	r.Incarnation = runner.Incarnation(w.now.UnixMilli())
 	if w.sameIDs {
@@ -84,61 +84,61 @@
 		if w.rnd.Intn(2) == 0 {
 			w.register(id)
 		} else {
-			w.unlisted = append(w.unlisted, id)
+			w.unregistered = append(w.unregistered, id)
 		}
 		return
 	}
 	w.states[id].replaced = true
-	r.ID = fmt.Sprintf("%s-%d", r.Address, w.lives)
-	if w.elsewhere {
-		r.Address = fmt.Sprintf("elsewhere-%d:1", w.lives)
+	r.ID = fmt.Sprintf("%s-%d", r.Address, w.incarnations)
+	if w.newAddress {
+		r.Address = fmt.Sprintf("elsewhere-%d:1", w.incarnations)
 	}
 	w.workers[r.ID] = &loadWorker{roster: r, runs: map[string]*loadRun{}, startedAt: w.now}
 	w.states[r.ID] = &crashWorker{lease: w.now}
 	w.cell.UpdateRoster(roster.Change{Workers: []roster.Worker{r}, Removed: []string{id}}, w.now)
 }
 
-// listLate has a worker write its entry that has not yet done so.
-func (w *crashWorld) listLate() {
-	if len(w.unlisted) > 0 && w.rnd.Intn(50) == 0 {
-		w.register(w.unlisted[0])
-		w.unlisted = w.unlisted[1:]
+// registerLate has a worker write its entry that has not yet done so.
+func (w *crashWorld) registerLate() {
+	if len(w.unregistered) > 0 && w.rnd.Intn(50) == 0 {
+		w.register(w.unregistered[0])
+		w.unregistered = w.unregistered[1:]
 	}
 }
 
-func (w *crashWorld) look(id string) {
+func (w *crashWorld) poll(id string) {
 	state := w.states[id]
 	target, look, ok := w.cell.NextPoll(id, w.now)
 	switch {
 	case !ok:
-	case state.replaced && !w.elsewhere:
+	case state.replaced && !w.newAddress:
 		w.cell.PollFailed(id, runner.ErrIncarnationGone, w.now)
-	case state.cut || !state.backAt.IsZero():
+	case state.unreachable || !state.restartAt.IsZero():
 		w.cell.PollFailed(id, runner.ErrNoAnswer, w.now)
 	default:
 		if look.LeaseUntil != nil && target.Incarnation == w.workers[id].roster.Incarnation {
-			w.grant(id, *look.LeaseUntil)
+			w.extendLease(id, *look.LeaseUntil)
 		}
 		w.report(w.workers[id])
 	}
 }
 
-// grant extends a worker's lease to a time on its clock.
-func (w *crashWorld) grant(id string, until time.Duration) {
+// extendLease extends a worker's lease to a time on its clock.
+func (w *crashWorld) extendLease(id string, until time.Duration) {
 	if end := w.workers[id].startedAt.Add(until - clockAtStart); end.After(w.states[id].lease) {
 		w.states[id].lease = end
 	}
 }
 
-// away reports whether calls to a worker get no answer.
-func (w *crashWorld) away(id string) bool {
+// answersNothing reports whether calls to a worker get no answer.
+func (w *crashWorld) answersNothing(id string) bool {
 	state := w.states[id]
-	return state == nil || state.cut || !state.backAt.IsZero()
+	return state == nil || state.unreachable || !state.restartAt.IsZero()
 }
 
 func (w *crashWorld) start(order StartOrder) {
 	id, task := order.Worker.ID, order.Start.Task
-	if w.away(id) {
+	if w.answersNothing(id) {
 		w.cell.StartAnswered(order, runner.Answer{}, &runner.Refusal{Reason: runner.Unhealthy}, w.now)
 		return
 	}
@@ -146,11 +146,11 @@
 		w.cell.StartAnswered(order, runner.Answer{}, runner.ErrIncarnationGone, w.now)
 		return
 	}
-	w.grant(id, order.Start.LeaseUntil)
-	if w.crashes[task] >= crashesKnown {
-		w.later[task]++
+	w.extendLease(id, order.Start.LeaseUntil)
+	if w.crashes[task] >= crashThreshold {
+		w.excessStarts[task]++
 	}
-	if !w.ends[task] {
+	if !w.poisonTasks[task] {
 		w.carryOut(order)
 		return
 	}
--- a/internal/cell/crash_world_test.go
+++ b/internal/cell/crash_world_test.go
@@ -16,53 +16,53 @@
 const (
 	// crashAfter is how long a poison task runs.
 	crashAfter = 10 * time.Millisecond
-	// startsAfterCrashes is the count of further starts after crashesKnown crashes that
+	// startsAfterThreshold is the count of further starts after crashThreshold crashes that
 	// a poison task must not reach.
-	startsAfterCrashes, crashesKnown = 3, 3
+	startsAfterThreshold, crashThreshold = 3, 3
 )
 
 // crashWorld is a load in which some tasks crash the worker that starts them. The worker
 // is silent then, and comes back under a new id at the same address.
 type crashWorld struct {
 	*load
-	// ends are the poison tasks, poison their jobs.
-	ends   map[string]bool
-	poison map[string]bool
-	// backAfter is how long a worker is away.
-	backAfter time.Duration
-	// elsewhere says that a worker comes back at another address; the one that it had
+	// poisonTasks are the poison tasks, poison their jobs.
+	poisonTasks map[string]bool
+	poisonJobs  map[string]bool
+	// restartAfter is how long a worker is away.
+	restartAfter time.Duration
+	// newAddress says that a worker comes back at another address; the one that it had
 	// stays silent.
-	elsewhere bool
+	newAddress bool
 	// sameIDs says that a worker comes back under the id that it had.
 	sameIDs bool
 	// answersLost says that the start of a poison task is not answered.
 	answersLost bool
-	// storeAway says that nothing can be stored.
-	storeAway bool
-	// unlisted are workers that came back and are yet to write their entries.
-	unlisted []string
-	states   map[string]*crashWorker
-	lives    int
-	records  map[string]*job.Record
-	progress map[string][]byte
-	chunks   map[int][]KnownWorker
-	terms    uint64
-	// crashes counts the workers that crashed under a task, later its starts after
+	// storeDown says that nothing can be stored.
+	storeDown bool
+	// unregistered are workers that came back and are yet to write their entries.
+	unregistered []string
+	states       map[string]*crashWorker
+	incarnations int
+	records      map[string]*job.Record
+	progress     map[string][]byte
+	chunks       map[int][]KnownWorker
+	terms        uint64
+	// crashes counts the workers that crashed under a task, excessStarts its starts after
 	// crashesKnown of them.
-	crashes, later map[string]int
-	onCrash        func()
+	crashes, excessStarts map[string]int
+	onCrash               func()
 }
 
 func newCrashWorld(t *testing.T, workers int) *crashWorld {
-	w := &crashWorld{load: newLoad(t, workers), ends: map[string]bool{}, poison: map[string]bool{}, backAfter: 3 * time.Second, states: map[string]*crashWorker{},
+	w := &crashWorld{load: newLoad(t, workers), poisonTasks: map[string]bool{}, poisonJobs: map[string]bool{}, restartAfter: 3 * time.Second, states: map[string]*crashWorker{},
 		records: map[string]*job.Record{}, progress: map[string][]byte{}, chunks: map[int][]KnownWorker{},
-		crashes: map[string]int{}, later: map[string]int{}, terms: 1}
+		crashes: map[string]int{}, excessStarts: map[string]int{}, terms: 1}
 	for id := range w.workers {
 		w.states[id] = &crashWorker{lease: w.now}
 	}
-	usual := w.workOf
-	w.workOf = func(id job.TaskID, worker *loadWorker) time.Duration {
-		if w.records[id.Job].Steps[id.Step].Gang && w.poison[id.Job] {
+	usual := w.runTimeOf
+	w.runTimeOf = func(id job.TaskID, worker *loadWorker) time.Duration {
+		if w.records[id.Job].Steps[id.Step].Gang && w.poisonJobs[id.Job] {
 			// Its members work only together.
 			return time.Hour
 		}
@@ -75,9 +75,9 @@
 func (w *crashWorld) submit(priority int, s job.Step, poison ...int) string {
 	id := w.load.submit("q", priority, s)
 	w.records[id] = w.cell.jobs[id].record
-	w.poison[id] = len(poison) > 0
+	w.poisonJobs[id] = len(poison) > 0
 	for _, index := range poison {
-		w.ends[fmt.Sprintf("%s.0.0.%d", id, index)] = true
+		w.poisonTasks[fmt.Sprintf("%s.0.0.%d", id, index)] = true
 	}
 	return id
 }
@@ -101,14 +101,14 @@
 func (w *crashWorld) step() {
 	w.now = w.now.Add(loadTick)
 	for _, id := range w.workerIDs() {
-		w.live(id)
-		w.look(id)
+		w.advanceWorker(id)
+		w.poll(id)
 	}
 	for _, order := range w.cell.Plan(w.now, AdviceSlots{}) {
 		w.order(order)
 	}
 	w.store()
-	w.listLate()
+	w.registerLate()
 	for id := range w.submitted {
 		if state, _ := w.cell.State(id); state == job.Completed {
 			w.completed[id] = w.now
@@ -121,7 +121,7 @@
 	case StartOrder:
 		w.start(order)
 	case StopOrder:
-		if w.away(order.Worker.ID) {
+		if w.answersNothing(order.Worker.ID) {
 			w.cell.StopAnswered(order, runner.Answer{}, runner.ErrNoAnswer, w.now)
 			return
 		}
@@ -131,7 +131,7 @@
 
 // store commits what has changed.
 func (w *crashWorld) store() {
-	if w.storeAway {
+	if w.storeDown {
 		return
 	}
 	for commit := w.cell.NextCommit(90); commit != nil; commit = w.cell.NextCommit(90) {
@@ -190,15 +190,15 @@
 // checkPoison checks that no task was started on and on.
 func (w *crashWorld) checkPoison() {
 	w.t.Helper()
-	for _, task := range slices.Sorted(maps.Keys(w.ends)) {
-		if w.later[task] >= startsAfterCrashes {
-			w.t.Errorf("%s was started %d times after %d workers had crashed under it, %d workers in all", task, w.later[task], crashesKnown, w.crashes[task])
+	for _, task := range slices.Sorted(maps.Keys(w.poisonTasks)) {
+		if w.excessStarts[task] >= startsAfterThreshold {
+			w.t.Errorf("%s was started %d times after %d workers had crashed under it, %d workers in all", task, w.excessStarts[task], crashThreshold, w.crashes[task])
 		}
 	}
 }
 
-// mostCrashesUnder returns how many workers have crashed under one task of a job at most.
-func (w *crashWorld) mostCrashesUnder(id string) int {
+// maxCrashesUnder returns how many workers have crashed under one task of a job at most.
+func (w *crashWorld) maxCrashesUnder(id string) int {
 	most := 0
 	for task, n := range w.crashes {
 		if strings.HasPrefix(task, id) {
--- a/internal/cell/evacuate_test.go
+++ b/internal/cell/evacuate_test.go
@@ -8,15 +8,15 @@
 	"gentianstand/internal/roster"
 )
 
-// lasting returns a step of lasting tasks, one on a worker, of which some may be away.
-func lasting(count, mayMiss int) job.Step {
+// longRunning returns a step of longRunning tasks, one on a worker, of which some may be away.
+func longRunning(count, mayMiss int) job.Step {
 	s := step(count)
 	s.LongRunning, s.MaxUnavailable, s.MaxPerWorker = true, mayMiss, 1
 	return s
 }
 
-// started starts all tasks of a job.
-func (s *site) started(r *job.Record) map[string]StartOrder {
+// startTasks starts all tasks of a job.
+func (s *site) startTasks(r *job.Record) map[string]StartOrder {
 	s.t.Helper()
 	s.cell.Add(r, true)
 	starts := s.plan()
@@ -26,10 +26,10 @@
 	return starts
 }
 
-// look has workers report and the cell plan, as the owner does every few moments.
-func (s *site) look(workers ...string) map[string]StartOrder {
+// reportAndPlan has workers report and the cell plan, as the owner does every few moments.
+func (s *site) reportAndPlan(workers ...string) map[string]StartOrder {
 	s.t.Helper()
-	s.pass(100 * time.Millisecond)
+	s.advance(100 * time.Millisecond)
 	for _, id := range workers {
 		s.report(id)
 	}
@@ -37,16 +37,16 @@
 }
 
 // Failure: an upkeep ends tasks that were started just before.
-func TestWorkerThatIsEmptiedGetsNothingNew(t *testing.T) {
+func TestEvacuatedWorkerGetsNoNewTasks(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
 	s.cell.SetEvacuating([]string{"a"})
 	s.cell.Add(s.record(1, step(2)), true)
-	if starts := s.look("a"); len(starts) > 0 {
+	if starts := s.reportAndPlan("a"); len(starts) > 0 {
 		t.Errorf("started on a worker that is emptied: %v", starts)
 	}
 	s.cell.SetEvacuating(nil)
-	if starts := s.look("a"); len(starts) != 2 {
+	if starts := s.reportAndPlan("a"); len(starts) != 2 {
 		t.Errorf("%d starts after the upkeep was taken back, want 2", len(starts))
 	}
 }
@@ -59,10 +59,10 @@
 	saves.Estimate, saves.Checkpoint = 10*time.Second, true
 	cannot.Estimate = 10 * time.Second
 	short.Checkpoint = true
-	s.started(s.record(1, saves, cannot, short))
-	s.look("a")
+	s.startTasks(s.record(1, saves, cannot, short))
+	s.reportAndPlan("a")
 	s.cell.SetEvacuating([]string{"a"})
-	s.look("a")
+	s.reportAndPlan("a")
 	var stopped []string
 	for _, o := range s.orders {
 		if stop, ok := o.(StopOrder); ok {
@@ -78,18 +78,18 @@
 }
 
 // Failure: a service of several lasting tasks is gone for seconds during a wave.
-func TestLastingTasksAreMovedWithinTheirBudget(t *testing.T) {
+func TestLongRunningTasksAreMovedWithinTheirBudget(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"), usualWorker("c"))
 	s.report("a")
 	s.report("b")
-	starts := s.started(s.record(1, lasting(2, 1)))
+	starts := s.startTasks(s.record(1, longRunning(2, 1)))
 	for _, o := range starts {
 		s.progress(o, workingPercent)
 	}
 	s.report("c")
-	s.look("a", "b", "c")
+	s.reportAndPlan("a", "b", "c")
 	s.cell.SetEvacuating([]string{"a", "b"})
-	s.look("a", "b", "c")
+	s.reportAndPlan("a", "b", "c")
 	stopped := s.stops()
 	if len(stopped) != 1 {
 		t.Fatalf("stopped on %v, want one of two", stopped)
@@ -99,22 +99,22 @@
 			t.Errorf("the task on %s may be ended while the one of %s is away", other, id)
 		}
 	}
-	s.movedTo(starts, stopped, "c")
-	s.look("a", "b", "c")
+	s.restartOn(starts, stopped, "c")
+	s.reportAndPlan("a", "b", "c")
 	if again := s.stops(); len(again) != 1 || again["c"] {
 		t.Errorf("stopped on %v after the first one is at work again, want the other one", again)
 	}
 }
 
-// movedTo ends the stopped runs and has their tasks at work on a worker.
-func (s *site) movedTo(starts map[string]StartOrder, stopped map[string]bool, worker string) {
+// restartOn ends the stopped runs and has their tasks at work on a worker.
+func (s *site) restartOn(starts map[string]StartOrder, stopped map[string]bool, worker string) {
 	s.t.Helper()
 	for _, o := range starts {
 		if stopped[o.Worker.ID] {
 			s.finish(o, "stopped")
 		}
 	}
-	for _, o := range s.look("a", "b", "c") {
+	for _, o := range s.reportAndPlan("a", "b", "c") {
 		if o.Worker.ID != worker {
 			s.t.Fatalf("moved to %s, want %s", o.Worker.ID, worker)
 		}
@@ -124,7 +124,7 @@
 }
 
 // Failure: an upkeep ends tasks that nobody knew of.
-func TestWorkerThatWasNotHeardIsNotEmpty(t *testing.T) {
+func TestWorkerThatHasNotReportedIsNotEmpty(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"), usualWorker("b"))
 	if load := s.cell.WorkerLoad("a"); load.Runs == 0 || !load.Protected {
 		t.Errorf("load %+v of a worker that was not heard", load)
@@ -150,11 +150,11 @@
 
 func TestParkedWorkerEndsLikeOthers(t *testing.T) {
 	s := idleSite(t, 6, 2)
-	s.pass(parkAfter + parkPeriod)
-	s.hear()
+	s.advance(parkAfter + parkPeriod)
+	s.reportAll()
 	s.plan()
-	s.pass(parkAfter + parkPeriod)
-	s.hear()
+	s.advance(parkAfter + parkPeriod)
+	s.reportAll()
 	s.plan()
 	before := s.cell.Stats(s.now)
 	if before.Parked == 0 {
--- a/internal/cell/known_workers_test.go
+++ b/internal/cell/known_workers_test.go
@@ -58,7 +58,7 @@
 
 // Failure: after a take-over in the middle of a wave of upkeep nothing older is started
 // for 5.3 s.
-func TestWorkersThatTheStoreDoesNotNameDoNotHoldARecoveryUp(t *testing.T) {
+func TestWorkersWithoutAStoredRowDoNotDelayRecovery(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"), usualWorker("down"))
 	older := s.record(1, step(1))
 	s.cell.Load(older, nil)
@@ -80,7 +80,7 @@
 }
 
 // Failure: a task runs twice.
-func TestUnreadWorkersHoldARecoveryUp(t *testing.T) {
+func TestUnreadWorkersDelayRecovery(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"), usualWorker("b"))
 	s.cell.Load(s.record(1, step(1)), nil)
 	s.cell.LoadWorkers([]KnownWorker{{ID: "a", Address: "a:1"}}, s.now)
--- a/internal/cell/lasting_advice_test.go
+++ b/internal/cell/lasting_advice_test.go
@@ -16,27 +16,27 @@
 const firstStartLimit = 6 * time.Second
 
 const (
-	// busyAdviser is a pause between jobs with which more questions come than the lanes
+	// overloadInterval is a pause between jobs with which more questions come than the lanes
 	// of lastingLoad serve.
-	busyAdviser = 80 * time.Millisecond
-	// usualAdviser leaves a fifth of their time free.
-	usualAdviser = 140 * time.Millisecond
+	overloadInterval = 80 * time.Millisecond
+	// normalInterval leaves a fifth of their time free.
+	normalInterval = 140 * time.Millisecond
 )
 
-// lastingLoad is a load with five lanes to the adviser, a lasting task of a queue with
+// longRunningLoad is a load with five lanes to the adviser, a lasting task of a queue with
 // priority 1 that has run for ten seconds, and room on all workers.
-func lastingLoad(t *testing.T) (l *load, lasts string) {
+func longRunningLoad(t *testing.T) (l *load, lasts string) {
 	l = newLoad(t, 8)
 	cost := &job.AdviceCost{PerCall: 500 * time.Millisecond, PerWorker: 8 * time.Millisecond, TicketTTL: 2 * time.Second}
 	l.advice = map[string]*job.AdviceCost{"watch": cost, "work": cost}
-	l.adviser.lanes = AdviceSlots{Quick: 2, Any: 5}
-	l.workOf = func(id job.TaskID, _ *loadWorker) time.Duration {
+	l.adviser.slots = AdviceSlots{Quick: 2, Any: 5}
+	l.runTimeOf = func(id job.TaskID, _ *loadWorker) time.Duration {
 		if l.cell.jobs[id.Job].record.Steps[id.Step].LongRunning {
 			return time.Hour
 		}
 		return 200 * time.Millisecond
 	}
-	lasts = l.submit("watch", 1, lasting(1, 0))
+	lasts = l.submit("watch", 1, longRunning(1, 0))
 	l.run(10*time.Second, nil)
 	return l, lasts
 }
@@ -53,8 +53,8 @@
 	})
 }
 
-// failLasting ends the run of a job's only task as failed.
-func (l *load) failLasting(id string) {
+// failLongRunning ends the run of a job's only task as failed.
+func (l *load) failLongRunning(id string) {
 	l.t.Helper()
 	task := job.TaskID{Job: id}.String()
 	for _, w := range l.workers {
@@ -66,8 +66,8 @@
 	l.t.Fatal("the lasting task does not run")
 }
 
-// atWork reports whether a job's only task runs.
-func (l *load) atWork(id string) bool {
+// isRunning reports whether a job's only task runs.
+func (l *load) isRunning(id string) bool {
 	task := job.TaskID{Job: id}.String()
 	for _, w := range l.workers {
 		if w.runs[task] != nil {
@@ -79,16 +79,16 @@
 
 // Failure: a lasting task that had failed was not started again beside free workers while
 // other work kept the adviser busy.
-func TestFailedLastingTaskIsAskedAboutBesideOtherWork(t *testing.T) {
+func TestFailedLongRunningTaskIsAskedAboutBesideOtherWork(t *testing.T) {
 	for name, priority := range map[string]int{"more urgent": 0, "as urgent": 1, "less urgent": 2} {
 		t.Run(name, func(t *testing.T) {
-			l, lasts := lastingLoad(t)
-			l.submitEvery(busyAdviser, 2*time.Second, priority)
-			l.failLasting(lasts)
-			l.submitEvery(busyAdviser, restartLimit, priority)
-			if !l.atWork(lasts) {
-				l.submitEvery(busyAdviser, 20*time.Second, priority)
-				t.Errorf("not started again within %v; 20 s later: %t", restartLimit, l.atWork(lasts))
+			l, lasts := longRunningLoad(t)
+			l.submitEvery(overloadInterval, 2*time.Second, priority)
+			l.failLongRunning(lasts)
+			l.submitEvery(overloadInterval, restartLimit, priority)
+			if !l.isRunning(lasts) {
+				l.submitEvery(overloadInterval, 20*time.Second, priority)
+				t.Errorf("not started again within %v; 20 s later: %t", restartLimit, l.isRunning(lasts))
 			}
 		})
 	}
@@ -96,44 +96,44 @@
 
 // Failure: a lasting task that had failed while the adviser could not be reached was
 // started again only after the work that had come meanwhile.
-func TestFailedLastingTaskIsAskedAboutBeforeABacklog(t *testing.T) {
-	l, lasts := lastingLoad(t)
-	l.submitEvery(usualAdviser, 2*time.Second, 1)
-	l.adviser.lanes.Any -= 5
-	l.submitEvery(usualAdviser, 4*time.Second, 1)
-	l.adviser.lanes.Any += 5
-	l.failLasting(lasts)
-	l.submitEvery(usualAdviser, restartLimit, 1)
-	if !l.atWork(lasts) {
-		l.submitEvery(usualAdviser, 4*time.Second, 1)
-		t.Errorf("not started again within %v; 4 s later: %t", restartLimit, l.atWork(lasts))
+func TestFailedLongRunningTaskIsAskedAboutBeforeABacklog(t *testing.T) {
+	l, lasts := longRunningLoad(t)
+	l.submitEvery(normalInterval, 2*time.Second, 1)
+	l.adviser.slots.Any -= 5
+	l.submitEvery(normalInterval, 4*time.Second, 1)
+	l.adviser.slots.Any += 5
+	l.failLongRunning(lasts)
+	l.submitEvery(normalInterval, restartLimit, 1)
+	if !l.isRunning(lasts) {
+		l.submitEvery(normalInterval, 4*time.Second, 1)
+		t.Errorf("not started again within %v; 4 s later: %t", restartLimit, l.isRunning(lasts))
 	}
 }
 
 // Failure: a new owner did not start a lasting task again beside free workers, whose run and
 // worker were lost with the owner before, while other work kept the adviser busy.
-func TestLastingTaskOfAnEarlierOwnerIsAskedAboutBesideOtherWork(t *testing.T) {
-	l, _ := lastingLoad(t)
-	l.submitEvery(busyAdviser, 2*time.Second, 1)
+func TestLongRunningTaskOfThePreviousOwnerIsAskedAboutBesideOtherWork(t *testing.T) {
+	l, _ := longRunningLoad(t)
+	l.submitEvery(overloadInterval, 2*time.Second, 1)
 	r := &job.Record{ID: "00000000000000aa", Queue: "watch", Service: "desk", Priority: 1, MaxAttempts: 4,
-		AcceptedAt: l.now.Add(-10 * time.Second), Steps: []job.Step{lasting(1, 0)}, Advice: l.advice["watch"]}
+		AcceptedAt: l.now.Add(-10 * time.Second), Steps: []job.Step{longRunning(1, 0)}, Advice: l.advice["watch"]}
 	l.cell.Load(r, nil)
-	l.submitEvery(busyAdviser, restartLimit, 1)
-	if !l.atWork(r.ID) {
-		l.submitEvery(busyAdviser, 20*time.Second, 1)
-		t.Errorf("not started again within %v; 20 s later: %t", restartLimit, l.atWork(r.ID))
+	l.submitEvery(overloadInterval, restartLimit, 1)
+	if !l.isRunning(r.ID) {
+		l.submitEvery(overloadInterval, 20*time.Second, 1)
+		t.Errorf("not started again within %v; 20 s later: %t", restartLimit, l.isRunning(r.ID))
 	}
 }
 
 // Failure: a lasting task that had never run was not started beside free workers while more
 // urgent work kept the adviser busy.
-func TestNewLastingTaskIsAskedAboutBesideMoreUrgentWork(t *testing.T) {
-	l, _ := lastingLoad(t)
-	l.submitEvery(busyAdviser, 2*time.Second, 0)
-	lasts := l.submit("watch", 1, lasting(1, 0))
-	l.submitEvery(busyAdviser, firstStartLimit, 0)
-	if !l.atWork(lasts) {
-		l.submitEvery(busyAdviser, 20*time.Second, 0)
-		t.Errorf("not started within %v; 20 s later: %t", firstStartLimit, l.atWork(lasts))
+func TestNewLongRunningTaskIsAskedAboutBesideMoreUrgentWork(t *testing.T) {
+	l, _ := longRunningLoad(t)
+	l.submitEvery(overloadInterval, 2*time.Second, 0)
+	lasts := l.submit("watch", 1, longRunning(1, 0))
+	l.submitEvery(overloadInterval, firstStartLimit, 0)
+	if !l.isRunning(lasts) {
+		l.submitEvery(overloadInterval, 20*time.Second, 0)
+		t.Errorf("not started within %v; 20 s later: %t", firstStartLimit, l.isRunning(lasts))
 	}
 }
--- a/internal/cell/lasting_came_back_test.go
+++ b/internal/cell/lasting_came_back_test.go
@@ -12,13 +12,13 @@
 
 // Failure: a lasting task does not run beside a worker with room for it that came back, as the
 // adviser is only asked again about full workers, of which it has allowed many.
-func TestALastingTaskAsksAboutAWorkerThatCameBackBesideManyFullOnes(t *testing.T) {
+func TestLongRunningTaskAsksAboutAReturnedWorkerBesideManyFullOnes(t *testing.T) {
 	const many = 200
 	var workers []roster.Worker
 	for n := range many {
 		workers = append(workers, usualWorker(fmt.Sprintf("w%03d", n)))
 	}
-	s := newHeardSite(t, workers...)
+	s := newReportedSite(t, workers...)
 	full := wide(many)
 	full.LongRunning = true
 	before := s.record(2, full)
@@ -27,7 +27,7 @@
 		s.confirm(o)
 	}
 	s.commit()
-	r := s.lastingRecord(1, 4000)
+	r := s.longRunningRecord(1, 4000)
 	r.Advice = &job.AdviceCost{PerCall: 560 * time.Millisecond, PerWorker: 8 * time.Millisecond, TicketTTL: 2 * time.Second}
 	s.cell.Add(r, true)
 	hear := func() {
@@ -58,7 +58,7 @@
 		}
 		for _, o := range s.orders {
 			if ask, ok := o.(AdviceOrder); ok {
-				s.pass(ask.Cost.Duration(len(ask.Workers)))
+				s.advance(ask.Cost.Duration(len(ask.Workers)))
 				var tickets []advice.Ticket
 				for _, id := range ask.Workers {
 					tickets = append(tickets, advice.Ticket{Worker: id, Text: "ticket-" + id})
@@ -66,7 +66,7 @@
 				s.cell.AdviceAnswered(ask.Stage, ask.Workers, tickets, nil, s.now)
 			}
 		}
-		s.pass(watchPeriod)
+		s.advance(watchPeriod)
 	}
 	return false
 }
--- a/internal/cell/lasting_crash_test.go
+++ b/internal/cell/lasting_crash_test.go
@@ -9,9 +9,9 @@
 
 // Failure: a lasting task stayed away for ten seconds because it was not known whether the
 // workers that were lost under it had crashed.
-func TestLostWorkersDoNotKeepALastingTaskAwayForLong(t *testing.T) {
-	s := newHeardSite(t, manyWorkers(6)...)
-	r := s.lastingRecord(1, 2000)
+func TestLostWorkersDoNotKeepALongRunningTaskDown(t *testing.T) {
+	s := newReportedSite(t, manyWorkers(6)...)
+	r := s.longRunningRecord(1, 2000)
 	s.cell.Add(r, true)
 	alive := map[string]bool{"a": true, "b": true, "c": true, "d": true, "e": true, "f": true}
 	answering := func() []string {
@@ -34,13 +34,13 @@
 		lostAt := s.now
 		for s.now.Sub(lostAt) < 20*time.Second {
 			s.cell.PollFailed(o.Worker.ID, runner.ErrNoAnswer, s.now)
-			starts = s.look(answering()...)
+			starts = s.reportAndPlan(answering()...)
 			s.commit()
 			if len(starts) > 0 {
 				break
 			}
 		}
-		if away := s.now.Sub(lostAt); away > longestAway {
+		if away := s.now.Sub(lostAt); away > maxDowntime {
 			t.Errorf("away for %v after %d lost workers", away, lost)
 		}
 	}
--- a/internal/cell/lasting_end_test.go
+++ b/internal/cell/lasting_end_test.go
@@ -9,13 +9,13 @@
 
 // Failure: a lasting task that ended by itself did not run any more, and its job was shown
 // as completed.
-func TestLastingTaskThatEndsAsDoneIsStartedAgain(t *testing.T) {
-	s := newHeardSite(t, usualWorker("a"))
-	r := s.lastingRecord(1, 2000)
-	o := s.startedOne(r)
+func TestLongRunningTaskThatEndsAsDoneIsRestarted(t *testing.T) {
+	s := newReportedSite(t, usualWorker("a"))
+	r := s.longRunningRecord(1, 2000)
+	o := s.startOne(r)
 	s.report("a")
 	s.finish(o, runner.Done)
-	again, ok := s.look("a")[o.Start.Task]
+	again, ok := s.reportAndPlan("a")[o.Start.Task]
 	if !ok || again.Start.Run <= o.Start.Run {
 		t.Errorf("not started again: %+v", again)
 	}
@@ -26,16 +26,16 @@
 }
 
 // Failure: a gang of lasting tasks that ended by itself did not run any more.
-func TestLastingGangThatEndsAsDoneIsStartedAgain(t *testing.T) {
-	s := newHeardSite(t, usualWorker("a"))
-	r := s.lastingRecord(1, 2000)
+func TestLongRunningGangThatEndsAsDoneIsRestarted(t *testing.T) {
+	s := newReportedSite(t, usualWorker("a"))
+	r := s.longRunningRecord(1, 2000)
 	r.Steps[0].Gang, r.Steps[0].Count = true, 2
-	starts := s.started(r)
+	starts := s.startTasks(r)
 	s.report("a")
 	for _, o := range starts {
 		s.finish(o, runner.Done)
 	}
-	again := s.look("a")
+	again := s.reportAndPlan("a")
 	if len(again) != 2 {
 		t.Fatalf("%d of 2 members started again", len(again))
 	}
@@ -47,16 +47,16 @@
 }
 
 // Failure: a lasting task was started again while a run of it went on.
-func TestLastingTaskThatEndsAsDoneHasOneRun(t *testing.T) {
-	s := newHeardSite(t, usualWorker("a"), usualWorker("b"))
-	o := s.startedOne(s.lastingRecord(1, 2000))
+func TestLongRunningTaskThatEndsAsDoneHasOneRun(t *testing.T) {
+	s := newReportedSite(t, usualWorker("a"), usualWorker("b"))
+	o := s.startOne(s.longRunningRecord(1, 2000))
 	other := "a"
 	if o.Worker.ID == "a" {
 		other = "b"
 	}
 	s.report(o.Worker.ID)
 	s.end(other, o.Start.Task, 0, runner.Done)
-	if starts := s.look("a", "b"); len(starts) > 0 {
+	if starts := s.reportAndPlan("a", "b"); len(starts) > 0 {
 		t.Errorf("started beside a run that goes on: %v", starts)
 	}
 }
--- a/internal/cell/lasting_failure_test.go
+++ b/internal/cell/lasting_failure_test.go
@@ -8,7 +8,7 @@
 )
 
 // Failure: jobs waited for 6 s beside a sound worker on which lasting tasks had failed.
-func TestLastingTasksThatFailAfterALongTimeSayNothingOfTheirWorker(t *testing.T) {
+func TestLateFailuresOfLongRunningTasksDoNotCountAgainstTheWorker(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		atWork time.Duration
@@ -17,7 +17,7 @@
 		{"after a long time", 10 * time.Second, 1},
 		{"soon", 300 * time.Millisecond, 0},
 	} {
-		w := newLastingWorld(t, avoidAfterFailures)
+		w := newLongRunningWorld(t, avoidAfterFailures)
 		w.run(test.atWork)
 		for n := range avoidAfterFailures {
 			w.fail(w.record(n, job.Step{}).ID)
--- a/internal/cell/lasting_failures_test.go
+++ b/internal/cell/lasting_failures_test.go
@@ -8,17 +8,17 @@
 
 // Failure: what is stored of a lasting job grows with each failure, until the store takes no
 // row of that size any more and no progress of any job is stored.
-func TestWhatIsKeptOfFailuresOfALastingTaskIsBounded(t *testing.T) {
+func TestStoredFailuresOfALongRunningTaskAreBounded(t *testing.T) {
 	const failures, most = 100, 20
-	s := newHeardSite(t, usualWorker("a"))
-	o := s.startedOne(s.lastingRecord(1, 2000))
+	s := newReportedSite(t, usualWorker("a"))
+	o := s.startOne(s.longRunningRecord(1, 2000))
 	for n := range failures {
 		s.report("a")
 		s.runs["a"] = nil
 		s.ends["a"] = append(s.ends["a"], runner.End{Sequence: uint64(n + 1), Task: o.Start.Task, Run: o.Start.Run, Kind: runner.Failed})
 		var ok bool
 		for range 20 {
-			if o, ok = s.look("a")[o.Start.Task]; ok {
+			if o, ok = s.reportAndPlan("a")[o.Start.Task]; ok {
 				break
 			}
 		}
--- a/internal/cell/lasting_given_up_test.go
+++ b/internal/cell/lasting_given_up_test.go
@@ -8,12 +8,12 @@
 	"gentianstand/internal/runner"
 )
 
-// crashUnder crashes the workers of a lasting task one after the other, each some time
+// crashWorkersUnder crashes the workers of a lasting task one after the other, each some time
 // after the task began there, and returns the state of its job.
-func crashUnder(t *testing.T, crashes int, after time.Duration) job.State {
+func crashWorkersUnder(t *testing.T, crashes int, after time.Duration) job.State {
 	t.Helper()
-	s := newHeardSite(t, manyWorkers(8)...)
-	r := s.lastingRecord(1, 2000)
+	s := newReportedSite(t, manyWorkers(8)...)
+	r := s.longRunningRecord(1, 2000)
 	s.cell.Add(r, true)
 	starts := s.plan()
 	for range crashes {
@@ -22,10 +22,10 @@
 			break
 		}
 		s.confirm(o)
-		s.pass(after)
+		s.advance(after)
 		s.cell.PollFailed(o.Worker.ID, runner.ErrIncarnationGone, s.now)
 		s.runs[o.Worker.ID] = nil
-		starts = s.look(s.cell.WorkersToPoll()...)
+		starts = s.reportAndPlan(s.cell.WorkersToPoll()...)
 	}
 	s.commit()
 	state, _ := s.cell.State(r.ID)
@@ -34,21 +34,21 @@
 
 // Failure: a lasting job was shown as failed because two workers crashed by themselves,
 // each a moment after one of its tasks had begun there.
-func TestLastingJobIsNotGivenUpForTwoCrashes(t *testing.T) {
+func TestLongRunningJobDoesNotFailAfterTwoCrashes(t *testing.T) {
 	for _, after := range []time.Duration{150 * time.Millisecond, 300 * time.Millisecond, 450 * time.Millisecond} {
-		if state := crashUnder(t, 2, after); state != job.Running {
+		if state := crashWorkersUnder(t, 2, after); state != job.Running {
 			t.Errorf("after two crashes, each %v after a start, the job is shown as %s", after, state)
 		}
 	}
 }
 
 // Failure: a lasting task that crashes its workers is started on and on.
-func TestLastingTaskThatCrashesWorkersIsGivenUp(t *testing.T) {
+func TestLongRunningTaskThatCrashesWorkersFails(t *testing.T) {
 	for _, test := range []struct {
 		crashes int
 		after   time.Duration
 	}{{2, crashAfter}, {4, 300 * time.Millisecond}} {
-		if state := crashUnder(t, test.crashes, test.after); state != job.Failed {
+		if state := crashWorkersUnder(t, test.crashes, test.after); state != job.Failed {
 			t.Errorf("after %d crashes, each %v after a start, the job is shown as %s", test.crashes, test.after, state)
 		}
 	}
--- a/internal/cell/lasting_load_test.go
+++ b/internal/cell/lasting_load_test.go
@@ -11,21 +11,21 @@
 
 // Failure: lasting tasks that failed were away beside room for them, as questions about other
 // work took the adviser's lanes and other work the room.
-func TestFailedLastingTasksComeBackUnderLoad(t *testing.T) {
-	const lanesLeft = 3
+func TestFailedLongRunningTasksRestartUnderLoad(t *testing.T) {
+	const freeSlots = 3
 	for seed := range int64(2) {
-		l := newAdvisedLoad(t, lanesLeft, seed)
-		judge := newLastingJudge(l, submitLasting(l))
+		l := newAdvisedLoad(t, freeSlots, seed)
+		checker := newDowntimeChecker(l, submitLongRunning(l))
 		ticks := 0
 		l.run(26*time.Second, func() {
 			submitMixed(l)
 			if ticks++; ticks%100 == 0 {
-				failOneOf(l, judge.jobs)
+				failOneOf(l, checker.jobs)
 			}
-			judge.look()
+			checker.check()
 		})
-		if len(judge.lost) > 0 {
-			t.Errorf("seed %d: %d tasks were away beside room for two: %v", seed, len(judge.lost), judge.lost)
+		if len(checker.violations) > 0 {
+			t.Errorf("seed %d: %d tasks were away beside room for two: %v", seed, len(checker.violations), checker.violations)
 		}
 	}
 }
@@ -42,9 +42,9 @@
 		"slow":   {PerCall: 530 * time.Millisecond, PerWorker: 5 * time.Millisecond, TicketTTL: valid},
 		"batch":  {PerCall: 60 * time.Millisecond, PerWorker: 2 * time.Millisecond, TicketTTL: valid},
 	}
-	l.adviser.lanes = AdviceSlots{Quick: 4, Any: lanes}
-	l.adviser.goodPercent = 30
-	l.workOf = func(id job.TaskID, _ *loadWorker) time.Duration {
+	l.adviser.slots = AdviceSlots{Quick: 4, Any: lanes}
+	l.adviser.allowedPercent = 30
+	l.runTimeOf = func(id job.TaskID, _ *loadWorker) time.Duration {
 		s := l.cell.jobs[id.Job].record.Steps[id.Step]
 		if s.LongRunning {
 			return time.Hour
@@ -54,12 +54,12 @@
 	return l
 }
 
-// submitLasting submits jobs of six lasting tasks that need an eighth to three quarters of a
+// submitLongRunning submits jobs of six lasting tasks that need an eighth to three quarters of a
 // worker each, and returns their ids.
-func submitLasting(l *load) []string {
+func submitLongRunning(l *load) []string {
 	var ids []string
 	for i, milliCPU := range []int64{2000, 4000, 4000, 6000, 12000} {
-		s := lasting(6, 0)
+		s := longRunning(6, 0)
 		s.Need.MilliCPU = milliCPU
 		s.MaxPerWorker = 2 * (i % 2)
 		ids = append(ids, l.submit("watch", 1, s))
--- a/internal/cell/lasting_parked_test.go
+++ b/internal/cell/lasting_parked_test.go
@@ -4,14 +4,14 @@
 
 // Failure: a lasting task does not run beside parked workers with room for it, as more urgent
 // work without any room is looked at first in each planning pass.
-func TestParkedWorkersAreWokenForALastingTaskBehindImpossibleWork(t *testing.T) {
+func TestParkedWorkersWakeForALongRunningTaskBehindImpossibleWork(t *testing.T) {
 	s := idleSite(t, 6, 1)
 	s.startAll()
 	for range 100 {
-		s.pass(watchPeriod)
+		s.advance(watchPeriod)
 		s.plan()
 		s.commit()
-		s.hear()
+		s.reportAll()
 	}
 	if s.cell.parkedCount == 0 {
 		t.Fatal("no worker is parked")
@@ -28,13 +28,13 @@
 	s.cell.Add(r, true)
 	got := 0
 	for range 100 {
-		s.pass(watchPeriod)
+		s.advance(watchPeriod)
 		for _, o := range s.plan() {
 			s.confirm(o)
 			got++
 		}
 		s.commit()
-		s.hear()
+		s.reportAll()
 	}
 	if got != 3 {
 		t.Errorf("%d of 3 lasting tasks started within 4 s beside %d parked workers", got, s.cell.parkedCount)
--- a/internal/cell/lasting_reservation_test.go
+++ b/internal/cell/lasting_reservation_test.go
@@ -7,11 +7,11 @@
 
 // Failure: a lasting task stayed away while its worker was kept for a large task, time and
 // again, although there was room beside what ran.
-func TestReservationsKeepNoLastingTaskAway(t *testing.T) {
-	s := newHeardSite(t, usualWorker("a"))
-	inTheWay := s.lastingRecord(1, 6000)
-	s.startedOne(inTheWay)
-	lasts := s.startedOne(s.lastingRecord(2, 2000))
+func TestReservationsKeepNoLongRunningTaskDown(t *testing.T) {
+	s := newReportedSite(t, usualWorker("a"))
+	inTheWay := s.longRunningRecord(1, 6000)
+	s.startOne(inTheWay)
+	lasts := s.startOne(s.longRunningRecord(2, 2000))
 	large := transcode()
 	large.Estimate = 30 * time.Second
 	waits := s.record(3, large)
@@ -21,5 +21,5 @@
 	if s.cell.workers["a"].reserved == nil {
 		t.Fatal("the worker is not reserved for the large task")
 	}
-	s.failAndAwait(lasts, nil, "a")
+	s.failAndCheckDowntime(lasts, nil, "a")
 }
--- a/internal/cell/lasting_restart_test.go
+++ b/internal/cell/lasting_restart_test.go
@@ -7,11 +7,11 @@
 
 // Failure: after a restart of everything, urgent jobs get no answer of the adviser until it was
 // asked about all lasting tasks.
-func TestUrgentJobsAreAskedAboutBesideManyLastingTasks(t *testing.T) {
-	const lastingStages, limit = 40, 2 * time.Second
-	l, _ := lastingLoad(t)
-	for range lastingStages {
-		l.submit("watch", 1, lasting(1, 0))
+func TestUrgentJobsAreAskedAboutBesideManyLongRunningTasks(t *testing.T) {
+	const longRunningStages, limit = 40, 2 * time.Second
+	l, _ := longRunningLoad(t)
+	for range longRunningStages {
+		l.submit("watch", 1, longRunning(1, 0))
 	}
 	l.step()
 	urgent := l.submit("work", 0, step(1))
--- a/internal/cell/lasting_retry_test.go
+++ b/internal/cell/lasting_retry_test.go
@@ -8,38 +8,38 @@
 	"gentianstand/internal/runner"
 )
 
-// lastingWorld is a worker with one lasting task of each of some jobs.
-type lastingWorld struct {
+// longRunningWorld is a worker with one lasting task of each of some jobs.
+type longRunningWorld struct {
 	*site
 	// starts are the present runs by job, and away since when a job has none.
-	starts map[string]StartOrder
-	away   map[string]time.Time
-	// longest is the longest time that a job's task was away for.
-	longest time.Duration
+	starts    map[string]StartOrder
+	downSince map[string]time.Time
+	// maxDowntime is the maxDowntime time that a job's task was away for.
+	maxDowntime time.Duration
 	// fails says that the worker fails all that it starts.
 	fails bool
-	// calm is from when on the time away counts.
-	calm time.Time
+	// countedFrom is from when on the time away counts.
+	countedFrom time.Time
 }
 
-func newLastingWorld(t *testing.T, jobs int) *lastingWorld {
-	w := &lastingWorld{site: newSite(t, 1, usualWorker("a")), starts: map[string]StartOrder{}, away: map[string]time.Time{}}
+func newLongRunningWorld(t *testing.T, jobs int) *longRunningWorld {
+	w := &longRunningWorld{site: newSite(t, 1, usualWorker("a")), starts: map[string]StartOrder{}, downSince: map[string]time.Time{}}
 	w.report("a")
 	for n := range jobs {
-		r := w.record(n, lasting(1, 0))
+		r := w.record(n, longRunning(1, 0))
 		w.cell.Add(r, true)
-		w.away[r.ID] = w.now
+		w.downSince[r.ID] = w.now
 	}
 	return w
 }
 
 // run lets time pass, in which runs begin and are at work at once.
-func (w *lastingWorld) run(d time.Duration) {
+func (w *longRunningWorld) run(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); {
-		for _, start := range w.look("a") {
+		for _, start := range w.reportAndPlan("a") {
 			w.confirm(start)
 			w.starts[start.Task.Job] = start
-			delete(w.away, start.Task.Job)
+			delete(w.downSince, start.Task.Job)
 			if w.fails {
 				w.fail(start.Task.Job)
 			}
@@ -47,61 +47,61 @@
 		for i := range w.runs["a"] {
 			w.runs["a"][i].Percent = workingPercent
 		}
-		for _, since := range w.away {
-			if w.calm.After(since) {
-				since = w.calm
+		for _, since := range w.downSince {
+			if w.countedFrom.After(since) {
+				since = w.countedFrom
 			}
-			w.longest = max(w.longest, w.now.Sub(since))
+			w.maxDowntime = max(w.maxDowntime, w.now.Sub(since))
 		}
 	}
 }
 
 // fail ends the run of a job's task.
-func (w *lastingWorld) fail(id string) {
+func (w *longRunningWorld) fail(id string) {
 	w.finish(w.starts[id], runner.Failed)
 	delete(w.starts, id)
-	w.away[id] = w.now
+	w.downSince[id] = w.now
 }
 
 // Failure: lasting tasks that failed kept each other off their sound worker for over 10 s.
-func TestLastingTasksThatFailAreStartedAgainOnTheirOnlyWorker(t *testing.T) {
-	w := newLastingWorld(t, 5)
+func TestFailedLongRunningTasksRestartOnTheirOnlyWorker(t *testing.T) {
+	w := newLongRunningWorld(t, 5)
 	w.run(5 * time.Second)
-	w.longest = 0
+	w.maxDowntime = 0
 	for n := range 5 {
 		w.fail(w.record(n, job.Step{}).ID)
 		w.run(4 * time.Second)
 	}
 	w.run(10 * time.Second)
-	if w.longest > 2*time.Second {
-		t.Errorf("a lasting task was away for %v beside room on a sound worker", w.longest)
+	if w.maxDowntime > 2*time.Second {
+		t.Errorf("a lasting task was away for %v beside room on a sound worker", w.maxDowntime)
 	}
 }
 
 // Failure: lasting tasks stayed away for six seconds after their worker was sound again.
-func TestLastingTasksAreStartedAgainSoonOnAWorkerThatFailedAll(t *testing.T) {
-	w := newLastingWorld(t, 4)
+func TestLongRunningTasksRestartSoonOnARecoveredWorker(t *testing.T) {
+	w := newLongRunningWorld(t, 4)
 	w.fails = true
 	w.run(6500 * time.Millisecond)
-	w.fails, w.calm, w.longest = false, w.now, 0
+	w.fails, w.countedFrom, w.maxDowntime = false, w.now, 0
 	w.run(10 * time.Second)
-	if w.longest > 2*time.Second {
-		t.Errorf("a lasting task was away for %v after its worker was sound again", w.longest)
+	if w.maxDowntime > 2*time.Second {
+		t.Errorf("a lasting task was away for %v after its worker was sound again", w.maxDowntime)
 	}
-	if len(w.away) > 0 {
-		t.Errorf("tasks of %d jobs do not run", len(w.away))
+	if len(w.downSince) > 0 {
+		t.Errorf("tasks of %d jobs do not run", len(w.downSince))
 	}
 }
 
-// avoid has a worker avoided for the failures of several jobs.
-func (s *site) avoid(id string) {
+// markAvoided has a worker avoided for the failures of several jobs.
+func (s *site) markAvoided(id string) {
 	for n := range avoidAfterFailures {
 		s.cell.recordFailure(s.cell.workers[id], s.record(100+n, job.Step{}).ID, s.now)
 	}
 }
 
 // Failure: a task that ends used up its attempts on a worker that fails all.
-func TestOnlyLastingTasksAreTriedOnAnAvoidedWorker(t *testing.T) {
+func TestOnlyLongRunningTasksAreTriedOnAnAvoidedWorker(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		step    job.Step
@@ -109,12 +109,12 @@
 		want    int
 	}{
 		{"a task that ends", step(1), false, 0},
-		{"a lasting task", lasting(1, 0), false, 1},
-		{"a lasting task with an adviser", lasting(1, 0), true, 1},
+		{"a lasting task", longRunning(1, 0), false, 1},
+		{"a lasting task with an adviser", longRunning(1, 0), true, 1},
 	} {
 		s := newSite(t, 1, usualWorker("a"))
 		s.report("a")
-		s.avoid("a")
+		s.markAvoided("a")
 		r := s.record(1, test.step)
 		if test.advised {
 			r = advised(r, 30*time.Millisecond)
@@ -122,7 +122,7 @@
 		s.cell.Add(r, true)
 		starts := 0
 		for range 30 {
-			starts += len(s.look("a"))
+			starts += len(s.reportAndPlan("a"))
 			s.advise("a")
 		}
 		if starts != test.want {
@@ -132,21 +132,21 @@
 }
 
 // Failure: a lasting task was started on a worker that fails all, beside room on a sound one.
-func TestLastingTaskPrefersAWorkerThatIsNotAvoided(t *testing.T) {
+func TestLongRunningTaskPrefersAWorkerThatIsNotAvoided(t *testing.T) {
 	for _, withAdviser := range []bool{false, true} {
 		s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 		s.report("a")
 		s.report("b")
-		r := s.record(1, lasting(1, 0))
+		r := s.record(1, longRunning(1, 0))
 		if withAdviser {
 			r = advised(r, 30*time.Millisecond)
 		}
-		s.avoid("a")
-		s.pass(1200 * time.Millisecond)
+		s.markAvoided("a")
+		s.advance(1200 * time.Millisecond)
 		s.cell.Add(r, true)
 		var on []string
 		for range 10 {
-			for _, start := range s.look("a", "b") {
+			for _, start := range s.reportAndPlan("a", "b") {
 				on = append(on, start.Worker.ID)
 			}
 			s.advise("a", "b")
@@ -158,19 +158,19 @@
 }
 
 // Failure: a lasting task was sent again and again to a worker that declines it.
-func TestLastingTaskIsNotTriedOnAWorkerThatJustDeclined(t *testing.T) {
+func TestLongRunningTaskIsNotTriedOnAWorkerThatJustRefused(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
-	s.avoid("a")
-	s.pass(5 * time.Second)
+	s.markAvoided("a")
+	s.advance(5 * time.Second)
 	s.cell.workers["a"].health.refused(s.now)
-	s.cell.Add(s.record(1, lasting(1, 0)), true)
-	s.pass(refusalPeriod - 50*time.Millisecond)
+	s.cell.Add(s.record(1, longRunning(1, 0)), true)
+	s.advance(refusalPeriod - 50*time.Millisecond)
 	s.report("a")
 	if starts := s.plan(); len(starts) > 0 {
 		t.Errorf("started right after the worker declined: %v", starts)
 	}
-	if starts := s.look("a"); len(starts) != 1 {
+	if starts := s.reportAndPlan("a"); len(starts) != 1 {
 		t.Errorf("%d starts after the pause, want 1", len(starts))
 	}
 }
@@ -183,11 +183,11 @@
 	if len(awake) != 1 {
 		t.Fatalf("%d workers are awake, want 1", len(awake))
 	}
-	s.avoid(awake[0])
-	s.pass(1200 * time.Millisecond)
-	s.cell.Add(s.record(1, lasting(1, 0)), true)
+	s.markAvoided(awake[0])
+	s.advance(1200 * time.Millisecond)
+	s.cell.Add(s.record(1, longRunning(1, 0)), true)
 	for range 5 {
-		s.hear()
+		s.reportAll()
 		for _, start := range s.plan() {
 			if start.Worker.ID == awake[0] {
 				t.Errorf("started on the avoided worker %s", awake[0])
--- a/internal/cell/lasting_site_test.go
+++ b/internal/cell/lasting_site_test.go
@@ -9,12 +9,12 @@
 	"gentianstand/internal/runner"
 )
 
-// longestAway is how long a lasting task may be away after the last failure while workers
+// maxDowntime is how long a lasting task may be away after the last failure while workers
 // have room for two like it.
-const longestAway = 7 * time.Second
+const maxDowntime = 7 * time.Second
 
-// newHeardSite returns a site whose workers have all reported.
-func newHeardSite(t *testing.T, workers ...roster.Worker) *site {
+// newReportedSite returns a site whose workers have all reported.
+func newReportedSite(t *testing.T, workers ...roster.Worker) *site {
 	t.Helper()
 	s := newSite(t, 1, workers...)
 	for _, w := range workers {
@@ -23,8 +23,8 @@
 	return s
 }
 
-// lastingRecord returns a job with one lasting task of some thousandths of a core.
-func (s *site) lastingRecord(n int, milliCPU int64) *job.Record {
+// longRunningRecord returns a job with one lasting task of some thousandths of a core.
+func (s *site) longRunningRecord(n int, milliCPU int64) *job.Record {
 	watch := step(1)
 	watch.LongRunning, watch.Need.MilliCPU = true, milliCPU
 	r := s.record(n, watch)
@@ -32,26 +32,26 @@
 	return r
 }
 
-// startedOne starts the only task of a job.
-func (s *site) startedOne(r *job.Record) StartOrder {
+// startOne starts the only task of a job.
+func (s *site) startOne(r *job.Record) StartOrder {
 	s.t.Helper()
-	o, ok := s.started(r)[r.ID+".0.0.0"]
+	o, ok := s.startTasks(r)[r.ID+".0.0.0"]
 	if !ok {
 		s.t.Fatalf("job %s was not started", r.ID)
 	}
 	return o
 }
 
-// awayFor lets time pass until the task of a run is started again, at most for limit, and
+// downtime lets time pass until the task of a run is started again, at most for limit, and
 // returns how long that took. each, if not nil, is called before every look.
-func (s *site) awayFor(o StartOrder, limit time.Duration, each func(), workers ...string) time.Duration {
+func (s *site) downtime(o StartOrder, limit time.Duration, each func(), workers ...string) time.Duration {
 	s.t.Helper()
 	began := s.now
 	for s.now.Sub(began) < limit {
 		if each != nil {
 			each()
 		}
-		if _, ok := s.look(workers...)[o.Start.Task]; ok {
+		if _, ok := s.reportAndPlan(workers...)[o.Start.Task]; ok {
 			break
 		}
 		s.commit()
@@ -59,11 +59,11 @@
 	return s.now.Sub(began)
 }
 
-// failAndAwait fails a run and checks that its task is not away for long.
-func (s *site) failAndAwait(o StartOrder, each func(), workers ...string) {
+// failAndCheckDowntime fails a run and checks that its task is not away for long.
+func (s *site) failAndCheckDowntime(o StartOrder, each func(), workers ...string) {
 	s.t.Helper()
 	s.finish(o, runner.Failed)
-	if away := s.awayFor(o, 20*time.Second, each, workers...); away > longestAway {
+	if away := s.downtime(o, 20*time.Second, each, workers...); away > maxDowntime {
 		s.t.Errorf("the lasting task was away for %v", away)
 	}
 }
--- a/internal/cell/lease_test.go
+++ b/internal/cell/lease_test.go
@@ -12,7 +12,7 @@
 )
 
 // Failure: tasks of a worker that was gone for good never started again.
-func TestLeaseOfASilentWorkerEnds(t *testing.T) {
+func TestLeaseOfAnUnresponsiveWorkerExpires(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	s.report("a")
 	r := s.record(1, step(1))
@@ -23,7 +23,7 @@
 	s.report("a")
 	lost := s.now
 	for s.now.Sub(lost) < 3400*time.Millisecond {
-		s.pass(200 * time.Millisecond)
+		s.advance(200 * time.Millisecond)
 		s.cell.NextPoll("a", s.now)
 		s.cell.PollFailed("a", fmt.Errorf("%w: timeout", runner.ErrNoAnswer), s.now)
 		s.report("b")
@@ -33,7 +33,7 @@
 	}
 	// The first look without an answer, after 0.2 s, may still have extended the
 	// lease by 3.5 s on a clock that is 2% slow: it must have ended after 3.83 s.
-	s.pass(500 * time.Millisecond)
+	s.advance(500 * time.Millisecond)
 	s.report("b")
 	again, ok := s.plan()[task]
 	if !ok {
@@ -69,7 +69,7 @@
 		t.Fatal("a report without the run was taken as proof that it cannot begin")
 	}
 	s.cell.StopAnswered(stop, runner.Answer{}, nil, s.now)
-	s.pass(time.Millisecond)
+	s.advance(time.Millisecond)
 	s.report(first.Worker.ID)
 	if _, ok := s.plan()[task]; !ok {
 		t.Error("the task was not started again after the first start was revoked")
@@ -141,7 +141,7 @@
 }
 
 // Failure: a task ran twice after a take-over.
-func TestLeaseOfTheEarlierOwnerCounts(t *testing.T) {
+func TestLeaseOfThePreviousOwnerCounts(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"), usualWorker("b"))
 	r := s.record(1, step(1))
 	s.cell.Load(r, nil)
@@ -151,13 +151,13 @@
 	found := s.now
 	s.report("b")
 	for s.now.Sub(found) < 3400*time.Millisecond {
-		s.pass(200 * time.Millisecond)
+		s.advance(200 * time.Millisecond)
 		s.report("b")
 		if again, ok := s.plan()[task]; ok {
 			t.Fatalf("run %d was started after %v, within the earlier owner's lease", again.Start.Run, s.now.Sub(found))
 		}
 	}
-	s.pass(600 * time.Millisecond)
+	s.advance(600 * time.Millisecond)
 	s.report("b")
 	if _, ok := s.plan()[task]; !ok {
 		t.Error("the task was not started after that lease must have ended")
@@ -171,13 +171,13 @@
 	s.report("a")
 	s.report("b")
 	s.cell.UpdateRoster(roster.Change{Removed: []string{"a"}}, s.now)
-	s.pass(watchPeriod)
+	s.advance(watchPeriod)
 	s.plan()
 	if s.cell.workers["a"] == nil {
 		t.Fatal("a worker that answers was forgotten")
 	}
 	s.cell.PollFailed("a", runner.ErrNoAnswer, s.now)
-	s.pass(watchPeriod)
+	s.advance(watchPeriod)
 	s.plan()
 	if s.cell.workers["a"] != nil {
 		t.Error("the worker that left is still known")
@@ -189,7 +189,7 @@
 }
 
 // Failure: a task is started again after its success was acknowledged.
-func TestEndsAreAcknowledgedWhenTheEarlierOwnerIsFenced(t *testing.T) {
+func TestEndsAreAcknowledgedWhenThePreviousOwnerIsFenced(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"), usualWorker("b"))
 	r := s.record(1, step(1))
 	s.cell.Load(r, nil)
--- a/internal/cell/load_adviser_test.go
+++ b/internal/cell/load_adviser_test.go
@@ -9,36 +9,36 @@
 
 // loadAdviser plays the placement adviser and the lanes to it.
 type loadAdviser struct {
-	// goodPercent is the share of the workers that may run a stage; 0 is all.
-	goodPercent uint64
-	// lanes are the free ones.
-	lanes AdviceSlots
-	// under are the questions under way.
-	under []loadQuestion
+	// allowedPercent is the share of the workers that may run a stage; 0 is all.
+	allowedPercent uint64
+	// slots are the free ones.
+	slots AdviceSlots
+	// pending are the questions pending way.
+	pending []loadQuestion
 }
 
 // ask begins a question.
 func (l *load) ask(order AdviceOrder) {
-	quick := l.adviser.lanes.Quick
-	l.adviser.lanes.acquire(order.Slow)
-	l.adviser.under = append(l.adviser.under, loadQuestion{
-		order: order, quick: l.adviser.lanes.Quick < quick, answerAt: l.now.Add(order.Cost.Duration(len(order.Workers))),
+	quick := l.adviser.slots.Quick
+	l.adviser.slots.acquire(order.Slow)
+	l.adviser.pending = append(l.adviser.pending, loadQuestion{
+		order: order, quick: l.adviser.slots.Quick < quick, answerAt: l.now.Add(order.Cost.Duration(len(order.Workers))),
 	})
 }
 
-// adviseDue answers the questions that are due.
-func (l *load) adviseDue() {
-	under := l.adviser.under
-	l.adviser.under = nil
+// answerDue answers the questions that are due.
+func (l *load) answerDue() {
+	under := l.adviser.pending
+	l.adviser.pending = nil
 	for _, q := range under {
 		if l.now.Before(q.answerAt) {
-			l.adviser.under = append(l.adviser.under, q)
+			l.adviser.pending = append(l.adviser.pending, q)
 			continue
 		}
 		if q.quick {
-			l.adviser.lanes.Quick++
+			l.adviser.slots.Quick++
 		} else {
-			l.adviser.lanes.Any++
+			l.adviser.slots.Any++
 		}
 		l.cell.AdviceAnswered(q.order.Stage, q.order.Workers, l.adviser.ticketsFor(q.order.Stage, q.order.Workers), nil, l.now)
 	}
@@ -46,7 +46,7 @@
 
 // allows reports whether a worker may run a stage, always the same.
 func (a *loadAdviser) allows(stage job.StageID, worker string) bool {
-	return a.goodPercent == 0 || xxhash.Sum64String(stage.String()+"|"+worker)%100 < a.goodPercent
+	return a.allowedPercent == 0 || xxhash.Sum64String(stage.String()+"|"+worker)%100 < a.allowedPercent
 }
 
 func (a *loadAdviser) ticketsFor(stage job.StageID, workers []string) []advice.Ticket {
--- a/internal/cell/load_test.go
+++ b/internal/cell/load_test.go
@@ -26,7 +26,7 @@
 		}
 	})
 	l.run(4*time.Second, nil)
-	if got := share(l.waits(urgent), 0.95); got > 1200*time.Millisecond {
+	if got := percentile(l.waits(urgent), 0.95); got > 1200*time.Millisecond {
 		t.Errorf("95 of 100 lookups waited up to %v", got)
 	}
 }
@@ -120,7 +120,7 @@
 	if len(l.completed) != len(l.submitted) {
 		t.Errorf("%d of %d jobs are complete", len(l.completed), len(l.submitted))
 	}
-	if got := share(l.waits(others), 0.95); got > 300*time.Millisecond {
+	if got := percentile(l.waits(others), 0.95); got > 300*time.Millisecond {
 		t.Errorf("95 of 100 jobs of the other rack waited up to %v", got)
 	}
 }
@@ -214,7 +214,7 @@
 func TestLoadSlowWorkers(t *testing.T) {
 	l := newLoad(t, 24)
 	slow := l.workerIDs()[:2]
-	l.workOf = func(_ job.TaskID, w *loadWorker) time.Duration {
+	l.runTimeOf = func(_ job.TaskID, w *loadWorker) time.Duration {
 		if slices.Contains(slow, w.roster.ID) {
 			return 6 * time.Second
 		}
@@ -231,7 +231,7 @@
 		took = append(took, l.completed[id].Sub(at))
 	}
 	slices.Sort(took)
-	if got := share(took, 0.95); got > 3*time.Second || took[0] < 0 {
+	if got := percentile(took, 0.95); got > 3*time.Second || took[0] < 0 {
 		t.Errorf("95 of 100 jobs took up to %v, the fastest %v", got, took[0])
 	}
 }
--- a/internal/cell/load_world_test.go
+++ b/internal/cell/load_world_test.go
@@ -32,15 +32,15 @@
 	// acknowledged are the tasks whose success a worker was told to forget; again are those
 	// of them that were started afterwards.
 	acknowledged map[string]bool
-	again        []string
-	// workOf tells how long a task of a job really takes on a worker.
-	workOf func(id job.TaskID, w *loadWorker) time.Duration
-	jobs   int
+	startedAgain []string
+	// runTimeOf tells how long a task of a job really takes on a worker.
+	runTimeOf func(id job.TaskID, w *loadWorker) time.Duration
+	jobs      int
 	// adviser is asked about the queues in advice.
 	adviser loadAdviser
 	advice  map[string]*job.AdviceCost
-	// slowStops is how long a stop takes at most; 0 is 100 ms each time.
-	slowStops time.Duration
+	// maxStopTime is how long a stop takes at most; 0 is 100 ms each time.
+	maxStopTime time.Duration
 }
 
 type loadWorker struct {
@@ -63,15 +63,15 @@
 	began  time.Time
 	endsAt time.Time
 	stop   time.Time
-	// saves says that the run can go on elsewhere from what it has done.
-	saves bool
+	// hasCheckpoint says that the run can go on elsewhere from what it has done.
+	hasCheckpoint bool
 	// resumed is what runs before it had done.
 	resumed time.Duration
 }
 
-// saved returns the checkpoint of a run at a time.
-func (r *loadRun) saved(now time.Time) string {
-	if !r.saves {
+// checkpoint returns the checkpoint of a run at a time.
+func (r *loadRun) checkpoint(now time.Time) string {
+	if !r.hasCheckpoint {
 		return ""
 	}
 	return (r.resumed + now.Sub(r.began)).Truncate(500 * time.Millisecond).String()
@@ -80,7 +80,7 @@
 func newLoad(t *testing.T, workers int) *load {
 	l := &load{t: t, now: siteStart, rnd: rand.New(rand.NewSource(1)), workers: map[string]*loadWorker{},
 		submitted: map[string]time.Time{}, completed: map[string]time.Time{}, firstStart: map[string]time.Time{}, acknowledged: map[string]bool{}}
-	l.workOf = func(id job.TaskID, _ *loadWorker) time.Duration {
+	l.runTimeOf = func(id job.TaskID, _ *loadWorker) time.Duration {
 		return l.cell.jobs[id.Job].record.Steps[id.Step].Estimate
 	}
 	l.cell = New(Settings{Term: 1, PreviousOwnerStopped: true, Lease: 3500 * time.Millisecond, StopGrace: 900 * time.Millisecond}, l.now, quietLog())
@@ -116,8 +116,8 @@
 		l.work(l.workers[id])
 		l.report(l.workers[id])
 	}
-	l.adviseDue()
-	for _, order := range l.cell.Plan(l.now, l.adviser.lanes) {
+	l.answerDue()
+	for _, order := range l.cell.Plan(l.now, l.adviser.slots) {
 		l.carryOut(order)
 	}
 	for commit := l.cell.NextCommit(90); commit != nil; commit = l.cell.NextCommit(90) {
@@ -141,7 +141,7 @@
 		r := w.runs[task]
 		switch {
 		case !r.stop.IsZero() && !l.now.Before(r.stop):
-			w.endSaved(task, r.run, runner.Stopped, r.saved(l.now))
+			w.endWithCheckpoint(task, r.run, runner.Stopped, r.checkpoint(l.now))
 		case w.failing:
 			w.end(task, r.run, runner.Failed)
 		case !l.now.Before(r.endsAt):
@@ -151,10 +151,10 @@
 }
 
 func (w *loadWorker) end(task string, run uint64, how runner.EndKind) {
-	w.endSaved(task, run, how, "")
+	w.endWithCheckpoint(task, run, how, "")
 }
 
-func (w *loadWorker) endSaved(task string, run uint64, how runner.EndKind, saved string) {
+func (w *loadWorker) endWithCheckpoint(task string, run uint64, how runner.EndKind, saved string) {
 	delete(w.runs, task)
 	w.sequence++
 	w.ends = append(w.ends, runner.End{Sequence: w.sequence, Task: task, Run: run, Kind: how, Checkpoint: saved})
@@ -174,19 +174,19 @@
 		return
 	}
 	if target.Incarnation == w.roster.Incarnation {
-		l.forget(w, look.Acknowledged)
+		l.acknowledge(w, look.Acknowledged)
 	}
 	report := runner.Report{Incarnation: w.roster.Incarnation, Clock: w.clock(l.now), Ended: w.ends}
 	for _, task := range slices.Sorted(maps.Keys(w.runs)) {
 		r := w.runs[task]
 		percent := int(100 * l.now.Sub(r.began) / max(1, r.endsAt.Sub(r.began)))
-		report.Running = append(report.Running, runner.RunState{Task: task, Run: r.run, Checkpoint: r.saved(l.now), Percent: min(percent, 99)})
+		report.Running = append(report.Running, runner.RunState{Task: task, Run: r.run, Checkpoint: r.checkpoint(l.now), Percent: min(percent, 99)})
 	}
 	l.cell.Reported(w.roster.ID, report, l.now, l.now)
 }
 
-// forget has a worker forget its ends up to one.
-func (l *load) forget(w *loadWorker, through uint64) {
+// acknowledge has a worker acknowledge its ends up to one.
+func (l *load) acknowledge(w *loadWorker, through uint64) {
 	w.ends = slices.DeleteFunc(w.ends, func(e runner.End) bool {
 		if e.Sequence > through {
 			return false
@@ -198,8 +198,8 @@
 	})
 }
 
-// reached returns why an order does not reach the incarnation that is meant, or nil.
-func (l *load) reached(to runner.Target) error {
+// deliveryError returns why an order does not reach the incarnation that is meant, or nil.
+func (l *load) deliveryError(to runner.Target) error {
 	w := l.workers[to.ID]
 	switch {
 	case l.now.Before(w.downUntil):
@@ -213,15 +213,15 @@
 func (l *load) carryOut(order Order) {
 	switch order := order.(type) {
 	case StartOrder:
-		err := l.reached(order.Worker)
+		err := l.deliveryError(order.Worker)
 		if err == nil {
-			l.begin(order)
+			l.startRun(order)
 		}
 		l.cell.StartAnswered(order, runner.Answer{}, err, l.now)
 	case StopOrder:
-		err := l.reached(order.Worker)
+		err := l.deliveryError(order.Worker)
 		if r := l.workers[order.Worker.ID].runs[order.Stop.Task]; err == nil && r != nil && r.stop.IsZero() {
-			r.stop = l.now.Add(l.stopTakes())
+			r.stop = l.now.Add(l.stopTime())
 		}
 		l.cell.StopAnswered(order, runner.Answer{}, err, l.now)
 	case AdviceOrder:
@@ -229,10 +229,10 @@
 	}
 }
 
-// begin has a worker carry out a start.
-func (l *load) begin(order StartOrder) {
+// startRun has a worker carry out a start.
+func (l *load) startRun(order StartOrder) {
 	if l.acknowledged[order.Start.Task] {
-		l.again = append(l.again, order.Start.Task)
+		l.startedAgain = append(l.startedAgain, order.Start.Task)
 	}
 	if _, seen := l.firstStart[order.Task.Job]; !seen {
 		l.firstStart[order.Task.Job] = l.now
@@ -241,17 +241,17 @@
 	w.runs[order.Start.Task] = l.newRun(order, w)
 }
 
-// stopTakes draws how long a stop takes.
-func (l *load) stopTakes() time.Duration {
-	if l.slowStops == 0 {
+// stopTime draws how long a stop takes.
+func (l *load) stopTime() time.Duration {
+	if l.maxStopTime == 0 {
 		return 100 * time.Millisecond
 	}
-	return time.Duration(l.rnd.Int63n(int64(l.slowStops)))
+	return time.Duration(l.rnd.Int63n(int64(l.maxStopTime)))
 }
 
 // newRun begins a run, from its checkpoint if it has one.
 func (l *load) newRun(order StartOrder, w *loadWorker) *loadRun {
-	r := &loadRun{run: order.Start.Run, began: l.now, saves: l.cell.jobs[order.Task.Job].record.Steps[order.Task.Step].Checkpoint}
+	r := &loadRun{run: order.Start.Run, began: l.now, hasCheckpoint: l.cell.jobs[order.Task.Job].record.Steps[order.Task.Step].Checkpoint}
 	if order.Start.Checkpoint != "" {
 		resumed, err := time.ParseDuration(order.Start.Checkpoint)
 		if err != nil {
@@ -259,7 +259,7 @@
 		}
 		r.resumed = resumed
 	}
-	r.endsAt = l.now.Add(l.workOf(order.Task, w) - r.resumed)
+	r.endsAt = l.now.Add(l.runTimeOf(order.Task, w) - r.resumed)
 	return r
 }
 
@@ -277,7 +277,7 @@
 	return waits
 }
 
-func share(list []time.Duration, p float64) time.Duration {
+func percentile(list []time.Duration, p float64) time.Duration {
 	return list[min(len(list)-1, int(p*float64(len(list))))]
 }
 
--- a/internal/cell/long_wait_test.go
+++ b/internal/cell/long_wait_test.go
@@ -41,7 +41,7 @@
 		if waits := s.cell.LongWaits(s.now); len(waits) > 0 {
 			t.Errorf("%s: told at once: %+v", test.name, waits)
 		}
-		s.pass(longWaitAfter)
+		s.advance(longWaitAfter)
 		waits := s.cell.LongWaits(s.now)
 		if len(waits) != 1 || waits[0].Reason != test.want || waits[0].Waited != longWaitAfter {
 			t.Errorf("%s: %+v", test.name, waits)
--- a/internal/cell/many_ends_test.go
+++ b/internal/cell/many_ends_test.go
@@ -10,9 +10,9 @@
 	"gentianstand/internal/runner"
 )
 
-// reportSome is report by a worker that lists no more ends than it may at a time: the oldest
+// reportWithEndLimit is report by a worker that lists no more ends than it may at a time: the oldest
 // that are not acknowledged.
-func (s *site) reportSome(id string) {
+func (s *site) reportWithEndLimit(id string) {
 	acked := s.cell.workers[id].ackedEnd
 	all := slices.DeleteFunc(s.ends[id], func(e runner.End) bool { return e.Sequence <= acked })
 	s.ends[id] = slices.Clone(all[:min(len(all), runner.MaxReportedEnds)])
@@ -28,22 +28,22 @@
 }
 
 // Failure: in an outage of the store tasks that had ended were started again.
-func TestRunWhoseEndIsNotListedYetIsNotTakenForLost(t *testing.T) {
+func TestRunWhoseEndIsNotReportedYetIsNotLost(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
 	r := s.record(1, small(runner.MaxReportedEnds+1))
-	starts := s.started(r)
+	starts := s.startTasks(r)
 	last := starts[fmt.Sprintf("%s.0.0.%d", r.ID, runner.MaxReportedEnds)]
 	for n := range runner.MaxReportedEnds {
 		s.finish(starts[fmt.Sprintf("%s.0.0.%d", r.ID, n)], runner.Done)
 	}
-	s.pass(time.Second)
-	s.reportSome("a")
+	s.advance(time.Second)
+	s.reportWithEndLimit("a")
 	s.plan()
 	s.finish(last, runner.Done)
 	for range 5 {
-		s.pass(100 * time.Millisecond)
-		s.reportSome("a")
+		s.advance(100 * time.Millisecond)
+		s.reportWithEndLimit("a")
 		again := s.plan()
 		if len(again) > 0 {
 			t.Fatalf("started again after it had ended: %v", again)
@@ -54,11 +54,11 @@
 			}
 		}
 	}
-	s.pass(overtakenOwnerLimit)
+	s.advance(overtakenOwnerLimit)
 	s.cell.Plan(s.now, s.slots)
 	s.commit()
-	s.reportSome("a")
-	s.reportSome("a")
+	s.reportWithEndLimit("a")
+	s.reportWithEndLimit("a")
 	s.commit()
 	if state, _ := s.cell.State(r.ID); state != job.Completed {
 		t.Errorf("the job is %q after the outage, want completed", state)
@@ -77,8 +77,8 @@
 	next.ends = s.ends
 	next.cell.Load(r, nil)
 	for range 30 {
-		next.pass(100 * time.Millisecond)
-		next.reportSome("a")
+		next.advance(100 * time.Millisecond)
+		next.reportWithEndLimit("a")
 		if again := next.plan(); len(again) > 0 {
 			t.Fatalf("started again after it had ended: %v", again)
 		}
--- a/internal/cell/model_ends_test.go
+++ b/internal/cell/model_ends_test.go
@@ -34,10 +34,10 @@
 // finishAll heals everything and waits until all jobs are shown as complete.
 func (m *model) finishAll() {
 	m.takeOver(true)
-	m.healed = true
+	m.faultsEnded = true
 	o := m.current()
 	for _, w := range m.workers {
-		w.cut = false
+		w.repliesLost = false
 		if w.alive {
 			o.cell.register(w.roster, m.now)
 		}
@@ -45,8 +45,8 @@
 	for range 400 {
 		m.now = m.now.Add(50 * time.Millisecond)
 		for _, w := range m.workers {
-			w.lapse()
-			m.look(o, w, false)
+			w.expireLease()
+			m.poll(o, w, false)
 			for task, r := range w.runs {
 				how := runner.Done
 				if r.stop {
--- a/internal/cell/model_jobs_test.go
+++ b/internal/cell/model_jobs_test.go
@@ -11,7 +11,7 @@
 // submit stores a job; the owner of the moment is told of it, or finds it later.
 func (m *model) submit() {
 	r := &job.Record{ID: fmt.Sprintf("%016x", len(m.records)+1), Queue: "q", Service: "desk", MaxAttempts: 100, Stretch: 2, AcceptedAt: m.now,
-		Workspace: rapid.SampledFrom([]string{"", modelCapped, modelCapped}).Draw(m.rt, "workspace"), CatalogVersion: uint64(len(m.quotas.caps)),
+		Workspace: rapid.SampledFrom([]string{"", quotaWorkspace, quotaWorkspace}).Draw(m.rt, "workspace"), CatalogVersion: uint64(len(m.quotas.caps)),
 		Steps: []job.Step{step(rapid.IntRange(1, 3).Draw(m.rt, "tasks"))}}
 	if rapid.Bool().Draw(m.rt, "two steps") {
 		second := step(1)
--- a/internal/cell/model_lasting_test.go
+++ b/internal/cell/model_lasting_test.go
@@ -14,42 +14,42 @@
 )
 
 const (
-	// lastingWatched is how long the model stays calm at the end, and lastingTick the time
+	// faultFreePeriod is how long the model stays calm at the end, and lastingTick the time
 	// between two rounds of it.
-	lastingWatched = 12 * time.Second
-	lastingTick    = 40 * time.Millisecond
-	// roomyEnough is for how many tasks of one core the workers have room when one that
+	faultFreePeriod = 12 * time.Second
+	faultFreeTick   = 40 * time.Millisecond
+	// enoughFreeCores is for how many tasks of one core the workers have room when one that
 	// may not share its worker with its sibling surely fits, too.
-	roomyEnough = 7
+	enoughFreeCores = 7
 )
 
-// lastingModel is a model in which all tasks last.
-type lastingModel struct {
+// longRunningModel is a model in which all tasks last.
+type longRunningModel struct {
 	*model
-	// awaySince is from when on a task has been away beside room for two.
-	awaySince map[string]time.Time
+	// downSince is from when on a task has been away beside room for two.
+	downSince map[string]time.Time
 }
 
 // Failure: after faults of any kind, with workers that never come back, a lasting task stays
 // away beside room for two.
-func TestModelLastingTasksComeBack(t *testing.T) {
+func TestModelLongRunningTasksRestart(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		m := &lastingModel{model: newModel(rt), awaySince: map[string]time.Time{}}
+		m := &longRunningModel{model: newModel(rt), downSince: map[string]time.Time{}}
 		m.submit()
 		m.submit()
 		steps := rapid.IntRange(20, 150).Draw(rt, "steps")
 		for range steps {
 			m.step()
 		}
-		m.heal()
-		for end := m.now.Add(lastingWatched); m.now.Before(end); {
-			m.calmRound()
-			m.checkAway()
+		m.endFaults()
+		for end := m.now.Add(faultFreePeriod); m.now.Before(end); {
+			m.roundWithoutFaults()
+			m.checkDowntime()
 		}
 	})
 }
 
-func (m *lastingModel) submit() {
+func (m *longRunningModel) submit() {
 	watch := step(rapid.IntRange(1, 2).Draw(m.rt, "tasks"))
 	watch.LongRunning = true
 	if rapid.Bool().Draw(m.rt, "spread") {
@@ -61,13 +61,13 @@
 	m.current().cell.Add(r, true)
 }
 
-func (m *lastingModel) step() {
+func (m *longRunningModel) step() {
 	if rapid.IntRange(0, 3).Draw(m.rt, "a run ends") == 0 {
 		m.failSomeRun()
 		return
 	}
 	if rapid.IntRange(0, 11).Draw(m.rt, "rare") == 0 {
-		m.rare()
+		m.rareFault()
 		return
 	}
 	o := m.anyOwner()
@@ -75,20 +75,20 @@
 	case 0:
 		m.now = m.now.Add(time.Duration(rapid.IntRange(5, 900).Draw(m.rt, "pass")) * time.Millisecond)
 		for _, w := range m.workers {
-			w.lapse()
+			w.expireLease()
 		}
 	case 1, 2, 3:
-		m.look(o, m.workers[rapid.IntRange(0, len(m.workers)-1).Draw(m.rt, "worker")], rapid.IntRange(0, 5).Draw(m.rt, "lost look") == 0)
+		m.poll(o, m.workers[rapid.IntRange(0, len(m.workers)-1).Draw(m.rt, "worker")], rapid.IntRange(0, 5).Draw(m.rt, "lost look") == 0)
 	case 4, 5:
 		m.plan(o, true)
 	case 6:
 		m.commit(o, rapid.Bool().Draw(m.rt, "store answers"))
-		m.carryOutLate()
+		m.deliverLateOrders()
 	}
 }
 
 // failSomeRun ends a run by its own fault, or by its stop.
-func (m *lastingModel) failSomeRun() {
+func (m *longRunningModel) failSomeRun() {
 	for _, w := range m.workers {
 		if len(w.runs) == 0 {
 			continue
@@ -103,43 +103,43 @@
 	}
 }
 
-// carryOutLate carries out the orders that are on their way.
-func (m *lastingModel) carryOutLate() {
-	for _, act := range m.late {
+// deliverLateOrders carries out the orders that are on their way.
+func (m *longRunningModel) deliverLateOrders() {
+	for _, act := range m.lateOrders {
 		act()
 	}
-	m.late = nil
+	m.lateOrders = nil
 }
 
-// heal ends all faults. Some of the workers that are cut off have crashed for good.
-func (m *lastingModel) heal() {
-	m.carryOutLate()
-	m.healed = true
+// endFaults ends all faults. Some of the workers that are cut off have crashed for good.
+func (m *longRunningModel) endFaults() {
+	m.deliverLateOrders()
+	m.faultsEnded = true
 	for _, w := range m.workers {
-		if w.cut && rapid.Bool().Draw(m.rt, "gone for good") {
+		if w.repliesLost && rapid.Bool().Draw(m.rt, "gone for good") {
 			m.crash(w)
 		}
-		w.cut = false
+		w.repliesLost = false
 		if w.alive {
 			m.current().cell.register(w.roster, m.now)
 		}
 	}
 	for _, o := range m.owners[:len(m.owners)-1] {
-		o.lost = true
+		o.stopped = true
 	}
 }
 
-// calmRound lets some time pass in which everything is answered. Crashed workers are silent.
-func (m *lastingModel) calmRound() {
+// roundWithoutFaults lets some time pass in which everything is answered. Crashed workers are silent.
+func (m *longRunningModel) roundWithoutFaults() {
 	o := m.current()
-	m.now = m.now.Add(lastingTick)
+	m.now = m.now.Add(faultFreeTick)
 	for _, w := range m.workers {
 		if !w.alive {
 			o.cell.PollFailed(w.roster.ID, runner.ErrNoAnswer, m.now)
 			continue
 		}
-		w.lapse()
-		m.look(o, w, false)
+		w.expireLease()
+		m.poll(o, w, false)
 		for task, r := range w.runs {
 			if r.stop {
 				w.end(task, r.run, runner.Stopped)
@@ -150,16 +150,16 @@
 	m.commit(o, true)
 }
 
-// checkAway fails if a task has been away for long beside room for two.
-func (m *lastingModel) checkAway() {
-	room := m.room()
+// checkDowntime fails if a task has been away for long beside room for two.
+func (m *longRunningModel) checkDowntime() {
+	room := m.freeCores()
 	for _, r := range m.records {
 		if state, _ := m.current().cell.State(r.ID); state == job.Failed && m.crashedUnder(r) {
 			continue
 		}
 		wanted := 2
 		if r.Steps[0].MaxPerWorker > 0 {
-			wanted = roomyEnough
+			wanted = enoughFreeCores
 		}
 		for i := range r.Steps[0].Count {
 			m.checkTask(fmt.Sprintf("%s.0.0.%d", r.ID, i), room >= wanted)
@@ -167,22 +167,22 @@
 	}
 }
 
-func (m *lastingModel) checkTask(task string, roomy bool) {
-	if _, runs := m.open[task]; runs || !roomy {
-		delete(m.awaySince, task)
+func (m *longRunningModel) checkTask(task string, roomy bool) {
+	if _, runs := m.running[task]; runs || !roomy {
+		delete(m.downSince, task)
 		return
 	}
-	if m.awaySince[task].IsZero() {
-		m.awaySince[task] = m.now
+	if m.downSince[task].IsZero() {
+		m.downSince[task] = m.now
 	}
-	if away := m.now.Sub(m.awaySince[task]); away > longestAway {
+	if away := m.now.Sub(m.downSince[task]); away > maxDowntime {
 		list, _ := m.current().cell.DownTasks(len(m.records), m.now)
 		m.rt.Fatalf("%s was away for %v: %+v", task, away, list)
 	}
 }
 
-// room returns how many more tasks of one core the workers hold.
-func (m *lastingModel) room() int {
+// freeCores returns how many more tasks of one core the workers hold.
+func (m *longRunningModel) freeCores() int {
 	room := 0
 	for _, w := range m.workers {
 		if w.alive {
--- a/internal/cell/model_orders_test.go
+++ b/internal/cell/model_orders_test.go
@@ -24,7 +24,7 @@
 		switch order := order.(type) {
 		case StartOrder:
 			m.deliver(fate, order.Worker, func(w *modelWorker) error { return w.start(order.Start) },
-				func(err error) { o.cell.StartAnswered(order, runner.Answer{}, m.repeated(err), m.now) })
+				func(err error) { o.cell.StartAnswered(order, runner.Answer{}, m.retryOutcome(err), m.now) })
 		case StopOrder:
 			m.deliver(fate, order.Worker, func(w *modelWorker) error { return w.stop(order.Stop) },
 				func(err error) { o.cell.StopAnswered(order, runner.Answer{}, err, m.now) })
@@ -32,9 +32,9 @@
 	}
 }
 
-// repeated is how a start ends after one more attempt, if the first one had no answer:
+// retryOutcome is how a start ends after one more attempt, if the first one had no answer:
 // the worker may decline it and yet carry the first one out, before or after.
-func (m *model) repeated(err error) error {
+func (m *model) retryOutcome(err error) error {
 	if errors.Is(err, runner.ErrNoAnswer) && rapid.Bool().Draw(m.rt, "repeat declined") {
 		return &runner.Refusal{Reason: runner.Unhealthy, Repeated: true}
 	}
@@ -50,7 +50,7 @@
 			answer(runner.ErrIncarnationGone)
 			continue
 		}
-		if w.cut && fate < 4 {
+		if w.repliesLost && fate < 4 {
 			fate = 4
 		}
 		switch fate {
@@ -58,8 +58,8 @@
 			_ = act(w) // nobody hears of it
 			answer(runner.ErrNoAnswer)
 		case 5: // carried out late, no answer
-			m.late = append(m.late, func() { _ = act(w) }) // as above
-			m.orderLate()
+			m.lateOrders = append(m.lateOrders, func() { _ = act(w) }) // as above
+			m.noteLateOrder()
 			answer(runner.ErrNoAnswer)
 		case 6: // never carried out
 			answer(runner.ErrNoAnswer)
--- a/internal/cell/model_quotas_test.go
+++ b/internal/cell/model_quotas_test.go
@@ -9,23 +9,23 @@
 	"gentianstand/internal/resource"
 )
 
-// modelCapped is the workspace that has a quota.
-const modelCapped = "north"
+// quotaWorkspace is the workspace that has a quota.
+const quotaWorkspace = "north"
 
 // modelQuotas are the configurations of the model.
 type modelQuotas struct {
 	// caps are those of the workspace in tasks, by version less one.
 	caps []int
-	// late says that orders may still arrive, and lateFrom is the oldest version under
+	// orderPending says that orders may still arrive, and lateFrom is the oldest version under
 	// which one of them was given.
-	late     bool
-	lateFrom int
+	orderPending bool
+	lateFrom     int
 }
 
-// orderLate notes that an order is on its way under the versions in use.
-func (m *model) orderLate() {
-	if from := m.oldestConfig(); !m.quotas.late || from < m.quotas.lateFrom {
-		m.quotas.late, m.quotas.lateFrom = true, from
+// noteLateOrder notes that an order is on its way under the versions in use.
+func (m *model) noteLateOrder() {
+	if from := m.oldestConfig(); !m.quotas.orderPending || from < m.quotas.lateFrom {
+		m.quotas.orderPending, m.quotas.lateFrom = true, from
 	}
 }
 
@@ -36,19 +36,19 @@
 
 // configure tells an owner of the newest configuration, or leaves it behind.
 func (m *model) configure(o *modelOwner) {
-	if !m.healed && rapid.IntRange(0, 3).Draw(m.rt, "behind") == 0 {
+	if !m.faultsEnded && rapid.IntRange(0, 3).Draw(m.rt, "behind") == 0 {
 		return
 	}
 	o.config = len(m.quotas.caps)
 	limit := resource.Amount{MilliCPU: int64(m.quotas.caps[o.config-1]) * 1000}
-	o.cell.Configure(catalog.New(catalog.Content{Version: uint64(o.config), Workspaces: []catalog.Workspace{{Name: modelCapped, Cap: limit}}}))
+	o.cell.Configure(catalog.New(catalog.Content{Version: uint64(o.config), Workspaces: []catalog.Workspace{{Name: quotaWorkspace, Cap: limit}}}))
 }
 
 // oldestConfig is the oldest version under which an owner may act.
 func (m *model) oldestConfig() int {
 	oldest := len(m.quotas.caps)
 	for i, o := range m.owners {
-		if o.config > 0 && (i == len(m.owners)-1 || !o.lost) {
+		if o.config > 0 && (i == len(m.owners)-1 || !o.stopped) {
 			oldest = min(oldest, o.config)
 		}
 	}
@@ -58,11 +58,11 @@
 // checkQuota fails if a task that has just started brings its workspace over the highest cap
 // that may be in force.
 func (m *model) checkQuota(task string) {
-	if m.workspaceOf(task) != modelCapped {
+	if m.workspaceOf(task) != quotaWorkspace {
 		return
 	}
 	from := m.oldestConfig()
-	if m.quotas.late {
+	if m.quotas.orderPending {
 		from = min(from, m.quotas.lateFrom)
 	}
 	most := 0
@@ -70,8 +70,8 @@
 		most = max(most, limit)
 	}
 	running := 0
-	for open := range m.open {
-		if m.workspaceOf(open) == modelCapped {
+	for open := range m.running {
+		if m.workspaceOf(open) == quotaWorkspace {
 			running++
 		}
 	}
--- a/internal/cell/model_restart_test.go
+++ b/internal/cell/model_restart_test.go
@@ -10,18 +10,18 @@
 )
 
 func (m *model) newWorker(r roster.Worker) *modelWorker {
-	return &modelWorker{world: m, roster: r, alive: true, startedAt: m.now, runs: map[string]*modelRun{}, highest: map[string]uint64{}}
+	return &modelWorker{model: m, roster: r, alive: true, startedAt: m.now, runs: map[string]*modelRun{}, highest: map[string]uint64{}}
 }
 
 // crash ends a worker's life.
 func (m *model) crash(w *modelWorker) {
 	w.alive = false
-	for _, e := range w.ends[w.listed:] {
+	for _, e := range w.ends[w.reportedEnds:] {
 		// To everybody else the run ended with the worker.
 		m.crashes[e.Task]++
 	}
-	for _, e := range w.ends[:w.listed] {
-		m.heard = append(m.heard, e.Task)
+	for _, e := range w.ends[:w.reportedEnds] {
+		m.unstoredEnds = append(m.unstoredEnds, e.Task)
 	}
 	for task := range w.runs {
 		m.crashes[task]++
@@ -30,13 +30,13 @@
 	w.runs = map[string]*modelRun{}
 }
 
-// readStale has an owner read an entry of an incarnation that has ended. Only the last one
+// readStaleEntry has an owner read an entry of an incarnation that has ended. Only the last one
 // before the present one can still be read.
-func (m *model) readStale() {
-	if len(m.stale) == 0 {
+func (m *model) readStaleEntry() {
+	if len(m.staleEntries) == 0 {
 		return
 	}
-	r := m.stale[len(m.stale)-1]
+	r := m.staleEntries[len(m.staleEntries)-1]
 	m.rt.Logf("%v stale entry of %s, born %d", m.now.Sub(siteStart), r.ID, r.Incarnation)
 	m.current().cell.register(r, m.now)
 }
@@ -46,7 +46,7 @@
 func (m *model) restart(n int) {
 	m.crash(m.workers[n])
 	r := m.workers[n].roster
-	m.stale = append(m.stale, r)
+	m.staleEntries = append(m.staleEntries, r)
 	m.restarts++
 	born := siteStart.Add(time.Duration(m.restarts) * time.Second)
 	if rapid.IntRange(0, 3).Draw(m.rt, "clock set back") == 0 {
--- a/internal/cell/model_test.go
+++ b/internal/cell/model_test.go
@@ -33,43 +33,43 @@
 
 // modelOwner is one owner's term.
 type modelOwner struct {
-	cell  *Cell
-	lost  bool
-	since time.Time
+	cell    *Cell
+	stopped bool
+	since   time.Time
 	// config is the version of the configuration that it knows.
 	config int
 }
 
 // model is the world around the cells: workers, store, time.
 type model struct {
-	rt      *rapid.T
-	now     time.Time
-	workers []*modelWorker
-	lives   int
-	// healed says that nothing fails any more.
-	healed bool
+	rt             *rapid.T
+	now            time.Time
+	workers        []*modelWorker
+	workersCreated int
+	// faultsEnded says that nothing fails any more.
+	faultsEnded bool
 	// restarts counts the workers that started again under their ids.
 	restarts int
-	// heard are the tasks of ends that a worker which has crashed since had listed to the
+	// unstoredEnds are the tasks of ends that a worker which has crashed since had listed to the
 	// present owner, and that are not stored for certain. They are lost with the owner.
-	heard []string
-	// stale are the entries of incarnations that have ended.
-	stale   []roster.Worker
-	records []*job.Record
-	stored  map[string]*job.Progress
+	unstoredEnds []string
+	// staleEntries are the entries of incarnations that have ended.
+	staleEntries []roster.Worker
+	records      []*job.Record
+	stored       map[string]*job.Progress
 	// chunks are the stored known workers.
-	chunks map[int]WorkerChunk
-	owners []*modelOwner
-	late   []func()
-	open   map[string]string
-	done   map[string]bool
+	chunks     map[int]WorkerChunk
+	owners     []*modelOwner
+	lateOrders []func()
+	running    map[string]string
+	done       map[string]bool
 	// crashes counts the workers that crashed under a task.
 	crashes map[string]int
 	quotas  modelQuotas
 }
 
 func newModel(rt *rapid.T) *model {
-	m := &model{rt: rt, now: siteStart, stored: map[string]*job.Progress{}, chunks: map[int]WorkerChunk{}, open: map[string]string{}, done: map[string]bool{}, crashes: map[string]int{}}
+	m := &model{rt: rt, now: siteStart, stored: map[string]*job.Progress{}, chunks: map[int]WorkerChunk{}, running: map[string]string{}, done: map[string]bool{}, crashes: map[string]int{}}
 	for range 3 {
 		m.addWorker()
 	}
@@ -79,20 +79,20 @@
 }
 
 func (m *model) addWorker() {
-	m.lives++
-	r := usualWorker(fmt.Sprintf("w%d", m.lives))
+	m.workersCreated++
+	r := usualWorker(fmt.Sprintf("w%d", m.workersCreated))
 	r.Capacity.MilliCPU = 3000
 	m.workers = append(m.workers, m.newWorker(r))
 }
 
 func (m *model) runStarted(w *modelWorker, task string) {
-	if other, ok := m.open[task]; ok {
+	if other, ok := m.running[task]; ok {
 		m.rt.Fatalf("%s runs on %s and %s", task, other, w.roster.ID)
 	}
 	if m.done[task] {
 		m.rt.Fatalf("%s was started after its success was acknowledged", task)
 	}
-	m.open[task] = w.roster.ID
+	m.running[task] = w.roster.ID
 	m.checkQuota(task)
 	if used := int64(len(w.runs)) * 1000; used > w.roster.Capacity.MilliCPU {
 		m.rt.Fatalf("%s has %d of %d", w.roster.ID, used, w.roster.Capacity.MilliCPU)
@@ -100,8 +100,8 @@
 }
 
 func (m *model) runEnded(w *modelWorker, task string) {
-	if m.open[task] == w.roster.ID {
-		delete(m.open, task)
+	if m.running[task] == w.roster.ID {
+		delete(m.running, task)
 	}
 }
 
@@ -115,12 +115,12 @@
 // its process has ended.
 func (m *model) takeOver(earlierStopped bool) {
 	if n := len(m.owners); n > 0 {
-		m.owners[n-1].lost = earlierStopped
+		m.owners[n-1].stopped = earlierStopped
 	}
-	for _, task := range m.heard {
+	for _, task := range m.unstoredEnds {
 		m.crashes[task]++
 	}
-	m.heard = nil
+	m.unstoredEnds = nil
 	term := uint64(len(m.owners) + 1)
 	m.rt.Logf("%v term %d taken, earlier stopped %v", m.now.Sub(siteStart), term, earlierStopped)
 	c := New(Settings{Term: term, PreviousOwnerStopped: earlierStopped, Lease: 3500 * time.Millisecond, StopGrace: 900 * time.Millisecond, SpareWorkers: 1}, m.now, quietLog())
@@ -154,7 +154,7 @@
 func (m *model) anyOwner() *modelOwner {
 	if n := len(m.owners); n > 1 {
 		before := m.owners[n-2]
-		if !before.lost && m.now.Sub(m.current().since) < overtakenOwnerLimit && rapid.Bool().Draw(m.rt, "overtaken acts") {
+		if !before.stopped && m.now.Sub(m.current().since) < overtakenOwnerLimit && rapid.Bool().Draw(m.rt, "overtaken acts") {
 			return before
 		}
 	}
@@ -167,10 +167,10 @@
 	case 0:
 		m.now = m.now.Add(time.Duration(rapid.IntRange(5, 900).Draw(m.rt, "pass")) * time.Millisecond)
 		for _, w := range m.workers {
-			w.lapse()
+			w.expireLease()
 		}
 	case 1, 2, 3:
-		m.look(o, m.workers[rapid.IntRange(0, len(m.workers)-1).Draw(m.rt, "worker")], rapid.IntRange(0, 5).Draw(m.rt, "lost look") == 0)
+		m.poll(o, m.workers[rapid.IntRange(0, len(m.workers)-1).Draw(m.rt, "worker")], rapid.IntRange(0, 5).Draw(m.rt, "lost look") == 0)
 	case 4, 5:
 		m.plan(o, true)
 	case 6, 7:
@@ -180,18 +180,18 @@
 	case 9:
 		m.submit()
 	case 10:
-		m.rare()
+		m.rareFault()
 	case 11:
-		if len(m.late) > 0 {
-			act := m.late[0]
-			m.late = m.late[1:]
+		if len(m.lateOrders) > 0 {
+			act := m.lateOrders[0]
+			m.lateOrders = m.lateOrders[1:]
 			act()
-			m.quotas.late = len(m.late) > 0
+			m.quotas.orderPending = len(m.lateOrders) > 0
 		}
 	}
 }
 
-func (m *model) rare() {
+func (m *model) rareFault() {
 	switch rapid.IntRange(0, 8).Draw(m.rt, "rare") {
 	case 8:
 		m.changeQuota()
@@ -210,55 +210,55 @@
 			m.commit(m.current(), true)
 		}
 	case 7:
-		m.readStale()
+		m.readStaleEntry()
 	case 5, 6:
 		if n := rapid.IntRange(0, len(m.workers)-1).Draw(m.rt, "restart"); m.workers[n].alive {
 			m.restart(n)
 		}
 	case 3:
 		w := m.workers[rapid.IntRange(0, len(m.workers)-1).Draw(m.rt, "cut")]
-		w.cut = !w.cut
+		w.repliesLost = !w.repliesLost
 	case 4:
-		if n := len(m.owners); n > 1 && !m.owners[n-2].lost {
-			m.owners[n-2].lost = true
+		if n := len(m.owners); n > 1 && !m.owners[n-2].stopped {
+			m.owners[n-2].stopped = true
 			m.current().cell.PreviousOwnerStopped(m.now)
 		}
 	case 2:
 		m.now = m.now.Add(4 * time.Second)
 		for _, w := range m.workers {
-			w.lapse()
+			w.expireLease()
 		}
 	}
 }
 
-func (m *model) look(o *modelOwner, w *modelWorker, lost bool) {
+func (m *model) poll(o *modelOwner, w *modelWorker, lost bool) {
 	sentAt := m.now
 	target, look, ok := o.cell.NextPoll(w.roster.ID, sentAt)
 	if !ok {
 		return
 	}
-	report, err := w.look(target.Incarnation, look)
+	report, err := w.poll(target.Incarnation, look)
 	m.rt.Logf("%v term %d: look at %s lost %v: %v %v", m.now.Sub(siteStart), o.cell.settings.Term, w.roster.ID, lost, report, err)
-	if (lost || w.cut) && w.alive {
+	if (lost || w.repliesLost) && w.alive {
 		err = runner.ErrNoAnswer
 	}
 	m.now = m.now.Add(2 * time.Millisecond)
-	if err == nil && !m.healed && rapid.IntRange(0, 15).Draw(m.rt, "restarts behind its report") == 0 {
+	if err == nil && !m.faultsEnded && rapid.IntRange(0, 15).Draw(m.rt, "restarts behind its report") == 0 {
 		m.restart(slices.Index(m.workers, w))
 	}
 	if err != nil {
 		o.cell.PollFailed(w.roster.ID, err, m.now)
 		return
 	}
-	w.listed = len(report.Ended)
+	w.reportedEnds = len(report.Ended)
 	o.cell.Reported(w.roster.ID, report, sentAt, m.now)
 	for _, id := range o.cell.UnknownJobs() {
-		m.find(o, id)
+		m.lookUpJob(o, id)
 	}
 }
 
-// find answers an owner's question to the store about a job.
-func (m *model) find(o *modelOwner, id string) {
+// lookUpJob answers an owner's question to the store about a job.
+func (m *model) lookUpJob(o *modelOwner, id string) {
 	for _, r := range m.records {
 		if r.ID == id {
 			o.cell.Load(r, m.stored[id])
@@ -284,7 +284,7 @@
 			m.chunks[chunk.Number] = chunk
 		}
 		if len(o.cell.dirtyJobs) == 0 && len(o.cell.dirtyChunks.numbers) == 0 {
-			m.heard = nil
+			m.unstoredEnds = nil
 		}
 	}
 	if !stored || !answers {
--- a/internal/cell/model_worker_test.go
+++ b/internal/cell/model_worker_test.go
@@ -11,24 +11,24 @@
 
 // modelWorker plays one life of a worker exactly as the platform describes it.
 type modelWorker struct {
-	world  *model
+	model  *model
 	roster roster.Worker
 	alive  bool
 	// startedAt is when its clock showed 0.
 	startedAt time.Time
-	// cut says that what it answers gets lost.
-	cut      bool
-	token    uint64
-	leaseEnd time.Duration
-	runs     map[string]*modelRun
-	highest  map[string]uint64
-	ends     []runner.End
-	// listed is how many of the ends an answer has named.
-	listed   int
-	sequence uint64
-	// lapsedThrough is the last end before the lease was over. The platform does
+	// repliesLost says that what it answers gets lost.
+	repliesLost bool
+	token       uint64
+	leaseEnd    time.Duration
+	runs        map[string]*modelRun
+	highest     map[string]uint64
+	ends        []runner.End
+	// reportedEnds is how many of the ends an answer has named.
+	reportedEnds int
+	sequence     uint64
+	// expiredThrough is the last end before the lease was over. The platform does
 	// not count such ends as acknowledged: the task may have been started again.
-	lapsedThrough uint64
+	expiredThrough uint64
 }
 
 type modelRun struct {
@@ -38,30 +38,30 @@
 
 // clock is the worker's own clock, 2% slow.
 func (w *modelWorker) clock() time.Duration {
-	return time.Duration(float64(w.world.now.Sub(w.startedAt)) * (1 - maxClockDrift)).Truncate(time.Millisecond)
+	return time.Duration(float64(w.model.now.Sub(w.startedAt)) * (1 - maxClockDrift)).Truncate(time.Millisecond)
 }
 
-// lapse ends everything when the lease is over.
-func (w *modelWorker) lapse() {
+// expireLease ends everything when the lease is over.
+func (w *modelWorker) expireLease() {
 	if w.clock() < w.leaseEnd {
 		return
 	}
 	for _, task := range slices.Sorted(maps.Keys(w.runs)) {
 		w.end(task, w.runs[task].run, runner.LeaseExpired)
 	}
-	w.lapsedThrough = w.sequence
+	w.expiredThrough = w.sequence
 }
 
 func (w *modelWorker) end(task string, run uint64, how runner.EndKind) {
 	delete(w.runs, task)
 	w.sequence++
 	w.ends = append(w.ends, runner.End{Sequence: w.sequence, Task: task, Run: run, Kind: how})
-	w.world.runEnded(w, task)
+	w.model.runEnded(w, task)
 }
 
-// look answers a look that was meant for one incarnation.
-func (w *modelWorker) look(born runner.Incarnation, look runner.Poll) (runner.Report, error) {
-	w.lapse()
+// poll answers a poll that was meant for one incarnation.
+func (w *modelWorker) poll(born runner.Incarnation, look runner.Poll) (runner.Report, error) {
+	w.expireLease()
 	if !w.alive {
 		return runner.Report{}, runner.ErrIncarnationGone
 	}
@@ -76,11 +76,11 @@
 		w.leaseEnd = max(w.leaseEnd, min(*look.LeaseUntil, w.clock()+6*time.Second))
 	}
 	for len(w.ends) > 0 && w.ends[0].Sequence <= look.Acknowledged {
-		if w.ends[0].Sequence > w.lapsedThrough {
-			w.world.acknowledged(w.ends[0])
+		if w.ends[0].Sequence > w.expiredThrough {
+			w.model.acknowledged(w.ends[0])
 		}
 		w.ends = w.ends[1:]
-		w.listed = max(0, w.listed-1)
+		w.reportedEnds = max(0, w.reportedEnds-1)
 	}
 	report := runner.Report{Incarnation: w.roster.Incarnation, Clock: w.clock(), Ended: append([]runner.End(nil), w.ends...)}
 	for task, r := range w.runs {
@@ -90,7 +90,7 @@
 }
 
 func (w *modelWorker) start(s runner.Start) error {
-	w.lapse()
+	w.expireLease()
 	if !w.alive {
 		return runner.ErrIncarnationGone
 	}
@@ -110,12 +110,12 @@
 	}
 	w.highest[s.Task] = s.Run
 	w.runs[s.Task] = &modelRun{run: s.Run}
-	w.world.runStarted(w, s.Task)
+	w.model.runStarted(w, s.Task)
 	return nil
 }
 
 func (w *modelWorker) stop(s runner.Stop) error {
-	w.lapse()
+	w.expireLease()
 	if !w.alive {
 		return runner.ErrIncarnationGone
 	}
--- a/internal/cell/near_test.go
+++ b/internal/cell/near_test.go
@@ -35,17 +35,17 @@
 }
 
 // Failure: a fifth of the tasks with their data on one rack take three times as long.
-func TestStageWaitsForRoomNearItsData(t *testing.T) {
+func TestStageWaitsForCapacityNearItsData(t *testing.T) {
 	s := twoRacks(t)
 	first := s.fill()
 	data := step(1)
 	data.DataRack = "r1"
 	s.cell.Add(s.record(2, data), true)
-	if starts := s.look("near", "far"); len(starts) > 0 {
+	if starts := s.reportAndPlan("near", "far"); len(starts) > 0 {
 		t.Fatalf("started far from its data at once: %v", starts)
 	}
 	s.finish(first, runner.Done)
-	for _, o := range s.look("near", "far") {
+	for _, o := range s.reportAndPlan("near", "far") {
 		if o.Worker.ID != "near" {
 			t.Errorf("started on %s", o.Worker.ID)
 		}
@@ -63,7 +63,7 @@
 	s.cell.Add(s.record(2, data), true)
 	began := s.now
 	for s.now.Sub(began) < 2*data.Estimate {
-		for _, o := range s.look("near", "far") {
+		for _, o := range s.reportAndPlan("near", "far") {
 			if waited := s.now.Sub(began); o.Worker.ID != "far" || waited < data.Estimate/2 {
 				t.Errorf("started on %s after %v", o.Worker.ID, waited)
 			}
--- a/internal/cell/overload_test.go
+++ b/internal/cell/overload_test.go
@@ -17,14 +17,14 @@
 	// accepted are the jobs that were taken in, refused how many were not.
 	accepted map[string]time.Time
 	refused  map[string]int
-	// inTime counts, by the second in which they ended, the tasks of jobs that were of use.
-	inTime map[int]int
-	seen   map[string]bool
+	// usefulWork counts, by the second in which they ended, the tasks of jobs that were of use.
+	usefulWork map[int]int
+	seen       map[string]bool
 }
 
 func newOverload(t *testing.T, refuse bool) *overload {
 	return &overload{load: newLoad(t, 24), book: &admission.Controller{}, refuse: refuse,
-		accepted: map[string]time.Time{}, refused: map[string]int{}, inTime: map[int]int{}, seen: map[string]bool{}}
+		accepted: map[string]time.Time{}, refused: map[string]int{}, usefulWork: map[int]int{}, seen: map[string]bool{}}
 }
 
 // offer hands a job in if it is admitted.
@@ -38,9 +38,9 @@
 	o.book.Update(o.cell.Backlogs(o.now), o.now)
 }
 
-// play lets time pass under some times the load that fills the workers: lookups of 3
+// runAtLoad lets time pass under some times the load that fills the workers: lookups of 3
 // cores for half a second and letters of 12 cores for six seconds.
-func (o *overload) play(d time.Duration, times float64) {
+func (o *overload) runAtLoad(d time.Duration, times float64) {
 	o.run(d, func() {
 		// 24 workers of 16 cores: 384 cores. Lookups ask for a quarter, letters for the rest.
 		if o.rnd.Float64() < times*0.25*384/(2*6*0.5)*loadTick.Seconds() {
@@ -56,7 +56,7 @@
 			o.seen[id] = true
 			r := o.cell.jobs[id].record
 			if at.Sub(o.accepted[id]) <= 3*r.Objective() {
-				o.inTime[int(at.Sub(siteStart)/time.Second)] += int(r.Steps[0].Need.MilliCPU*int64(r.Steps[0].Count)) * int(r.Steps[0].Estimate/time.Millisecond)
+				o.usefulWork[int(at.Sub(siteStart)/time.Second)] += int(r.Steps[0].Need.MilliCPU*int64(r.Steps[0].Count)) * int(r.Steps[0].Estimate/time.Millisecond)
 			}
 		}
 	})
@@ -66,7 +66,7 @@
 func (o *overload) goodput(from, to time.Time) float64 {
 	sum, seconds := 0, 0
 	for s := int(from.Sub(siteStart) / time.Second); s < int(to.Sub(siteStart)/time.Second); s++ {
-		sum += o.inTime[s]
+		sum += o.usefulWork[s]
 		seconds++
 	}
 	return float64(sum) / float64(seconds)
@@ -74,13 +74,13 @@
 
 // Failure: callers' jobs are accepted, and end minutes later or when nobody waits any
 // more.
-func TestLoadBeyondTheWorkersIsRefusedAndTheRestIsInTime(t *testing.T) {
+func TestLoadBeyondCapacityIsRefusedAndTheRestIsInTime(t *testing.T) {
 	for _, times := range []float64{2, 5} {
 		o := newOverload(t, true)
-		o.play(20*time.Second, 0.9)
+		o.runAtLoad(20*time.Second, 0.9)
 		calm := o.goodput(o.now.Add(-10*time.Second), o.now)
 		began := o.now
-		o.play(40*time.Second, times)
+		o.runAtLoad(40*time.Second, times)
 		over := o.goodput(began.Add(10*time.Second), o.now)
 		if over < 0.8*calm {
 			t.Errorf("%v times the load: work in time falls to %.2f of what it was", times, over/calm)
@@ -92,7 +92,7 @@
 			t.Errorf("%v times the load: %d lookups were refused, which fit", times, o.refused["lookup"])
 		}
 		normal := o.now
-		o.play(45*time.Second, 0.5)
+		o.runAtLoad(45*time.Second, 0.5)
 		if n := o.open(normal); n > 0 {
 			t.Errorf("%v times the load: %d jobs of that time are not done 45 s after it", times, n)
 		}
@@ -102,7 +102,7 @@
 				after = append(after, id)
 			}
 		}
-		if got := share(o.waits(after), 0.95); got > 500*time.Millisecond {
+		if got := percentile(o.waits(after), 0.95); got > 500*time.Millisecond {
 			t.Errorf("%v times the load: 5 s after it 95 of 100 lookups still wait up to %v", times, got)
 		}
 	}
@@ -121,10 +121,10 @@
 
 // Load as above. Without a limit the accepted work waits for minutes; this is what the
 // limit is for.
-func TestLoadBeyondTheWorkersPilesUpWithoutALimit(t *testing.T) {
+func TestLoadBeyondCapacityQueuesUpWithoutALimit(t *testing.T) {
 	o := newOverload(t, false)
-	o.play(20*time.Second, 0.9)
-	o.play(40*time.Second, 5)
+	o.runAtLoad(20*time.Second, 0.9)
+	o.runAtLoad(40*time.Second, 5)
 	backlogs := o.cell.Backlogs(o.now.Add(backlogPeriod))
 	longest := time.Duration(0)
 	for _, b := range backlogs {
@@ -136,7 +136,7 @@
 }
 
 // Failure: an instance refuses jobs although workers are idle.
-func TestWorkThatWaitsForNoRoomIsNoBacklog(t *testing.T) {
+func TestImpossibleWorkIsNoBacklog(t *testing.T) {
 	l := newLoad(t, 8)
 	huge := lookup(50)
 	huge.Need.MilliCPU = 1_000_000
--- a/internal/cell/owners_in_a_row_test.go
+++ b/internal/cell/owners_in_a_row_test.go
@@ -9,8 +9,8 @@
 	"gentianstand/internal/runner"
 )
 
-// silentFor lets time pass while a worker answers no look, and the others do.
-func (s *site) silentFor(id string, d time.Duration, others ...string) map[string]StartOrder {
+// advanceUnresponsive lets time pass while a worker answers no look, and the others do.
+func (s *site) advanceUnresponsive(id string, d time.Duration, others ...string) map[string]StartOrder {
 	started := map[string]StartOrder{}
 	for end := s.now.Add(d); s.now.Before(end); {
 		if _, _, ok := s.cell.NextPoll(id, s.now); ok {
@@ -19,7 +19,7 @@
 		for _, other := range others {
 			s.report(other)
 		}
-		s.pass(watchPeriod)
+		s.advance(watchPeriod)
 		for task, o := range s.plan() {
 			s.confirm(o)
 			started[task] = o
@@ -45,7 +45,7 @@
 }
 
 // Failure: a task runs twice after two take-overs beside a worker that is cut off.
-func TestAnOwnerThatNeverHeardAWorkerDoesNotTellTheNextOneWhatRunsThere(t *testing.T) {
+func TestOwnerWithoutAReportFromAWorkerStoresNoRunsOfIt(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	s.report("a")
 	s.commit()
@@ -58,11 +58,11 @@
 	s.commit()
 	lease := s.now.Add(s.cell.settings.Lease)
 	s.takeOver(r, "a", "b")
-	if again, ok := s.silentFor("a", time.Second, "b")[task]; ok {
+	if again, ok := s.advanceUnresponsive("a", time.Second, "b")[task]; ok {
 		t.Fatalf("run %d was started after one take-over", again.Start.Run)
 	}
 	s.takeOver(r, "a", "b")
-	if again, ok := s.silentFor("a", lease.Sub(s.now), "b")[task]; ok {
+	if again, ok := s.advanceUnresponsive("a", lease.Sub(s.now), "b")[task]; ok {
 		t.Errorf("run %d was started on %s while run %d may go on on a", again.Start.Run, again.Worker.ID, first.Start.Run)
 	}
 }
@@ -75,8 +75,8 @@
 	s.takeOver(r, workers...)
 }
 
-// lastingOn has the first owner start a lasting task on a worker.
-func (s *site) lastingOn(id string) (r *job.Record, task string) {
+// startLongRunningOn has the first owner start a lasting task on a worker.
+func (s *site) startLongRunningOn(id string) (r *job.Record, task string) {
 	lasting := step(1)
 	lasting.LongRunning = true
 	r = s.record(1, lasting)
@@ -89,9 +89,9 @@
 	return r, task
 }
 
-// startedAfter returns how long it takes until a task is started while a worker is silent
+// timeToStart returns how long it takes until a task is started while a worker is silent
 // and owners hand the cell over, the first time after some time and then again and again.
-func (s *site) startedAfter(task, silent string, first, again time.Duration, r *job.Record) time.Duration {
+func (s *site) timeToStart(task, silent string, first, again time.Duration, r *job.Record) time.Duration {
 	began := s.now
 	next := began.Add(first)
 	for s.now.Sub(began) < 20*time.Second {
@@ -99,7 +99,7 @@
 			s.handOver(r, "a", "b")
 			next = s.now.Add(again)
 		}
-		if _, ok := s.silentFor(silent, watchPeriod, "b")[task]; ok {
+		if _, ok := s.advanceUnresponsive(silent, watchPeriod, "b")[task]; ok {
 			break
 		}
 	}
@@ -107,16 +107,16 @@
 }
 
 // Failure: a lasting task of a crashed worker stays away as long as owners hand the cell over.
-func TestLeaseOfASilentWorkerDoesNotBeginAnewWithEachHandOver(t *testing.T) {
+func TestLeaseOfAnUnresponsiveWorkerIsNotExtendedByHandOvers(t *testing.T) {
 	const losses = 500 * time.Millisecond
 	for name, first := range map[string]time.Duration{"heard before": time.Second, "never heard": 0} {
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
-			r, task := s.lastingOn("a")
+			r, task := s.startLongRunningOn("a")
 			s.cell.settings.PreviousOwnerStopped = true
 			limit := s.cell.earlierLeaseLimit() + losses
 			lease := time.Duration(float64(s.cell.settings.Lease) / (1 - maxClockDrift))
-			took := s.startedAfter(task, "a", first, 2*time.Second, r)
+			took := s.timeToStart(task, "a", first, 2*time.Second, r)
 			if took > limit {
 				t.Errorf("started after %v, want %v at most", took, limit)
 			}
@@ -129,23 +129,23 @@
 
 // Failure: a task runs twice, as an owner that was lost had extended a lease of which the one
 // before it had told the end.
-func TestEndOfALeaseCountsOnlyAsTheLastOwnerToldIt(t *testing.T) {
+func TestStoredLeaseEndCountsOnlyFromTheLastOwner(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
-	r, task := s.lastingOn("a")
-	s.silentFor("a", 2*time.Second, "b")
+	r, task := s.startLongRunningOn("a")
+	s.advanceUnresponsive("a", 2*time.Second, "b")
 	s.handOver(r, "a", "b")
 	s.report("a")
 	s.report("a")
 	lease := s.now.Add(s.cell.settings.Lease)
 	s.takeOver(r, "a", "b")
-	if again, ok := s.silentFor("a", lease.Sub(s.now), "b")[task]; ok {
+	if again, ok := s.advanceUnresponsive("a", lease.Sub(s.now), "b")[task]; ok {
 		t.Errorf("run %d was started on %s within the lease on a", again.Start.Run, again.Worker.ID)
 	}
 }
 
 // Failure: a lasting task under which workers were lost stays away as long as owners follow
 // one another.
-func TestPauseOfACrashHistoryDoesNotBeginAnewWithEachOwner(t *testing.T) {
+func TestCrashBackoffIsNotRestartedByANewOwner(t *testing.T) {
 	s := newSite(t, 1, usualWorker("b"))
 	lasting := step(1)
 	lasting.LongRunning = true
@@ -163,7 +163,7 @@
 			t.Fatalf("not started %v after the last worker was lost", s.now.Sub(lostAt))
 		}
 		stored := encodeAndDecode(t, s.cell.jobs[r.ID].progress())
-		s.pass(shortBackoff / 2)
+		s.advance(shortBackoff / 2)
 		settings := s.cell.settings
 		settings.Term++
 		s.cell = New(settings, s.now, quietLog())
@@ -194,7 +194,7 @@
 
 // Failure: a lasting task stays away for an hour after a take-over, as the earlier owner's
 // time of day was an hour ahead.
-func TestPauseOfACrashHistoryIsBoundedWhereClocksJump(t *testing.T) {
+func TestCrashBackoffIsBoundedWhenClocksJump(t *testing.T) {
 	for name, c := range map[string]struct{ ahead, want time.Duration }{
 		"an hour ahead":  {time.Hour, shortBackoff},
 		"an hour behind": {-time.Hour, 0},
--- a/internal/cell/pacing_test.go
+++ b/internal/cell/pacing_test.go
@@ -7,9 +7,9 @@
 	"gentianstand/internal/runner"
 )
 
-// besideServing starts a serving task with a tail target of 100 ms and a task that
+// startServingAndBestEffort starts a serving task with a tail target of 100 ms and a task that
 // fills beside it on one worker, and returns their starts.
-func besideServing(t *testing.T, s *site) (serving, filling StartOrder) {
+func startServingAndBestEffort(t *testing.T, s *site) (serving, filling StartOrder) {
 	t.Helper()
 	s.report("a")
 	serve, fill := step(1), step(1)
@@ -23,11 +23,11 @@
 	return starts["0000000000000001.0.0.0"], starts["0000000000000001.0.1.0"]
 }
 
-// tail has the serving task report the tail of its response times, and returns the
+// reportTail has the serving task report the reportTail of its response times, and returns the
 // pace that is ordered then, or -1.
-func (s *site) tail(serving, filling StartOrder, ms float64) int {
+func (s *site) reportTail(serving, filling StartOrder, ms float64) int {
 	s.t.Helper()
-	s.pass(throttleInterval)
+	s.advance(throttleInterval)
 	s.runs["a"] = []runner.RunState{
 		{Task: serving.Start.Task, Run: serving.Start.Run, Percent: 100, Gauge: ms},
 		{Task: filling.Start.Task, Run: filling.Start.Run, Percent: 10},
@@ -44,32 +44,32 @@
 }
 
 // Failure: a service misses its response times for four seconds on end.
-func TestFillerIsSlowedBeforeTheTargetIsMissedAndStoppedWhenItIs(t *testing.T) {
+func TestBestEffortTaskIsThrottledBeforeTheTargetIsMissed(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
-	serving, filling := besideServing(t, s)
-	if pace := s.tail(serving, filling, 40); pace != -1 {
+	serving, filling := startServingAndBestEffort(t, s)
+	if pace := s.reportTail(serving, filling, 40); pace != -1 {
 		t.Errorf("paced to %d at 40%% of the target", pace)
 	}
-	if pace := s.tail(serving, filling, 85); pace != 50 {
+	if pace := s.reportTail(serving, filling, 85); pace != 50 {
 		t.Errorf("paced to %d at 85%% of the target, want half", pace)
 	}
-	if pace := s.tail(serving, filling, 120); pace != 0 {
+	if pace := s.reportTail(serving, filling, 120); pace != 0 {
 		t.Errorf("paced to %d above the target, want 0", pace)
 	}
 }
 
 // Failure: filling work stands still for good, and is late.
-func TestFillerGoesOnWhenTheTailIsWell(t *testing.T) {
+func TestBestEffortTaskContinuesWhenTheTailRecovers(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
-	serving, filling := besideServing(t, s)
-	s.tail(serving, filling, 120)
+	serving, filling := startServingAndBestEffort(t, s)
+	s.reportTail(serving, filling, 120)
 	for want := speedUpStep; want <= 60; want += speedUpStep {
-		if pace := s.tail(serving, filling, 30); pace != want {
+		if pace := s.reportTail(serving, filling, 30); pace != want {
 			t.Fatalf("paced to %d, want %d", pace, want)
 		}
 	}
 	s.finish(serving, runner.Failed)
-	s.pass(throttleInterval)
+	s.advance(throttleInterval)
 	s.report("a")
 	// The serving task is not started again beside the filling one.
 	s.cell.SetEvacuating([]string{"a"})
@@ -83,16 +83,16 @@
 }
 
 // Failure: a filling task is taken as paced although the worker never heard of it.
-func TestUnansweredPaceIsSentAgain(t *testing.T) {
+func TestUnansweredThrottleOrderIsResent(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
-	serving, filling := besideServing(t, s)
-	s.tail(serving, filling, 85)
+	serving, filling := startServingAndBestEffort(t, s)
+	s.reportTail(serving, filling, 85)
 	for _, o := range s.orders {
 		if pace, ok := o.(ThrottleOrder); ok {
 			s.cell.ThrottleAnswered(pace, runner.ErrNoAnswer, s.now)
 		}
 	}
-	if pace := s.tail(serving, filling, 85); pace < 0 || pace > 50 {
+	if pace := s.reportTail(serving, filling, 85); pace < 0 || pace > 50 {
 		t.Errorf("paced to %d after an order without an answer", pace)
 	}
 }
--- a/internal/cell/parking_test.go
+++ b/internal/cell/parking_test.go
@@ -19,12 +19,12 @@
 	}
 	settings := Settings{Term: 1, Lease: 3500 * time.Millisecond, StopGrace: 900 * time.Millisecond, SpareWorkers: spare}
 	s := newSiteWith(t, settings, all...)
-	s.hear()
+	s.reportAll()
 	return s
 }
 
-// hear has every worker report that the owner looks at.
-func (s *site) hear() {
+// reportAll has every worker report that the owner looks at.
+func (s *site) reportAll() {
 	for _, id := range s.cell.WorkersToPoll() {
 		s.report(id)
 	}
@@ -46,7 +46,7 @@
 			n++
 		}
 		s.commit()
-		s.hear()
+		s.reportAll()
 	}
 	return n
 }
@@ -77,7 +77,7 @@
 }
 
 // Failure: letters stand still beside thousands of idle workers.
-func TestTheUrgentReserveIsNoRoomForOthers(t *testing.T) {
+func TestUrgentReserveIsNoFreeCapacityForOthers(t *testing.T) {
 	s := idleSite(t, 20, 1)
 	small := s.record(1, step(15))
 	s.cell.Add(small, true)
@@ -105,18 +105,18 @@
 			}
 		}
 		s.commit()
-		s.hear()
+		s.reportAll()
 	}
 }
 
 // Failure: a new owner places nothing for seconds on a site of thousands of workers,
 // and leases run out meanwhile.
-func TestANewOwnerHearsOnlyWorkersInUse(t *testing.T) {
+func TestNewOwnerPollsOnlyWorkersInUse(t *testing.T) {
 	before := idleSite(t, 20, 2)
 	for range 4 {
 		before.startAll()
-		before.pass(time.Second)
-		before.hear()
+		before.advance(time.Second)
+		before.reportAll()
 	}
 	chunks := map[int]WorkerChunk{}
 	for id := range before.cell.workers {
@@ -132,7 +132,7 @@
 	if got := len(s.cell.WorkersToPoll()); got > 4 {
 		t.Errorf("%d workers are looked at, want the two in store and the two that are kept ready", got)
 	}
-	s.hear()
+	s.reportAll()
 	s.plan()
 	if s.cell.recovering {
 		t.Error("not recovered although all workers in use were heard")
@@ -150,15 +150,15 @@
 			s.end(id, r.Task, r.Run, "done")
 		}
 	}
-	s.pass(parkAfter / 2)
-	s.hear()
+	s.advance(parkAfter / 2)
+	s.reportAll()
 	s.startAll()
 	if got := len(s.cell.WorkersToPoll()); got != awake {
 		t.Errorf("%d of %d workers are awake after %v", got, awake, parkAfter/2)
 	}
 	for range 4 {
-		s.pass(parkPeriod)
-		s.hear()
+		s.advance(parkPeriod)
+		s.reportAll()
 		s.startAll()
 	}
 	if got := len(s.cell.WorkersToPoll()); got != 1 {
@@ -175,15 +175,15 @@
 		}
 	}
 	s.commit()
-	s.hear()
+	s.reportAll()
 	s.plan()
 	for id := range s.cell.workers {
 		s.cell.dirtyChunks.mark(id)
 	}
 	underWay := s.cell.NextCommit(100)
 	for range 4 {
-		s.pass(parkPeriod)
-		s.hear()
+		s.advance(parkPeriod)
+		s.reportAll()
 		s.plan()
 	}
 	if got := len(s.cell.WorkersToPoll()); got != 1 {
@@ -193,7 +193,7 @@
 	s.commit()
 	s.cell.Add(s.record(1, wide(2)), true)
 	started := len(s.plan())
-	s.hear()
+	s.reportAll()
 	if started += len(s.plan()); started != 1 {
 		t.Errorf("%d starts before the woken worker is stored, want 1", started)
 	}
--- a/internal/cell/questions_test.go
+++ b/internal/cell/questions_test.go
@@ -6,7 +6,7 @@
 )
 
 // Failure: work stands still beside workers that are four fifths free.
-func TestQuestionsAboutFullWorkersLeaveLanesToOthers(t *testing.T) {
+func TestQuestionsAboutFullWorkersLeaveSlotsToOthers(t *testing.T) {
 	other := usualWorker("b")
 	other.Service = "other"
 	s := newSite(t, 1, usualWorker("a"), other)
--- a/internal/cell/quota_owners_test.go
+++ b/internal/cell/quota_owners_test.go
@@ -7,7 +7,7 @@
 
 // Failure: a lasting task of a workspace that uses its quota stays away as long as owners hand
 // the cell over beside a worker that does not answer.
-func TestQuotaDoesNotCountASilentWorkerAnewWithEachHandOver(t *testing.T) {
+func TestHandOversDoNotProlongTheQuotaUseOfAnUnresponsiveWorker(t *testing.T) {
 	const again = 2 * time.Second
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	s.configure(1, "north", cores(1))
@@ -29,7 +29,7 @@
 			s.configure(1, "north", cores(1))
 			next = s.now.Add(again)
 		}
-		if _, ok := s.silentFor("a", watchPeriod, "b")[task]; ok {
+		if _, ok := s.advanceUnresponsive("a", watchPeriod, "b")[task]; ok {
 			break
 		}
 	}
--- a/internal/cell/quotas_test.go
+++ b/internal/cell/quotas_test.go
@@ -132,7 +132,7 @@
 	over.Advice = &job.AdviceCost{PerCall: time.Millisecond, TicketTTL: time.Minute}
 	s.cell.Add(over, true)
 	for range 10 {
-		s.pass(100 * time.Millisecond)
+		s.advance(100 * time.Millisecond)
 		s.report("w1")
 		s.report("w2")
 		s.plan()
@@ -147,7 +147,7 @@
 	if len(waits) != 1 || waits[0].Workspace != "north" || waits[0].Tasks != 6 || waits[0].Used.MilliCPU != 3000 || waits[0].Version != 1 {
 		t.Errorf("waits %+v", waits)
 	}
-	s.pass(longWaitAfter)
+	s.advance(longWaitAfter)
 	reasons := map[WaitReason]int{}
 	for _, w := range s.cell.LongWaits(s.now) {
 		reasons[w.Reason]++
@@ -159,7 +159,7 @@
 
 // Failure: after a take-over a workspace gets its quota twice, as runs go on where the new
 // owner has not heard yet.
-func TestTakeOverCountsWhatItCannotHear(t *testing.T) {
+func TestTakeOverCountsUnreportedRuns(t *testing.T) {
 	s := newSite(t, 2, usualWorker("w1"), usualWorker("w2"))
 	s.configure(1, "north", cores(3))
 	s.cell.Load(s.recordOf("north", 1, step(3)), &job.Progress{})
@@ -170,7 +170,7 @@
 	if starts := s.plan(); len(starts) != 0 {
 		t.Errorf("%d starts while three runs may go on unseen", len(starts))
 	}
-	s.pass(watchPeriod)
+	s.advance(watchPeriod)
 	s.report("w2")
 	if starts := s.plan(); len(starts) != 3 {
 		t.Errorf("%d starts after all workers were heard, want 3", len(starts))
--- a/internal/cell/recover_test.go
+++ b/internal/cell/recover_test.go
@@ -10,7 +10,7 @@
 
 // Failure: a task was started a fourth time although its queue allows three failed
 // runs.
-func TestFailuresHeardOutOfOrderAllCount(t *testing.T) {
+func TestFailuresReportedOutOfOrderAllCount(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"), usualWorker("b"))
 	r := s.record(1, step(1))
 	s.cell.Load(r, nil)
@@ -36,7 +36,7 @@
 }
 
 // Failure: a task failed once and counted twice.
-func TestFailureStoredByAnEarlierOwnerCountsOnce(t *testing.T) {
+func TestFailureStoredByThePreviousOwnerCountsOnce(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	r := s.record(1, step(1))
 	s.cell.Add(r, true)
@@ -57,7 +57,7 @@
 }
 
 // Failure: a task ran on two workers at once after a take-over.
-func TestTasksOfOlderJobsWaitForSilentWorkers(t *testing.T) {
+func TestTasksOfOlderJobsWaitForUnresponsiveWorkers(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"), usualWorker("b"))
 	older := s.record(1, step(1))
 	s.cell.Load(older, nil)
@@ -70,12 +70,12 @@
 	if _, ok := s.plan()[newer.ID+".0.0.0"]; !ok {
 		t.Fatal("a job of this owner's own time was held back, too")
 	}
-	s.pass(s.cell.earlierLeaseLimit() - 100*time.Millisecond)
+	s.advance(s.cell.earlierLeaseLimit() - 100*time.Millisecond)
 	s.report("a")
 	if _, ok := s.plan()[older.ID+".0.0.0"]; ok {
 		t.Fatal("a task of an older job was started before the silent worker's lease must have ended")
 	}
-	s.pass(200 * time.Millisecond)
+	s.advance(200 * time.Millisecond)
 	s.report("a")
 	if _, ok := s.plan()[older.ID+".0.0.0"]; !ok {
 		t.Error("a task of an older job was not started although no lease can be left")
@@ -101,7 +101,7 @@
 }
 
 // Failure: a task that was done ran again just after a take-over.
-func TestEndOfAJobThatTheOverTakenOwnerBeganIsKept(t *testing.T) {
+func TestEndOfAJobStartedByTheSupersededOwnerIsKept(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"), usualWorker("b"))
 	r := s.record(1, step(1))
 	task := r.ID + ".0.0.0"
@@ -150,7 +150,7 @@
 
 // Failure: a task ran on two workers at once, and one worker got more than it has, just
 // after a take-over.
-func TestRunOfAMissingJobIsBookedBeforeAnythingIsPlaced(t *testing.T) {
+func TestRunOfAMissingJobIsAccountedBeforePlacement(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"), usualWorker("b"))
 	r := s.record(1, step(1))
 	task := r.ID + ".0.0.0"
@@ -172,14 +172,14 @@
 
 // Failure: tasks of a lost worker are started 5.3 s after a crash of the owner, although
 // the owner's new process has shown itself after 0.6 s.
-func TestRecoveryReckonsWithTheEarlierOwnerOnlyUntilItIsKnownToHaveStopped(t *testing.T) {
+func TestRecoveryWaitsForThePreviousOwnerOnlyUntilItHasStopped(t *testing.T) {
 	waited := func(stoppedAfter time.Duration) time.Duration {
 		s := newSite(t, 2, usualWorker("a"))
 		s.cell.Load(s.record(1, step(1)), nil)
 		s.cell.LoadWorkers([]KnownWorker{{ID: "lost", Address: "lost:1"}}, s.now)
 		began := s.now
 		for s.now.Sub(began) < 10*time.Second {
-			s.pass(10 * time.Millisecond)
+			s.advance(10 * time.Millisecond)
 			if stoppedAfter > 0 && s.now.Sub(began) >= stoppedAfter {
 				s.cell.PreviousOwnerStopped(s.now)
 			}
--- a/internal/cell/reservation_test.go
+++ b/internal/cell/reservation_test.go
@@ -39,10 +39,10 @@
 			small = append(small, l.submit("thumbnail", 2, thumbnails(6+l.rnd.Intn(5))))
 		}
 	})
-	if got := share(l.waits(large), 0.95); got > 3*time.Second {
+	if got := percentile(l.waits(large), 0.95); got > 3*time.Second {
 		t.Errorf("95 of 100 large tasks waited up to %v", got)
 	}
-	if got := share(l.waits(small), 0.95); got > 4*time.Second {
+	if got := percentile(l.waits(small), 0.95); got > 4*time.Second {
 		t.Errorf("95 of 100 jobs of small tasks waited up to %v", got)
 	}
 }
@@ -82,7 +82,7 @@
 }
 
 // Failure: a reserved worker stands idle while short work waits.
-func TestShortTasksPassInFrontOfAReservation(t *testing.T) {
+func TestShortTasksBackfillAReservedWorker(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	long := thumbnails(1)
 	long.Estimate = 6 * time.Second
--- a/internal/cell/restart_crash_test.go
+++ b/internal/cell/restart_crash_test.go
@@ -9,15 +9,15 @@
 
 // Guards against poison tasks that are started without a limit: a worker that restarts under
 // its id counts as one that has lived on.
-func TestPoisonTaskIsGivenUpWhenWorkersRestartUnderTheirIDs(t *testing.T) {
-	steps := map[string]job.Step{"may run twice": mayRunTwice(12), "once": once(12), "lasting": watchers(6)}
+func TestPoisonTaskFailsWhenWorkersRestartUnderTheirIDs(t *testing.T) {
+	steps := map[string]job.Step{"may run twice": mayRunTwice(12), "once": once(12), "lasting": longRunningStep(6)}
 	for name, s := range steps {
 		for _, back := range []time.Duration{20 * time.Millisecond, 600 * time.Millisecond, 3 * time.Second} {
 			t.Run(name+" "+back.String(), func(t *testing.T) {
 				w := newCrashWorld(t, 24)
-				w.sameIDs, w.backAfter = true, back
+				w.sameIDs, w.restartAfter = true, back
 				poison := w.submit(0, s, 0)
-				others := w.playBeside(40*time.Second, nil)
+				others := w.runWithBackgroundJobs(40*time.Second, nil)
 				w.checkPoison()
 				w.checkState(poison, job.Failed)
 				w.runUntilEnded(time.Minute, nil)
@@ -31,13 +31,13 @@
 
 // Guards against the same beside a lost owner: what is stored of a worker that was silent is
 // said of one incarnation.
-func TestPoisonTaskIsGivenUpByTheNextOwnerOfRestartedWorkers(t *testing.T) {
+func TestPoisonTaskFailsUnderTheNextOwnerOfRestartedWorkers(t *testing.T) {
 	w := newCrashWorld(t, 24)
-	w.sameIDs, w.backAfter = true, 600*time.Millisecond
+	w.sameIDs, w.restartAfter = true, 600*time.Millisecond
 	poison := w.submit(0, mayRunTwice(12), 0)
 	takeOvers := 0
-	w.playBeside(40*time.Second, func() {
-		if takeOvers < 2 && w.mostCrashesUnder(poison) > takeOvers && w.rnd.Intn(20) == 0 {
+	w.runWithBackgroundJobs(40*time.Second, func() {
+		if takeOvers < 2 && w.maxCrashesUnder(poison) > takeOvers && w.rnd.Intn(20) == 0 {
 			takeOvers++
 			w.takeOver()
 		}
--- a/internal/cell/restart_site_test.go
+++ b/internal/cell/restart_site_test.go
@@ -11,28 +11,28 @@
 
 // restart has a worker start again under its id, and forget everything.
 func (s *site) restart(id string) roster.Worker {
-	s.pass(time.Second)
+	s.advance(time.Second)
 	s.runs[id], s.ends[id] = nil, nil
 	next := usualWorker(id)
 	next.Incarnation = runner.Incarnation(s.now.UnixMilli())
-	s.born[id] = next.Incarnation
+	s.incarnations[id] = next.Incarnation
 	return next
 }
 
-// list has a worker write its entry in the roster.
-func (s *site) list(w roster.Worker) {
+// register has a worker write its entry in the roster.
+func (s *site) register(w roster.Worker) {
 	s.cell.UpdateRoster(roster.Change{Workers: []roster.Worker{w}}, s.now)
 }
 
-// startsOf plans for a new job of some tasks and returns how many were started.
-func (s *site) startsOf(n, tasks int) int {
+// startsOfNewJob plans for a new job of some tasks and returns how many were started.
+func (s *site) startsOfNewJob(n, tasks int) int {
 	s.cell.Add(s.record(n, step(tasks)), true)
 	return len(s.plan())
 }
 
 // Guards against two owners that both use a worker which has forgotten their tokens: only
 // the one that can store that it is known may.
-func TestRestartedWorkerIsUsedOnlyWhenItIsStored(t *testing.T) {
+func TestRestartedWorkerIsUsedOnlyAfterItIsStored(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
 	s.cell.Add(s.record(1, step(1)), true)
@@ -43,30 +43,30 @@
 	s.report("a")
 	s.cell.dirtyChunks.mark("a")
 	before := s.cell.NextCommit(40)
-	s.list(s.restart("a"))
+	s.register(s.restart("a"))
 	s.report("a")
 	s.cell.Committed(before)
-	if n := s.startsOf(2, 1); n > 0 {
+	if n := s.startsOfNewJob(2, 1); n > 0 {
 		t.Errorf("%d starts before the store names the incarnation", n)
 	}
 	s.commit()
-	if n := s.startsOf(3, 1); n != 2 {
+	if n := s.startsOfNewJob(3, 1); n != 2 {
 		t.Errorf("%d starts when the store names it, want 2", n)
 	}
 }
 
 // Guards against runs on a worker that has less room, or another kind, since it restarted.
-func TestRestartedWorkerIsUsedOnlyAsItsOwnEntrySays(t *testing.T) {
+func TestRestartedWorkerIsUsedOnlyAfterItsOwnRosterEntry(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
 	next := s.restart("a")
 	next.Capacity.MilliCPU = 3000
 	s.report("a")
 	s.commit()
-	if n := s.startsOf(1, 8); n > 0 {
+	if n := s.startsOfNewJob(1, 8); n > 0 {
 		t.Errorf("%d starts before its entry has come", n)
 	}
-	s.list(next)
+	s.register(next)
 	if n := len(s.plan()); n != 3 {
 		t.Errorf("%d starts, want 3", n)
 	}
@@ -78,12 +78,12 @@
 	leaving.Draining = true
 	s := newSite(t, 1, leaving)
 	s.report("a")
-	s.list(s.restart("a"))
-	s.list(leaving)
+	s.register(s.restart("a"))
+	s.register(leaving)
 	s.report("a")
 	s.plan() // opens the worker
 	s.commit()
-	if n := s.startsOf(1, 2); n != 2 {
+	if n := s.startsOfNewJob(1, 2); n != 2 {
 		t.Errorf("%d starts, want 2", n)
 	}
 }
@@ -94,32 +94,32 @@
 	s.report("a")
 	next := s.restart("a")
 	next.Incarnation = runner.Incarnation(siteStart.Add(-time.Hour).UnixMilli())
-	s.born["a"] = next.Incarnation
-	s.list(next)
+	s.incarnations["a"] = next.Incarnation
+	s.register(next)
 	s.report("a")
 	s.commit()
-	if n := s.startsOf(1, 2); n != 2 {
+	if n := s.startsOfNewJob(1, 2); n != 2 {
 		t.Errorf("%d starts, want 2", n)
 	}
 }
 
 // Guards against dropping what runs on a worker whose time of day was set back, because an
 // entry of the life before is read late.
-func TestLateEntryOfTheLifeBeforeIsPassedOver(t *testing.T) {
+func TestLateEntryOfAnEarlierIncarnationIsIgnored(t *testing.T) {
 	before := usualWorker("a")
 	s := newSite(t, 1, before)
 	s.report("a")
 	next := s.restart("a")
 	next.Incarnation = runner.Incarnation(siteStart.Add(-time.Hour).UnixMilli())
-	s.born["a"] = next.Incarnation
+	s.incarnations["a"] = next.Incarnation
 	s.report("a")
-	s.list(next)
+	s.register(next)
 	s.commit()
 	s.cell.Add(s.record(1, step(2)), true)
 	for _, o := range s.plan() {
 		s.confirm(o)
 	}
-	s.list(before)
+	s.register(before)
 	if load := s.cell.WorkerLoad("a"); load.Runs != 2 {
 		t.Errorf("%d runs are booked, want 2", load.Runs)
 	}
@@ -127,15 +127,15 @@
 
 // Guards against runs that are taken for lost on a worker which reported in the very moment
 // of its start, when its clock shows 0.
-func TestWorkerWhoseClockShowsNothingKeepsItsLease(t *testing.T) {
+func TestWorkerWithAZeroClockKeepsItsLease(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
-	s.pass(s.cell.earlierLeaseLimit())
+	s.advance(s.cell.earlierLeaseLimit())
 	s.cell.Reported("a", runner.Report{Incarnation: usualWorker("a").Incarnation}, s.now, s.now)
 	s.cell.Add(s.record(1, step(2)), true)
 	for _, o := range s.plan() {
 		s.confirm(o)
 	}
-	s.pass(maxReportAge + 100*time.Millisecond)
+	s.advance(maxReportAge + 100*time.Millisecond)
 	s.plan()
 	if load := s.cell.WorkerLoad("a"); load.Runs != 2 {
 		t.Errorf("%d runs are booked within the lease, want 2", load.Runs)
@@ -144,7 +144,7 @@
 
 // Guards against a new owner that waits for runs of a life that has ended: they are stored
 // of a worker that was silent, and it has restarted since.
-func TestNewOwnerDropsStoredRunsOfALifeBefore(t *testing.T) {
+func TestNewOwnerDropsStoredRunsOfAnEarlierIncarnation(t *testing.T) {
 	for name, listed := range map[string]bool{"roster tells": true, "worker tells": false} {
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t, 2)
@@ -162,7 +162,7 @@
 				Runs: []KnownRun{{Task: task, Run: 1}}}}, s.now)
 			s.cell.WorkersLoaded()
 			s.report("a")
-			s.list(next)
+			s.register(next)
 			s.plan()
 			s.commit()
 			if starts := s.plan(); len(starts) != 1 {
@@ -174,7 +174,7 @@
 
 // Guards against a crash that is forgotten with its owner: the next one knows the restarted
 // worker from the roster.
-func TestNewOwnerCountsTheCrashOfALifeBefore(t *testing.T) {
+func TestNewOwnerCountsTheCrashOfAnEarlierIncarnation(t *testing.T) {
 	s := newSite(t, 2)
 	record := s.record(1, step(1))
 	s.cell.Load(record, &job.Progress{Stages: []job.StageProgress{{Tasks: []job.TaskProgress{{LastRun: 1, LostRuns: []uint64{1}}}}}})
@@ -197,13 +197,13 @@
 	s.cell.Add(record, true)
 	s.plan()
 	s.advise("a")
-	s.list(s.restart("a"))
+	s.register(s.restart("a"))
 	s.report("a")
 	s.commit()
 	if starts := s.plan(); len(starts) > 0 {
 		t.Errorf("%d starts with tickets of the life before", len(starts))
 	}
-	s.list(s.restart("a"))
+	s.register(s.restart("a"))
 	s.advise("a")
 	s.report("a")
 	s.commit()
--- a/internal/cell/restart_test.go
+++ b/internal/cell/restart_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// checkOnce checks that all jobs were completed and no task ran again after its success was
+// checkCompletedOnce checks that all jobs were completed and no task ran again after its success was
 // acknowledged.
-func (l *load) checkOnce(jobs []string) {
+func (l *load) checkCompletedOnce(jobs []string) {
 	l.t.Helper()
-	if len(l.again) > 0 {
-		l.t.Errorf("%d tasks were started after their success was acknowledged, as %s", len(l.again), l.again[0])
+	if len(l.startedAgain) > 0 {
+		l.t.Errorf("%d tasks were started after their success was acknowledged, as %s", len(l.startedAgain), l.startedAgain[0])
 	}
 	for _, id := range jobs {
 		if _, done := l.completed[id]; !done {
@@ -19,9 +19,9 @@
 	}
 }
 
-// playRestarts lets all workers start again under their ids, one every 200 ms, while jobs
+// restartInTurn lets all workers start again under their ids, one every 200 ms, while jobs
 // come.
-func (l *load) playRestarts(down time.Duration) []string {
+func (l *load) restartInTurn(down time.Duration) []string {
 	var jobs []string
 	ids := l.workerIDs()
 	for n := range 60 {
@@ -37,14 +37,14 @@
 
 // Guards against acknowledging ends that were never heard: a restarted worker numbers its
 // ends from 1 again.
-func TestEndsOnRestartedWorkersAreHeardBeforeTheyAreAcknowledged(t *testing.T) {
+func TestEndsOnRestartedWorkersAreReportedBeforeTheyAreAcknowledged(t *testing.T) {
 	for _, down := range []time.Duration{0, 60 * time.Millisecond, 400 * time.Millisecond} {
 		t.Run(down.String(), func(t *testing.T) {
 			w := newLoad(t, 12)
 			jobs := []string{w.submit("q", 0, lookup(60))}
 			w.run(2*time.Second, nil)
-			jobs = append(jobs, w.playRestarts(down)...)
-			w.checkOnce(jobs)
+			jobs = append(jobs, w.restartInTurn(down)...)
+			w.checkCompletedOnce(jobs)
 		})
 	}
 }
--- a/internal/cell/restart_upkeep_test.go
+++ b/internal/cell/restart_upkeep_test.go
@@ -2,20 +2,20 @@
 
 import "testing"
 
-// backFromUpkeep has a worker register and report under the id that it had.
-func (s *site) backFromUpkeep(id string) {
-	s.list(s.restart(id))
+// returnFromMaintenance has a worker register and report under the id that it had.
+func (s *site) returnFromMaintenance(id string) {
+	s.register(s.restart(id))
 	s.commit()
 	s.report(id)
 }
 
 // Guards against dropping what runs on a worker that is back from its upkeep under its id: an
 // order that was repeated is answered late.
-func TestLateAnswerToAnUpkeepEndsOnlyTheLifeBefore(t *testing.T) {
+func TestLateAnswerToAMaintenanceOrderEndsOnlyTheEarlierIncarnation(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
 	orderedAt := s.now
-	s.backFromUpkeep("a")
+	s.returnFromMaintenance("a")
 	s.cell.Add(s.record(1, step(2)), true)
 	for _, o := range s.plan() {
 		s.confirm(o)
@@ -27,12 +27,12 @@
 }
 
 // Guards against a worker that is never used again after its upkeep.
-func TestWorkerIsUsedAgainAfterItsUpkeep(t *testing.T) {
+func TestWorkerIsUsedAgainAfterMaintenance(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
 	s.cell.WorkerTerminated("a", s.now, s.now)
-	s.backFromUpkeep("a")
-	if n := s.startsOf(1, 2); n != 2 {
+	s.returnFromMaintenance("a")
+	if n := s.startsOfNewJob(1, 2); n != 2 {
 		t.Errorf("%d starts, want 2", n)
 	}
 }
--- a/internal/cell/shares_test.go
+++ b/internal/cell/shares_test.go
@@ -8,10 +8,10 @@
 	"gentianstand/internal/job"
 )
 
-// hotWorkspace replays a workspace that sends twelve times its share beside one that stays
+// calmShareInTime replays a workspace that sends twelve times its share beside one that stays
 // within its own, more than fits together, and returns the share of the other's jobs that
 // meet the objective.
-func hotWorkspace(t *testing.T, without MechanismSet) float64 {
+func calmShareInTime(t *testing.T, without MechanismSet) float64 {
 	l := newLoad(t, 24)
 	l.cell.settings.Disabled = without
 	l.cell.Configure(catalog.New(catalog.Content{Version: 1, Workspaces: []catalog.Workspace{{Name: "hot", Weight: 1}, {Name: "calm", Weight: 2}}}))
@@ -38,11 +38,11 @@
 }
 
 // Failure: a workspace that sends many times its share makes the jobs of others late.
-func TestLoadHotWorkspaceBesideACalmOne(t *testing.T) {
-	if got := hotWorkspace(t, MechanismSet{}); got < 0.9 {
+func TestLoadHotWorkspaceBesideAQuietOne(t *testing.T) {
+	if got := calmShareInTime(t, MechanismSet{}); got < 0.9 {
 		t.Errorf("%.2f of the other workspace's jobs are in time", got)
 	}
-	if got := hotWorkspace(t, MechanismSet{FairShares: {}}); got > 0.5 {
+	if got := calmShareInTime(t, MechanismSet{FairShares: {}}); got > 0.5 {
 		t.Errorf("without fair shares %.2f are: the load is too small to tell anything", got)
 	}
 }
--- a/internal/cell/shrink_test.go
+++ b/internal/cell/shrink_test.go
@@ -9,33 +9,33 @@
 	"gentianstand/internal/roster"
 )
 
-// shrinking is a load on workers whose rooms shrink and grow while they run.
-type shrinking struct {
+// changingCapacity is a load on workers whose rooms shrink and grow while they run.
+type changingCapacity struct {
 	*load
-	// full are the rooms as they were at first.
-	full map[string]resource.Amount
+	// initial are the rooms as they were at first.
+	initial map[string]resource.Amount
 }
 
-func newShrinking(t *testing.T) *shrinking {
-	s := &shrinking{load: newLoad(t, 12), full: map[string]resource.Amount{}}
+func newChangingCapacity(t *testing.T) *changingCapacity {
+	s := &changingCapacity{load: newLoad(t, 12), initial: map[string]resource.Amount{}}
 	for id, w := range s.workers {
-		s.full[id] = w.roster.Capacity
+		s.initial[id] = w.roster.Capacity
 	}
 	return s
 }
 
-// change gives one worker another room, between none of some kind and all.
-func (s *shrinking) change() {
+// changeCapacity gives one worker another room, between none of some kind and all.
+func (s *changingCapacity) changeCapacity() {
 	ids := s.workerIDs()
 	w := s.workers[ids[s.rnd.Intn(len(ids))]]
-	full := s.full[w.roster.ID]
+	full := s.initial[w.roster.ID]
 	w.roster.Capacity = resource.Amount{MilliCPU: full.MilliCPU * int64(s.rnd.Intn(5)) / 4, MemoryMiB: full.MemoryMiB * int64(s.rnd.Intn(5)) / 4}
 	s.cell.UpdateRoster(roster.Change{Workers: []roster.Worker{w.roster}}, s.now)
 }
 
-// check fails the test if a run that began now is more than its worker has room for. What
+// checkCapacity fails the test if a run that began now is more than its worker has room for. What
 // is being stopped counts.
-func (s *shrinking) check() {
+func (s *changingCapacity) checkCapacity() {
 	s.t.Helper()
 	for id, w := range s.workers {
 		var used resource.Amount
@@ -55,14 +55,14 @@
 }
 
 // Failure: a start brings a worker over the room that it has at that moment.
-func TestStartsFitRoomsThatShrink(t *testing.T) {
-	s := newShrinking(t)
-	s.slowStops = 900 * time.Millisecond
+func TestStartsFitShrinkingCapacity(t *testing.T) {
+	s := newChangingCapacity(t)
+	s.maxStopTime = 900 * time.Millisecond
 	large := letters(1)
 	large.Need.MilliCPU = 12000
-	for end := s.now.Add(12 * time.Second); s.now.Before(end); s.check() {
+	for end := s.now.Add(12 * time.Second); s.now.Before(end); s.checkCapacity() {
 		if s.rnd.Intn(10) == 0 {
-			s.change()
+			s.changeCapacity()
 		}
 		if s.rnd.Intn(15) == 0 {
 			s.submit("lookup", 0, lookup(6))
@@ -73,10 +73,10 @@
 		s.step()
 	}
 	for id, w := range s.workers {
-		w.roster.Capacity = s.full[id]
+		w.roster.Capacity = s.initial[id]
 		s.cell.UpdateRoster(roster.Change{Workers: []roster.Worker{w.roster}}, s.now)
 	}
-	for end := s.now.Add(4 * time.Minute); s.now.Before(end) && len(s.cell.active) > 0; s.check() {
+	for end := s.now.Add(4 * time.Minute); s.now.Before(end) && len(s.cell.active) > 0; s.checkCapacity() {
 		s.step()
 	}
 	if left := len(s.cell.active); left > 0 {
@@ -85,10 +85,10 @@
 }
 
 // Failure: a worker that lost the store gets tasks for a room that it has no more.
-func TestAWorkerWhoseEntryLapsesAloneGetsNothingNew(t *testing.T) {
+func TestWorkerWhoseEntryExpiresAloneGetsNoNewTasks(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	for range 6 {
-		s.pass(700 * time.Millisecond)
+		s.advance(700 * time.Millisecond)
 		s.cell.UpdateRoster(roster.Change{Workers: []roster.Worker{usualWorker("a")}}, s.now)
 		s.report("a")
 		s.report("b")
@@ -104,14 +104,14 @@
 
 // All entries lapse while the store is away. Their workers answer their owner, are back in
 // the list within two seconds, and are used meanwhile.
-func TestWorkersWhoseEntriesLapseInAnOutageStayInUse(t *testing.T) {
+func TestWorkersWhoseEntriesExpireInAStoreOutageStayInUse(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	s.cell.UpdateRoster(roster.Change{Workers: []roster.Worker{usualWorker("a"), usualWorker("b")}}, s.now)
-	s.pass(6 * time.Second)
+	s.advance(6 * time.Second)
 	s.report("a")
 	s.report("b")
 	s.cell.UpdateRoster(roster.Change{Removed: []string{"a", "b"}}, s.now)
-	s.pass(time.Second)
+	s.advance(time.Second)
 	s.report("a")
 	s.report("b")
 	s.cell.Add(s.record(1, step(20)), true)
--- a/internal/cell/site_test.go
+++ b/internal/cell/site_test.go
@@ -22,10 +22,10 @@
 	cell  *Cell
 	now   time.Time
 	clock map[string]time.Duration
-	// born are the incarnations of workers that do not have their first one.
-	born map[string]runner.Incarnation
-	ends map[string][]runner.End
-	runs map[string][]runner.RunState
+	// incarnations are the incarnations of workers that do not have their first one.
+	incarnations map[string]runner.Incarnation
+	ends         map[string][]runner.End
+	runs         map[string][]runner.RunState
 	// chunks are the known workers as they are stored.
 	chunks map[int][]KnownWorker
 	// slots is what Plan is told.
@@ -41,7 +41,7 @@
 }
 
 func newSiteWith(t *testing.T, settings Settings, workers ...roster.Worker) *site {
-	s := &site{t: t, now: siteStart, clock: map[string]time.Duration{}, born: map[string]runner.Incarnation{}, ends: map[string][]runner.End{},
+	s := &site{t: t, now: siteStart, clock: map[string]time.Duration{}, incarnations: map[string]runner.Incarnation{}, ends: map[string][]runner.End{},
 		runs: map[string][]runner.RunState{}, chunks: map[int][]KnownWorker{}, slots: AdviceSlots{Quick: 2, Any: 4}}
 	s.cell = New(settings, s.now, quietLog())
 	s.cell.SetRoster(workers, s.now)
@@ -71,7 +71,7 @@
 	return job.Step{Count: count, Need: resource.Amount{MilliCPU: 1000, MemoryMiB: 100}, Estimate: time.Second}
 }
 
-func (s *site) pass(d time.Duration) { s.now = s.now.Add(d) }
+func (s *site) advance(d time.Duration) { s.now = s.now.Add(d) }
 
 // report has a worker answer a look with what the test put into runs and ends.
 func (s *site) report(id string) {
@@ -88,9 +88,9 @@
 		}
 	}
 	s.ends[id] = left
-	s.pass(time.Millisecond)
+	s.advance(time.Millisecond)
 	clock := s.now.Sub(siteStart) + time.Hour
-	s.cell.Reported(id, runner.Report{Incarnation: s.born[id], Clock: clock, Running: s.runs[id], Ended: left}, sentAt, s.now)
+	s.cell.Reported(id, runner.Report{Incarnation: s.incarnations[id], Clock: clock, Running: s.runs[id], Ended: left}, sentAt, s.now)
 }
 
 // plan plans and returns the start orders by task name.
--- a/internal/cell/watch_test.go
+++ b/internal/cell/watch_test.go
@@ -49,7 +49,7 @@
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	starts := twoRuns(t, s)
 	for percent := 10; percent <= 60; percent += 10 {
-		s.pass(500 * time.Millisecond)
+		s.advance(500 * time.Millisecond)
 		s.progress(starts[0], percent)
 		s.progress(starts[1], percent)
 		s.report("a")
@@ -66,7 +66,7 @@
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	starts := twoRuns(t, s)
 	for tick := 1; tick <= 8; tick++ {
-		s.pass(500 * time.Millisecond)
+		s.advance(500 * time.Millisecond)
 		s.progress(starts[0], min(99, 25*tick))
 		s.progress(starts[1], 2*tick)
 		s.report("a")
@@ -87,7 +87,7 @@
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	starts := twoRuns(t, s)
 	for range 8 {
-		s.pass(400 * time.Millisecond)
+		s.advance(400 * time.Millisecond)
 		s.progress(starts[0], 5)
 		s.progress(starts[1], 5)
 		s.report("a")
@@ -105,7 +105,7 @@
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	starts := twoRuns(t, s)
 	for range 5 {
-		s.pass(250 * time.Millisecond)
+		s.advance(250 * time.Millisecond)
 		s.progress(starts[0], 0)
 		s.progress(starts[1], 0)
 		s.report("a")
@@ -123,7 +123,7 @@
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	starts := twoRuns(t, s)
 	for range 5 {
-		s.pass(250 * time.Millisecond)
+		s.advance(250 * time.Millisecond)
 		s.progress(starts[0], 2)
 		s.progress(starts[1], 2)
 		s.report("a")
@@ -148,7 +148,7 @@
 		starts = append(starts, o)
 	}
 	for tick := 1; tick <= 3; tick++ {
-		s.pass(300 * time.Millisecond)
+		s.advance(300 * time.Millisecond)
 		for i := range s.runs["a"] {
 			s.runs["a"][i].Percent = 5 * tick
 		}
@@ -173,7 +173,7 @@
 func TestLateEndOnASlowWorkerIsNoSuccess(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	starts := slowJobs(t, s, avoidAfterFailures-1)
-	s.pass(5 * time.Second)
+	s.advance(5 * time.Second)
 	s.finish(starts[0], runner.Done)
 	s.report("a")
 	if streak := s.cell.workers["a"].health.failureStreak; streak != avoidAfterFailures-1 {
