--- a/internal/cell/ask_bench_test.go
+++ b/internal/cell/ask_bench_test.go
@@ -9,8 +9,8 @@
 	"gentianstand/internal/resource"
 )
 
-// BenchmarkWorthAsking measures the choice of the workers that a stage asks about, of as many
-// as a large site has, none of which it has asked about before.
+// BenchmarkWorthAsking measures how a stage selects the workers to request advice for, on sites of
+// up to 3000 workers of which it has asked about none before.
 func BenchmarkWorthAsking(b *testing.B) {
 	for _, workers := range []int{48, 540, 3000} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
--- a/internal/cell/ask_held_test.go
+++ b/internal/cell/ask_held_test.go
@@ -9,7 +9,7 @@
 	"gentianstand/internal/runner"
 )
 
-// fakeAdviser answers each question after the time that it takes, with tickets for all workers.
+// fakeAdviser answers each request after its estimated duration, with tickets for all workers.
 type fakeAdviser struct {
 	site    *site
 	pending []AdviceOrder
@@ -17,7 +17,7 @@
 	asked   int
 }
 
-// answerDue takes the questions of the last plan and answers those that are due.
+// answerDue accepts the requests of the last planning pass and answers those that are due.
 func (a *fakeAdviser) answerDue() {
 	for _, q := range a.site.questions() {
 		a.asked++
@@ -34,8 +34,8 @@
 	}
 }
 
-// Failure: after a take-over beside a lost worker a task waits for its leases and then for
-// the adviser, too.
+// Guards against a task that waits for the adviser only after it has waited for a lease: after a
+// take-over with a lost worker, its tickets must be ready when the lease has expired.
 func TestTicketsAreReadyWhenATaskIsReleased(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"), usualWorker("b"))
 	longRunning := step(1)
@@ -47,7 +47,7 @@
 	asks := &fakeAdviser{site: s}
 	for len(s.plan()) == 0 {
 		if s.now.Sub(began) > 2*limit {
-			t.Fatal("never started")
+			t.Fatal("the task was never started")
 		}
 		asks.answerDue()
 		s.advance(10 * time.Millisecond)
@@ -55,24 +55,24 @@
 	}
 	took := s.now.Sub(began)
 	if took < limit {
-		t.Errorf("started after %v, while the lease on a may last until %v", took, limit)
+		t.Errorf("started after %v, while the lease of a may last until %v", took, limit)
 	}
 	if late := took - limit; late > 100*time.Millisecond {
-		t.Errorf("started %v after the lease on a was over", late)
+		t.Errorf("started %v after the lease of a had expired", late)
 	}
 	if asks.asked != 1 {
-		t.Errorf("asked %d times, want once", asks.asked)
+		t.Errorf("%d requests for advice, want 1", asks.asked)
 	}
 }
 
-// timeToStart lets time pass beside a silent worker a until the next start, and
-// returns how long that took.
+// timeToStart advances the time, with worker a unresponsive, until the next start and returns how
+// long that took.
 func (a *fakeAdviser) timeToStart() time.Duration {
 	s := a.site
 	began := s.now
 	for len(s.plan()) == 0 {
 		if s.now.Sub(began) > 20*time.Second {
-			s.t.Fatal("never started")
+			s.t.Fatal("the task was never started")
 		}
 		a.answerDue()
 		s.advance(10 * time.Millisecond)
@@ -83,7 +83,8 @@
 	return s.now.Sub(began)
 }
 
-// startLongRunningOnA starts the lasting task of an advised job on worker a, the only one that reports.
+// startLongRunningOnA starts the long-running task of a job that needs advice on worker a, the only
+// one that reports.
 func (s *site) startLongRunningOnA() (*fakeAdviser, *job.Record) {
 	r := s.record(1, longRunning(1, 0))
 	r.Advice = &job.AdviceCost{PerCall: 560 * time.Millisecond, PerWorker: 8 * time.Millisecond, TicketTTL: 2 * time.Second}
@@ -101,8 +102,8 @@
 	return asks, r
 }
 
-// Failure: a lasting task of a crashed worker waits for the lease there and then for the
-// adviser, too.
+// Guards against a long-running task of a crashed worker that waits for the adviser only after it
+// has waited for the worker's lease to expire.
 func TestTicketsAreReadyWhenTheLeaseOfAnUnresponsiveWorkerExpires(t *testing.T) {
 	const slack = 150 * time.Millisecond
 	for name, takenOver := range map[string]bool{"same owner": false, "next owner": true} {
@@ -119,19 +120,20 @@
 			limit := over.Sub(s.now)
 			took := asks.timeToStart()
 			if took < limit {
-				t.Errorf("started after %v, while the lease on a may last for %v", took, limit)
+				t.Errorf("started after %v, while the lease of a may last for %v", took, limit)
 			}
 			if late := took - limit; late > slack {
-				t.Errorf("started %v after the lease on a was over", late)
+				t.Errorf("started %v after the lease of a had expired", late)
 			}
 			if asks.asked != 1 {
-				t.Errorf("asked %d times, want once", asks.asked)
+				t.Errorf("%d requests for advice, want 1", asks.asked)
 			}
 		})
 	}
 }
 
-// Failure: the adviser is asked for tickets that nothing can use yet.
+// Guards against requests for tickets that cannot be used yet: the task is in backoff because
+// workers were lost under it.
 func TestNoTicketsAreRequestedDuringABackoff(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	asks, r := s.startLongRunningOnA()
@@ -146,12 +148,12 @@
 		asks.answerDue()
 	}
 	if asks.asked > 0 {
-		t.Errorf("asked %d times", asks.asked)
+		t.Errorf("%d requests for advice, want none", asks.asked)
 	}
 }
 
-// Failure: a lasting task of a crashed worker is asked about only when other work leaves a
-// lane of the adviser.
+// Guards against a long-running task of a crashed worker that gets advice only when other work
+// leaves a slot of the adviser free.
 func TestLongRunningTaskOfAnUnresponsiveWorkerIsAskedAboutFirst(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	s.report("a")
@@ -172,6 +174,6 @@
 	s.slots = AdviceSlots{Any: 1}
 	s.plan()
 	if asked := s.questions(); len(asked) != 1 || asked[0].Stage.Job != r.ID {
-		t.Errorf("asked about %v, want the lasting task of a", asked)
+		t.Errorf("requests for advice %v, want one for the long-running task of a", asked)
 	}
 }
--- a/internal/cell/ask_order_test.go
+++ b/internal/cell/ask_order_test.go
@@ -7,8 +7,8 @@
 	"gentianstand/internal/resource"
 )
 
-// askedTogether has stages ask about workers in one pass and returns how many workers
-// they ask about in all, each counted once, and how many questions there are.
+// askedTogether has stages request advice in one planning pass. It returns how many different
+// workers they ask about in all, and the number of requests.
 func askedTogether(s *site, stages int) (workers, questions int) {
 	all := manyWorkers(24)
 	for _, w := range all {
@@ -29,16 +29,16 @@
 	return len(seen), questions
 }
 
-// Failure: after a restart of all instances stages ask for advice several times each,
-// while workers stand idle.
+// Guards against stages that request advice several times each while workers are idle, as after a
+// restart of all instances: stages that ask in the same pass must ask about different workers.
 func TestStagesThatAskTogetherSpreadOverTheWorkers(t *testing.T) {
 	s := newSite(t, 1, manyWorkers(24)...)
 	if workers, questions := askedTogether(s, 4); questions != 4 || workers < 2*minAskedWorkers {
-		t.Errorf("%d questions about %d workers in all, want 4 about %d at least", questions, workers, 2*minAskedWorkers)
+		t.Errorf("%d requests about %d workers in all, want 4 about %d at least", questions, workers, 2*minAskedWorkers)
 	}
 }
 
-// Failure: a stage of many tasks asks about workers that are nearly full.
+// Guards against a stage of many tasks that asks first about workers that are nearly full.
 func TestWorkersWithMoreFreeCapacityAreAskedAboutFirst(t *testing.T) {
 	workers := manyWorkers(24)
 	for i := range workers {
@@ -55,7 +55,7 @@
 	s.plan()
 	for _, id := range s.questions()[0].Workers[:minAskedWorkers] {
 		if s.cell.workers[id].Capacity.MilliCPU < 4000 {
-			t.Errorf("asked about %s, which has room for one task, among the first", id)
+			t.Errorf("asked about worker %s, which has capacity for one task only, among the first", id)
 		}
 	}
 }
--- a/internal/cell/ask_test.go
+++ b/internal/cell/ask_test.go
@@ -11,7 +11,7 @@
 	"gentianstand/internal/runner"
 )
 
-// advised makes a record need tickets.
+// advised makes a job need tickets.
 func advised(r *job.Record, perCall time.Duration) *job.Record {
 	r.Advice = &job.AdviceCost{PerCall: perCall, TicketTTL: 2 * time.Second}
 	return r
@@ -35,7 +35,8 @@
 	return list
 }
 
-// Failure: after a fault nothing was placed any more, beside free workers.
+// Guards against more requests for advice than the adviser has slots: after a fault nothing was
+// placed any more although workers were free.
 func TestAdviceIsAskedOnlyWhenASlotIsFree(t *testing.T) {
 	s := newSite(t, 1, manyWorkers(4)...)
 	for _, w := range manyWorkers(4) {
@@ -50,11 +51,11 @@
 	s.plan()
 	asked := s.questions()
 	if len(asked) != 3 {
-		t.Fatalf("%d slow calls for 3 lanes", len(asked))
+		t.Fatalf("%d slow calls for 3 slots", len(asked))
 	}
 	for _, q := range asked {
 		if s.cell.jobs[q.Stage.Job].record.Priority != 1 {
-			t.Errorf("a less urgent stage was asked about first: %s", q.Stage)
+			t.Errorf("advice was requested for a less urgent stage first: %s", q.Stage)
 		}
 	}
 	s.slots = AdviceSlots{Quick: 1}
@@ -62,13 +63,13 @@
 	s.cell.Add(quick, true)
 	s.plan()
 	if asked := s.questions(); len(asked) != 1 || asked[0].Stage.Job != quick.ID {
-		t.Errorf("with a lane for quick calls: %v", asked)
+		t.Errorf("with a slot for quick calls: requests %v, want one for the quick job", asked)
 	}
 }
 
-// Load: all workers are full, and room opens on one every few milliseconds.
-// A stage keeps tickets for full workers, renews them before they expire, and
-// starts the moment that there is room.
+// Load: all workers are full, and capacity becomes free on one of them every few milliseconds. A
+// stage must keep tickets for full workers, renew them before they expire, and start as soon as
+// there is free capacity.
 func TestTicketsForFullWorkersAreKept(t *testing.T) {
 	s := newSite(t, 1, manyWorkers(2)...)
 	s.report("a")
@@ -83,19 +84,19 @@
 	s.cell.Add(waits, true)
 	s.plan()
 	if len(s.questions()) != 1 {
-		t.Fatal("no advice was asked for a stage that waits for room")
+		t.Fatal("no advice was requested for a stage that waits for free capacity")
 	}
 	s.advise("a")
 	s.plan()
 	if len(s.questions()) != 0 {
-		t.Error("asked again while the ticket is valid")
+		t.Error("advice was requested again while the ticket is valid")
 	}
 	s.advance(1700 * time.Millisecond)
 	s.report("a")
 	s.report("b")
 	s.plan()
 	if q := s.questions(); len(q) != 1 || q[0].Workers[0] != "a" {
-		t.Fatalf("the ticket was not renewed before it expires: %v", q)
+		t.Fatalf("the ticket was not renewed before it expires: requests %v", q)
 	}
 	s.advise("a")
 	for _, o := range running {
@@ -106,7 +107,7 @@
 	}
 	s.report("a")
 	if o, ok := s.plan()[waits.ID+".0.0.0"]; !ok || o.Start.Ticket != "ticket-a" {
-		t.Errorf("not started with its ticket when room opened: %+v", o)
+		t.Errorf("not started with its ticket when capacity became free: %+v", o)
 	}
 }
 
@@ -120,16 +121,16 @@
 	s.cell.AdviceAnswered(q.Stage, q.Workers, nil, errors.New("busy"), s.now)
 	s.plan()
 	if len(s.questions()) != 0 {
-		t.Error("asked again at once")
+		t.Error("advice was requested again at once")
 	}
 	s.advance(adviceRetryDelay)
 	s.plan()
 	if len(s.questions()) != 1 {
-		t.Error("not asked again after the pause")
+		t.Error("advice was not requested again after the pause")
 	}
 }
 
-// Failure: starts were refused for want of a ticket, again and again.
+// Guards against repeating a start with a ticket that the worker has refused.
 func TestRefusedTicketIsNotUsedAgain(t *testing.T) {
 	s := newSite(t, 1, manyWorkers(1)...)
 	s.report("a")
@@ -144,15 +145,15 @@
 	}
 	q := s.questions()
 	if len(q) != 1 {
-		t.Fatal("no new ticket was asked for")
+		t.Fatal("no new ticket was requested")
 	}
 	s.cell.AdviceAnswered(q[0].Stage, q[0].Workers, []advice.Ticket{{Worker: "a", Text: "new"}}, nil, s.now)
 	if o := s.plan()[r.ID+".0.0.0"]; o.Start.Ticket != "new" {
-		t.Errorf("started with ticket %q", o.Start.Ticket)
+		t.Errorf("started with ticket %q, want the new one", o.Start.Ticket)
 	}
 }
 
-// A task's wait counts from the time at which it could have been started, and once.
+// A task's wait counts once, from the time at which it could have been started.
 func TestWaitForTheFirstStart(t *testing.T) {
 	var waited []time.Duration
 	settings := Settings{Term: 1, Lease: 3500 * time.Millisecond, ObserveWait: func(_ int, d time.Duration) { waited = append(waited, d) }}
--- a/internal/cell/away_test.go
+++ b/internal/cell/away_test.go
@@ -8,7 +8,7 @@
 	"gentianstand/internal/runner"
 )
 
-// Failure: a lasting task was away for seconds, and no log said why.
+// Guards against a long-running task that is down for seconds without a reason in the log.
 func TestDownLongRunningTasksHaveAReason(t *testing.T) {
 	wide := longRunning(1, 0)
 	wide.Need.MilliCPU = 15500
@@ -19,9 +19,9 @@
 		arrange func(s *site, task string)
 		want    DownReason
 	}{
-		{"no room", wide, false, func(s *site, _ string) { s.cell.Add(s.record(9, step(16)), true) }, CapacityExhausted},
+		{"no free capacity", wide, false, func(s *site, _ string) { s.cell.Add(s.record(9, step(16)), true) }, CapacityExhausted},
 		{"its start within the urgent reserve is not answered", wide, false, nil, RunStarting},
-		{"the adviser is asked", longRunning(1, 0), true, nil, AdvicePending},
+		{"a request for advice is pending", longRunning(1, 0), true, nil, AdvicePending},
 		{"its start is not answered", longRunning(1, 0), false, nil, RunStarting},
 		{"its workers were lost", longRunning(1, 0), false, func(s *site, task string) {
 			s.cell.taskByName(task).crashes = crashHistory{unresponsive: []uint64{1, 2, 3}, lostAt: s.now}
@@ -42,14 +42,14 @@
 		s.plan()
 		s.advance(downAfter)
 		s.report("a")
-		aways, total := s.cell.DownTasks(4, s.now)
-		if total != 1 || aways[0].Reason != test.want || aways[0].DownFor < downAfter {
-			t.Errorf("%s: %+v, want %s", test.name, aways, test.want)
+		down, total := s.cell.DownTasks(4, s.now)
+		if total != 1 || down[0].Reason != test.want || down[0].DownFor < downAfter {
+			t.Errorf("%s: %+v, want %s", test.name, down, test.want)
 		}
 	}
 }
 
-// Failure: a lasting task that is at work was told to be away.
+// Guards against a long-running task that is reported as down although it runs.
 func TestRunningLongRunningTaskIsNotDown(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
@@ -61,8 +61,8 @@
 	for range 5 {
 		s.advance(time.Second)
 		s.report("a")
-		if aways, total := s.cell.DownTasks(4, s.now); total != 0 {
-			t.Fatalf("away: %+v", aways)
+		if down, total := s.cell.DownTasks(4, s.now); total != 0 {
+			t.Fatalf("reported as down: %+v", down)
 		}
 	}
 }
--- a/internal/cell/bench_test.go
+++ b/internal/cell/bench_test.go
@@ -11,8 +11,8 @@
 	"gentianstand/internal/resource"
 )
 
-// BenchmarkPlan measures one planning pass over full workers: a burst has left
-// many stages waiting, each with tickets for a third of the workers.
+// BenchmarkPlan measures one planning pass over full workers. A burst has left many stages waiting,
+// each with tickets for a third of the workers.
 func BenchmarkPlan(b *testing.B) {
 	for _, size := range []struct{ workers, waiting, workspaces int }{{48, 60, 0}, {350, 300, 0}, {350, 300, 82}, {3000, 300, 0}, {3000, 300, 82}} {
 		b.Run(fmt.Sprintf("workers=%d/waiting=%d/workspaces=%d", size.workers, size.waiting, size.workspaces), func(b *testing.B) {
@@ -26,8 +26,8 @@
 	}
 }
 
-// fullCell returns a cell whose workers have one core left and whose waiting
-// tasks need four. Jobs are those of some workspaces with quotas, or of none.
+// fullCell returns a cell whose workers have one core left and whose waiting tasks need four. Its
+// jobs are spread over the given number of workspaces with quotas, or belong to none.
 func fullCell(workers, waiting, workspaces int) *Cell {
 	c := New(Settings{Term: 1, Lease: time.Second, StopGrace: time.Second}, siteStart, quietLog())
 	for n := range workers {
--- a/internal/cell/closing_test.go
+++ b/internal/cell/closing_test.go
@@ -6,8 +6,8 @@
 	"gentianstand/internal/runner"
 )
 
-// Failure: after a take-over nothing was placed for four to five seconds, although all
-// workers but one answered.
+// Guards against a take-over after which nothing is placed for 4 to 5 s although only one worker is
+// unresponsive: only the tasks that were running there must wait.
 func TestOnlyTheRunsOfAnUnresponsiveWorkerWait(t *testing.T) {
 	before := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	before.report("a")
@@ -41,7 +41,7 @@
 	s.report("c")
 	starts := s.plan()
 	if len(starts) != 3 {
-		t.Errorf("%d starts beside the silent worker, want the three waiting tasks: %v", len(starts), starts)
+		t.Errorf("%d starts while worker b is unresponsive, want the 3 waiting tasks: %v", len(starts), starts)
 	}
 	if again, ok := starts[onB]; ok {
 		t.Errorf("run %d of the task on b was started", again.Start.Run)
@@ -50,11 +50,12 @@
 	s.report("a")
 	s.report("c")
 	if _, ok := s.plan()[onB]; !ok {
-		t.Error("the task on b is not started although its lease must have ended")
+		t.Error("the task on b is not started although the lease must have expired")
 	}
 }
 
-// Failure: a sound run is stopped after a take-over.
+// Guards against stopping a healthy run after a take-over because an older run of its task is
+// stored.
 func TestAReportedRunReplacesAnOlderStoredOne(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"))
 	r := s.record(1, step(1))
@@ -65,14 +66,15 @@
 	s.report("a")
 	s.plan()
 	for _, o := range s.orders {
-		t.Errorf("order %T %v", o, o)
+		t.Errorf("unexpected order %T %v", o, o)
 	}
 	if used := s.cell.workers["a"].used.MilliCPU; used != 1000 {
-		t.Errorf("a has %d booked, want 1000", used)
+		t.Errorf("%d thousandths of a core of a are accounted, want 1000", used)
 	}
 }
 
-// Failure: a task runs twice.
+// Guards against a task that runs twice: a cordoned worker is used again before it is stored as
+// uncordoned.
 func TestUncordonedWorkerGetsNothingBeforeItIsStored(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
@@ -88,6 +90,6 @@
 	}
 	s.commit()
 	if starts := s.plan(); len(starts) != 1 {
-		t.Errorf("%d starts after the store was told, want one", len(starts))
+		t.Errorf("%d starts after the commit, want 1", len(starts))
 	}
 }
--- a/internal/cell/commit_test.go
+++ b/internal/cell/commit_test.go
@@ -7,8 +7,8 @@
 	"gentianstand/internal/runner"
 )
 
-// Failure: in a slow store jobs are shown as completed seconds after their last task
-// has ended.
+// Guards against jobs that are shown as completed only seconds after their last task ended because
+// the store is slow: their progress must be stored first.
 func TestEndedJobsAreStoredFirst(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
--- a/internal/cell/condense_test.go
+++ b/internal/cell/condense_test.go
@@ -8,7 +8,7 @@
 	"gentianstand/internal/runner"
 )
 
-// endedLoad returns a load whose first job has ended and whose second one goes on.
+// endedLoad returns a load whose first job has ended and whose second one still runs.
 func endedLoad(t *testing.T) (l *load, ended, going string) {
 	l = newLoad(t, 4)
 	ended = l.submit("lookup", 0, lookup(2))
@@ -23,22 +23,22 @@
 func TestOnlyJobsThatEndedSomeTimeAgoAreCompacted(t *testing.T) {
 	l, ended, going := endedLoad(t)
 	if list := l.cell.Compact(time.Minute, l.now, 10); len(list) > 0 {
-		t.Errorf("%d jobs are condensed too early", len(list))
+		t.Errorf("%d jobs are compacted too early", len(list))
 	}
 	list := l.cell.Compact(time.Second, l.now, 10)
 	if len(list) != 1 || list[0].Record.ID != ended || !list[0].Record.Ended || len(list[0].Record.Steps) > 0 ||
 		list[0].Progress.Final != job.Completed || len(list[0].Progress.Stages) > 0 {
-		t.Fatalf("condensed are %+v", list)
+		t.Fatalf("compacted jobs: %+v", list)
 	}
 	if state, ok := l.cell.State(ended); state != job.Completed || !ok {
-		t.Errorf("the condensed job is shown as %q", state)
+		t.Errorf("the compacted job is shown as %q", state)
 	}
 	if again := l.cell.Compact(time.Second, l.now, 10); len(again) > 0 {
-		t.Error("it is condensed twice")
+		t.Error("the job is compacted twice")
 	}
 	l.cell.CompactFailed(list)
 	if again := l.cell.Compact(time.Second, l.now, 10); len(again) != 1 {
-		t.Error("it is not condensed again after it was not stored")
+		t.Error("the job is not compacted again after it could not be stored")
 	}
 	l.run(10*time.Second, nil)
 	if state, _ := l.cell.State(going); state != job.Completed {
@@ -46,7 +46,8 @@
 	}
 }
 
-// Failure: the owner ends, or a task of a job that has ended runs on.
+// Guards against an owner that crashes, or leaves a task running, when reports and advice for a
+// compacted job arrive late.
 func TestLateReportsOfACompactedJob(t *testing.T) {
 	l, ended, _ := endedLoad(t)
 	l.cell.Compact(time.Second, l.now, 10)
@@ -58,28 +59,28 @@
 	w.end("0000000000000001.0.0.0", 41, runner.Done)
 	l.run(2*time.Second, nil)
 	if _, runs := w.runs[task]; runs {
-		t.Error("a run of a job that has ended goes on")
+		t.Error("a run of a job that has ended continues")
 	}
 	if state, _ := l.cell.State(ended); state != job.Completed {
 		t.Errorf("the job is %s", state)
 	}
 }
 
-// Failure: a job that has ended runs again after a take-over.
+// Guards against a compacted job that runs again after a take-over.
 func TestCompactedJobsAreReadAsEnded(t *testing.T) {
 	r := job.EndedRecord(&job.Record{ID: "00000000000000aa", Queue: "q", Service: "desk"})
 	l := newLoad(t, 1)
 	l.cell.Load(r, &job.Progress{Final: job.Failed, EndedAtMillis: l.now.UnixMilli()})
 	if state, _ := l.cell.State(r.ID); state != job.Failed {
-		t.Errorf("read with its progress it is %q", state)
+		t.Errorf("read with its progress, the job is shown as %q", state)
 	}
 	if list := l.cell.Compact(0, l.now.Add(time.Hour), 10); len(list) > 0 {
-		t.Error("it is condensed again")
+		t.Error("the job is compacted again")
 	}
 	other := job.EndedRecord(&job.Record{ID: "00000000000000bb"})
 	l.cell.Load(other, nil)
 	l.cell.Add(other, false)
 	if state, ok := l.cell.State(other.ID); ok {
-		t.Errorf("without progress it is %q", state)
+		t.Errorf("read without progress, the job is shown as %q", state)
 	}
 }
--- a/internal/cell/copies_test.go
+++ b/internal/cell/copies_test.go
@@ -11,7 +11,7 @@
 
 var errUnresponsive = errors.New("no answer")
 
-// runOnA starts one task on worker a, beside an idle worker b.
+// runOnA starts one task on worker a while worker b is idle.
 func runOnA(t *testing.T, s *site, twice bool, maxAttempts int) StartOrder {
 	t.Helper()
 	s.report("a")
@@ -23,7 +23,7 @@
 	for _, o := range s.plan() {
 		s.confirm(o)
 		if o.Worker.ID != "a" {
-			t.Fatalf("started on %s", o.Worker.ID)
+			t.Fatalf("started on %s, want a", o.Worker.ID)
 		}
 		s.report("b")
 		return o
@@ -32,7 +32,8 @@
 	return StartOrder{}
 }
 
-// failPolls has looks at a worker fail for some time, while the other one answers.
+// failPolls has the polls of a worker fail for some time while the other one answers. It returns
+// the first starts.
 func (s *site) failPolls(worker, other string, d time.Duration) map[string]StartOrder {
 	for passed := time.Duration(0); passed < d; passed += 100 * time.Millisecond {
 		s.advance(100 * time.Millisecond)
@@ -46,26 +47,28 @@
 	return nil
 }
 
-// Failure: jobs whose tasks may run twice are 3.6 s late when a worker is lost.
+// Guards against a delay of 3.6 s, for the expiry of the lease, when a worker is lost under a task
+// that may run twice.
 func TestTaskThatMayRunTwiceDoesNotWaitForALease(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	o := runOnA(t, s, true, 3)
 	starts := s.failPolls("a", "b", time.Second)
 	if second := starts[o.Start.Task]; second.Worker.ID != "b" || second.Start.Run <= o.Start.Run {
-		t.Errorf("no copy on b within a second: %v", starts)
+		t.Errorf("no speculative run on b within a second: %v", starts)
 	}
 }
 
-// Failure: a task runs twice.
+// Guards against starting a task that must not run twice before the lease of its worker has
+// expired.
 func TestTaskThatMayNotRunTwiceWaitsForTheLease(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	runOnA(t, s, false, 3)
 	if starts := s.failPolls("a", "b", 3*time.Second); len(starts) > 0 {
-		t.Errorf("started again before the end of the lease: %v", starts)
+		t.Errorf("started again before the lease expired: %v", starts)
 	}
 }
 
-// Failure: a task that may run twice waits 0.9 s for the stop of its run.
+// Guards against a task that may run twice and waits 0.9 s for its stalled run to be stopped.
 func TestSpeculativeRunDoesNotWaitForTheStopOfAStalledRun(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	o := runOnA(t, s, true, 3)
@@ -78,14 +81,15 @@
 			continue
 		}
 		if starts[o.Start.Task].Worker.ID != "b" || !s.stops()["a"] {
-			t.Errorf("starts %v, stops %v; want a copy on b and a stop on a", starts, s.stops())
+			t.Errorf("starts %v, stops %v; want a speculative run on b and a stop on a", starts, s.stops())
 		}
 		return
 	}
-	t.Error("no copy was started")
+	t.Error("no speculative run was started")
 }
 
-// slowRun has a task on a go at a fiftieth of its estimate until it is copied.
+// slowRun has a run make progress at a fiftieth of the estimated speed until its task gets a
+// speculative run.
 func slowRun(t *testing.T, s *site, o StartOrder) StartOrder {
 	t.Helper()
 	for percent := 1; percent < 20; percent++ {
@@ -97,17 +101,18 @@
 			return copied
 		}
 	}
-	t.Fatal("the slow run was not copied")
+	t.Fatal("no speculative run was started for the slow run")
 	return StartOrder{}
 }
 
-// Failure: a slow run that was nearly done is stopped, and its task begins anew.
+// Guards against losing the progress of a slow run: it must not be stopped when the speculative run
+// starts, but only when that is done.
 func TestSlowRunAndSpeculativeRunContinueUntilOneIsDone(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	o := runOnA(t, s, true, 3)
 	second := slowRun(t, s, o)
 	if second.Worker.ID != "b" || s.stops()["a"] {
-		t.Fatalf("copy on %s, first one stopped: %v", second.Worker.ID, s.stops()["a"])
+		t.Fatalf("speculative run on %s, original run stopped: %v", second.Worker.ID, s.stops()["a"])
 	}
 	s.confirm(second)
 	s.report("b")
@@ -115,15 +120,16 @@
 	s.report("b")
 	s.plan()
 	if !s.stops()["a"] {
-		t.Error("the first run goes on after the copy is done")
+		t.Error("the original run continues after the speculative run is done")
 	}
 	s.commit()
 	if state, _ := s.cell.State(o.Task.Job); state != job.Completed {
-		t.Errorf("state %q", state)
+		t.Errorf("state %q, want completed", state)
 	}
 }
 
-// Failure: a job fails although its task succeeded.
+// Guards against a job that fails although its task succeeded: the slow run failed after the
+// speculative one was done.
 func TestFailureAfterTheSuccessOfASpeculativeRunDoesNotCount(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	s.report("a")
@@ -151,7 +157,7 @@
 	}
 }
 
-// Failure: a worker runs a task twice.
+// Guards against a speculative run on the worker that has the original run.
 func TestSpeculativeRunIsNeverPlacedOnTheSameWorker(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
@@ -165,12 +171,12 @@
 		s.advance(100 * time.Millisecond)
 		s.report("a")
 		if starts := s.plan(); len(starts) > 0 {
-			t.Fatalf("started beside itself: %v", starts)
+			t.Fatalf("started on the worker that has the original run: %v", starts)
 		}
 	}
 }
 
-// Failure: on days with slow workers short tasks take 5 s instead of 1 s.
+// Guards against short tasks that take 5 s instead of 1 s on a slow worker.
 func TestShortTaskOnASlowWorkerGetsASpeculativeRun(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	o := runOnA(t, s, true, 3)
@@ -183,10 +189,11 @@
 			return
 		}
 	}
-	t.Error("not copied within 1.2 s")
+	t.Error("no speculative run within 1.2 s")
 }
 
-// Failure: each short task runs twice, and the workers are full.
+// Guards against speculative runs of short tasks that are about to end: each of them would run
+// twice and fill the workers.
 func TestTaskThatEndsSoonGetsNoSpeculativeRun(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	o := runOnA(t, s, true, 3)
@@ -196,7 +203,7 @@
 		s.report("a")
 		s.report("b")
 		if starts := s.plan(); len(starts) > 0 {
-			t.Fatalf("copied at %d%%", 23*tick)
+			t.Fatalf("speculative run started at %d%% progress", 23*tick)
 		}
 	}
 }
--- a/internal/cell/crash_blame_test.go
+++ b/internal/cell/crash_blame_test.go
@@ -8,8 +8,8 @@
 	"gentianstand/internal/runner"
 )
 
-// A task lost three workers in a row and was not at fault: they were cut off, ran on until
-// their leases were over, and came back. It must be neither given up nor forgotten.
+// Guards against a task that fails or is lost although it is not the cause: 3 of its workers in a
+// row became unreachable, ran it until their leases expired, and then were reachable again.
 func TestAnUnreachableWorkerIsNoCrash(t *testing.T) {
 	w := newCrashWorld(t, 6)
 	id := w.submit(0, letters(1))
@@ -26,25 +26,25 @@
 		}
 	})
 	if unreachableWorkers != 3 {
-		t.Fatalf("%d workers were cut off, want 3", unreachableWorkers)
+		t.Fatalf("%d workers were unreachable, want 3", unreachableWorkers)
 	}
 	w.checkState(id, job.Completed)
 }
 
-// Workers crash by themselves: a sixth of them at once, three times, ten seconds apart. The
-// jobs that were starting there are not at fault, each time again others, and all are done.
+// Guards against failing jobs that did not cause the crashes: a sixth of the workers crash by
+// themselves at once, 3 times, 10 s apart. All jobs must complete.
 func TestJobsOnWorkersThatCrashByThemselvesDoNotFail(t *testing.T) {
 	w := newCrashWorld(t, 24)
-	strikes := 0
+	crashWaves := 0
 	others := w.runWithBackgroundJobs(50*time.Second, func() {
-		if w.now.Sub(siteStart) < time.Duration(strikes+1)*10*time.Second || strikes == 3 {
+		if w.now.Sub(siteStart) < time.Duration(crashWaves+1)*10*time.Second || crashWaves == 3 {
 			return
 		}
-		strikes++
-		struck := 0
+		crashWaves++
+		crashed := 0
 		for _, id := range w.workerIDs() {
-			if state := w.states[id]; !w.answersNothing(id) && len(w.workers[id].runs) > 0 && struck < 4 {
-				struck++
+			if state := w.states[id]; !w.answersNothing(id) && len(w.workers[id].runs) > 0 && crashed < 4 {
+				crashed++
 				state.crashAt = w.now
 			}
 		}
@@ -53,32 +53,31 @@
 		w.checkState(id, job.Completed)
 	}
 	if w.cell.stats.PoisonJobs > 0 {
-		t.Errorf("%d jobs were given up", w.cell.stats.PoisonJobs)
+		t.Errorf("%d jobs failed permanently, want none", w.cell.stats.PoisonJobs)
 	}
 }
 
-// Failure: sound jobs are given up when many workers crash by themselves, again and
-// again.
+// Guards against healthy jobs that fail when many workers crash by themselves, again and again.
 func TestCorrelatedCrashesFailNoJob(t *testing.T) {
 	for seed := range 6 {
 		w := newCrashWorld(t, 24)
 		w.rnd.Seed(int64(seed))
-		strikes := 0
+		crashWaves := 0
 		var others []string
 		w.run(30*time.Second, func() {
 			if w.now.Sub(siteStart) < 20*time.Second && w.rnd.Intn(4) == 0 {
 				others = append(others, w.submit(0, mayRunTwice(6)))
 			}
-			next := time.Duration(strikes/2+1)*2*time.Second + time.Duration(strikes%2)*400*time.Millisecond
-			if w.now.Sub(siteStart) < next || strikes == 16 {
+			next := time.Duration(crashWaves/2+1)*2*time.Second + time.Duration(crashWaves%2)*400*time.Millisecond
+			if w.now.Sub(siteStart) < next || crashWaves == 16 {
 				return
 			}
-			strikes++
+			crashWaves++
 			ids := w.workerIDs()
-			struck := 0
+			crashed := 0
 			for _, at := range w.rnd.Perm(len(ids)) {
-				if struck < 4 && !w.answersNothing(ids[at]) {
-					struck++
+				if crashed < 4 && !w.answersNothing(ids[at]) {
+					crashed++
 					w.states[ids[at]].crashAt = w.now
 				}
 			}
@@ -91,7 +90,7 @@
 	}
 }
 
-// Failure: a job is given up whose tasks only started beside a poison task.
+// Guards against a job that fails because its tasks started on the same workers as a poison task.
 func TestNeighborOfAPoisonTaskDoesNotFail(t *testing.T) {
 	for seed := range 8 {
 		w := newCrashWorld(t, 8)
@@ -117,7 +116,7 @@
 	}
 }
 
-// A start that was refused before its worker crashed counts for no task.
+// Guards against counting a crash for a task whose start the worker had refused before it crashed.
 func TestARefusedStartIsNoCrash(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	r := s.record(1, step(1))
@@ -132,8 +131,9 @@
 	}
 }
 
-// A task that may run twice became a suspect when its worker fell silent; its copy survived
-// elsewhere. That the first worker crashed then, behind a cut, does not count.
+// Guards against counting a crash for a task whose speculative run survived elsewhere: the task
+// became a suspect when its worker was unreachable, and that worker crashed before it was reachable
+// again.
 func TestSurvivingSpeculativeRunClearsTheCrashHistory(t *testing.T) {
 	w := newCrashWorld(t, 6)
 	s := mayRunTwice(1)
@@ -145,19 +145,19 @@
 	w.states[first].unreachable = true
 	w.run(time.Second, nil)
 	if task.crashes.any() {
-		t.Errorf("the task has a crash history although its copy has survived: %+v", task.crashes)
+		t.Errorf("the task has a crash history although its speculative run survived: %+v", task.crashes)
 	}
 	w.states[first].unreachable = false
 	w.states[first].crashAt = w.now
 	w.run(5*time.Second, nil)
 	if task.crashes.any() {
-		t.Errorf("the crash of the silent worker counts for the task: %+v", task.crashes)
+		t.Errorf("the crash of the unreachable worker counts for the task: %+v", task.crashes)
 	}
 	w.checkState(id, job.Completed)
 }
 
-// The owner's own link is full, and no worker answers it for half a second, again and again.
-// The workers are well: no task of theirs gets a crash history, and nothing is kept apart.
+// Guards against crash histories and isolation of tasks when the owner's own link is saturated: no
+// worker answers it for half a second, again and again, and all workers are healthy.
 func TestAnOwnerThatReachesNoWorkerSuspectsNobody(t *testing.T) {
 	w := newCrashWorld(t, 12)
 	var others []string
@@ -177,7 +177,7 @@
 		}
 	})
 	if suspects > 0 {
-		t.Error("runs became suspects while the owner reached no worker")
+		t.Error("runs became suspects while the owner could reach no worker")
 	}
 	for _, id := range others {
 		w.checkState(id, job.Completed)
--- a/internal/cell/crash_test.go
+++ b/internal/cell/crash_test.go
@@ -7,14 +7,14 @@
 	"gentianstand/internal/job"
 )
 
-// mayRunTwice is a step of short tasks that may run twice.
+// mayRunTwice returns a step of short tasks that may run twice.
 func mayRunTwice(count int) job.Step {
 	s := lookup(count)
 	s.AllowDuplicates = true
 	return s
 }
 
-// once, gang and watchers are steps of short tasks of other kinds.
+// once, gang and longRunningStep return steps of short tasks of other kinds.
 func once(count int) job.Step { return lookup(count) }
 
 func gang(count int) job.Step {
@@ -29,7 +29,7 @@
 	return s
 }
 
-// runWithBackgroundJobs lets time pass beside a stream of other jobs, and returns these.
+// runWithBackgroundJobs advances the time with a stream of other jobs, and returns these.
 func (w *crashWorld) runWithBackgroundJobs(d time.Duration, each func()) []string {
 	var others []string
 	began := w.now
@@ -44,8 +44,7 @@
 	return others
 }
 
-// Failure: a task that crashes each worker that starts it takes down one after the
-// other.
+// Guards against a task that crashes one worker after the other: it must fail permanently.
 func TestPoisonTaskFails(t *testing.T) {
 	w := newCrashWorld(t, 24)
 	poison := w.submit(0, mayRunTwice(12), 0)
@@ -74,9 +73,10 @@
 	}
 }
 
-// Failure: the same, as what is known of the crashes does not outlive other faults.
+// Guards against a poison task that is never stopped because other faults (a lost owner, a store
+// outage, late or moved restarts of workers, lost answers) erase what is known of its crashes.
 func TestCrashesAreCountedBesideOtherFaults(t *testing.T) {
-	steps := map[string]func(int) job.Step{"may run twice": mayRunTwice, "once": once, "gang": gang, "lasting": longRunningStep}
+	steps := map[string]func(int) job.Step{"may run twice": mayRunTwice, "once": once, "gang": gang, "long-running": longRunningStep}
 	faults := map[string]func(w *crashWorld) func(){
 		"none": func(*crashWorld) func() { return nil },
 		"owner lost at once, twice": func(w *crashWorld) func() {
@@ -89,21 +89,21 @@
 		},
 		"owner lost soon":  func(w *crashWorld) func() { return w.ownerLostAfter(50 * time.Millisecond) },
 		"owner lost later": func(w *crashWorld) func() { return w.ownerLostAfter(500 * time.Millisecond) },
-		"store away": func(w *crashWorld) func() {
+		"store down": func(w *crashWorld) func() {
 			return func() {
-				away := w.now.Sub(siteStart)
-				w.storeDown = away > 100*time.Millisecond && away < 15*time.Second
+				elapsed := w.now.Sub(siteStart)
+				w.storeDown = elapsed > 100*time.Millisecond && elapsed < 15*time.Second
 			}
 		},
-		"back after the lease": func(w *crashWorld) func() {
+		"restart after the lease": func(w *crashWorld) func() {
 			w.restartAfter = 5 * time.Second
 			return nil
 		},
-		"back after it is forgotten": func(w *crashWorld) func() {
+		"restart after the worker is forgotten": func(w *crashWorld) func() {
 			w.restartAfter = 12 * time.Second
 			return nil
 		},
-		"back elsewhere": func(w *crashWorld) func() {
+		"restart at another address": func(w *crashWorld) func() {
 			w.newAddress = true
 			return nil
 		},
@@ -136,19 +136,18 @@
 	}
 }
 
-// A task under which worker after worker was lost pauses before further starts from the
-// second one on.
+// From its second lost worker on, a task is started again only after a backoff.
 func TestCrashHistoryBackoff(t *testing.T) {
 	var h crashHistory
 	for n, want := range []time.Duration{0, 5 * time.Second, 10 * time.Second, 10 * time.Second} {
 		h.addUnresponsive(uint64(n+1), siteStart)
 		if h.backsOff(siteStart.Add(want)) || want > 0 && !h.backsOff(siteStart.Add(want-time.Millisecond)) {
-			t.Errorf("after %d lost workers the pause is not %v", n+1, want)
+			t.Errorf("after %d lost workers the backoff is not %v", n+1, want)
 		}
 	}
 }
 
-// Failure: many poison tasks at once take most workers down before they are given up.
+// Guards against many poison tasks at once that crash most workers before they fail.
 func TestManyPoisonTasksAreContained(t *testing.T) {
 	w := newCrashWorld(t, 48)
 	var poison, others []string
--- a/internal/cell/crash_worker_test.go
+++ b/internal/cell/crash_worker_test.go
@@ -10,17 +10,18 @@
 	"gentianstand/internal/runner"
 )
 
-// crashWorker is what befalls one life of a worker.
+// crashWorker is the fault state of one incarnation of a worker.
 type crashWorker struct {
 	crashAt   time.Time
 	restartAt time.Time
 	replaced  bool
-	// unreachable says that nothing reaches it; what runs goes on until its lease is over.
+	// unreachable is set while no call reaches the worker; its runs continue until the lease
+	// expires.
 	unreachable bool
 	lease       time.Time
 }
 
-// advanceWorker lets a worker work, end and come back.
+// advanceWorker has a worker run its tasks, crash, restart or end its runs with the lease.
 func (w *crashWorld) advanceWorker(id string) {
 	worker, state := w.workers[id], w.states[id]
 	switch {
@@ -53,7 +54,7 @@
 	}
 }
 
-// breakGangs ends the members elsewhere of gangs that have lost some.
+// breakGangs ends the members on other workers of gangs that lost some.
 func (w *crashWorld) breakGangs(lost map[string]*loadRun) {
 	broken := map[string]bool{}
 	for task := range lost {
@@ -72,7 +73,7 @@
 	}
 }
 
-// replace has a new life of a worker register at the address.
+// replace registers a new incarnation of a worker at its address.
 func (w *crashWorld) replace(id string) {
 	old := w.workers[id]
 	w.incarnations++
@@ -98,7 +99,7 @@
 	w.cell.UpdateRoster(roster.Change{Workers: []roster.Worker{r}, Removed: []string{id}}, w.now)
 }
 
-// registerLate has a worker write its entry that has not yet done so.
+// registerLate has a restarted worker write its roster entry late.
 func (w *crashWorld) registerLate() {
 	if len(w.unregistered) > 0 && w.rnd.Intn(50) == 0 {
 		w.register(w.unregistered[0])
--- a/internal/cell/crash_world_test.go
+++ b/internal/cell/crash_world_test.go
@@ -14,32 +14,32 @@
 )
 
 const (
-	// crashAfter is how long a poison task runs.
+	// crashAfter is how long a poison task runs before its worker crashes.
 	crashAfter = 10 * time.Millisecond
-	// startsAfterThreshold is the count of further starts after crashThreshold crashes that
-	// a poison task must not reach.
+	// startsAfterThreshold is the number of further starts that a poison task must not reach after
+	// crashThreshold crashes.
 	startsAfterThreshold, crashThreshold = 3, 3
 )
 
-// crashWorld is a load in which some tasks crash the worker that starts them. The worker
-// is silent then, and comes back under a new id at the same address.
+// crashWorld is a load in which poison tasks crash the workers that start them. A crashed worker is
+// unresponsive, and then registers under a new id at the same address.
 type crashWorld struct {
 	*load
-	// poisonTasks are the poison tasks, poison their jobs.
+	// poisonTasks holds the tasks that crash their workers, poisonJobs their jobs.
 	poisonTasks map[string]bool
 	poisonJobs  map[string]bool
-	// restartAfter is how long a worker is away.
+	// restartAfter is how long a crashed worker is down.
 	restartAfter time.Duration
-	// newAddress says that a worker comes back at another address; the one that it had
-	// stays silent.
+	// newAddress is set if a worker restarts at another address; its old address stays
+	// unresponsive.
 	newAddress bool
-	// sameIDs says that a worker comes back under the id that it had.
+	// sameIDs is set if a worker restarts under its old id.
 	sameIDs bool
-	// answersLost says that the start of a poison task is not answered.
+	// answersLost is set if the start of a poison task gets no answer.
 	answersLost bool
-	// storeDown says that nothing can be stored.
+	// storeDown is set while nothing can be stored.
 	storeDown bool
-	// unregistered are workers that came back and are yet to write their entries.
+	// unregistered holds restarted workers that have not written their roster entries yet.
 	unregistered []string
 	states       map[string]*crashWorker
 	incarnations int
@@ -47,8 +47,8 @@
 	progress     map[string][]byte
 	chunks       map[int][]KnownWorker
 	terms        uint64
-	// crashes counts the workers that crashed under a task, excessStarts its starts after
-	// crashesKnown of them.
+	// crashes counts, by task, the workers that crashed under it; excessStarts counts its starts
+	// after crashThreshold of them.
 	crashes, excessStarts map[string]int
 	onCrash               func()
 }
@@ -63,7 +63,7 @@
 	usual := w.runTimeOf
 	w.runTimeOf = func(id job.TaskID, worker *loadWorker) time.Duration {
 		if w.records[id.Job].Steps[id.Step].Gang && w.poisonJobs[id.Job] {
-			// Its members work only together.
+			// The members of a gang only work together, so none of them ends by itself.
 			return time.Hour
 		}
 		return usual(id, worker)
@@ -71,7 +71,7 @@
 	return w
 }
 
-// submit hands a job in; the tasks named by poison crash their workers.
+// submit adds a job; its tasks with the indexes in poison crash their workers.
 func (w *crashWorld) submit(priority int, s job.Step, poison ...int) string {
 	id := w.load.submit("q", priority, s)
 	w.records[id] = w.cell.jobs[id].record
@@ -91,7 +91,7 @@
 	}
 }
 
-// runUntilEnded lets time pass until all jobs have ended, at most for d.
+// runUntilEnded advances the time until all jobs have ended, by d at most.
 func (w *crashWorld) runUntilEnded(d time.Duration, each func()) {
 	for end := w.now.Add(d); w.now.Before(end) && len(w.cell.active) > 0; {
 		w.run(time.Second, each)
@@ -129,7 +129,7 @@
 	}
 }
 
-// store commits what has changed.
+// store commits all changes.
 func (w *crashWorld) store() {
 	if w.storeDown {
 		return
@@ -153,7 +153,7 @@
 	return data
 }
 
-// takeOver has a new owner load what is stored.
+// takeOver has a new owner load the stored state.
 func (w *crashWorld) takeOver() {
 	w.terms++
 	settings := w.cell.settings
@@ -187,17 +187,17 @@
 	return p
 }
 
-// checkPoison checks that no task was started on and on.
+// checkPoison checks that no poison task was started without limit.
 func (w *crashWorld) checkPoison() {
 	w.t.Helper()
 	for _, task := range slices.Sorted(maps.Keys(w.poisonTasks)) {
 		if w.excessStarts[task] >= startsAfterThreshold {
-			w.t.Errorf("%s was started %d times after %d workers had crashed under it, %d workers in all", task, w.excessStarts[task], crashThreshold, w.crashes[task])
+			w.t.Errorf("%s was started %d times after %d workers crashed under it, %d workers in all", task, w.excessStarts[task], crashThreshold, w.crashes[task])
 		}
 	}
 }
 
-// maxCrashesUnder returns how many workers have crashed under one task of a job at most.
+// maxCrashesUnder returns the largest number of workers that crashed under one task of a job.
 func (w *crashWorld) maxCrashesUnder(id string) int {
 	most := 0
 	for task, n := range w.crashes {
@@ -208,7 +208,7 @@
 	return most
 }
 
-// checkState checks what callers are told of a job.
+// checkState checks the state of a job that callers see.
 func (w *crashWorld) checkState(id string, want job.State) {
 	w.t.Helper()
 	if got, _ := w.cell.State(id); got != want {
--- a/internal/cell/evacuate_test.go
+++ b/internal/cell/evacuate_test.go
@@ -8,7 +8,8 @@
 	"gentianstand/internal/roster"
 )
 
-// longRunning returns a step of longRunning tasks, one on a worker, of which some may be away.
+// longRunning returns a step of long-running tasks, at most one per worker, of which mayMiss may be
+// down.
 func longRunning(count, mayMiss int) job.Step {
 	s := step(count)
 	s.LongRunning, s.MaxUnavailable, s.MaxPerWorker = true, mayMiss, 1
@@ -26,7 +27,8 @@
 	return starts
 }
 
-// reportAndPlan has workers report and the cell plan, as the owner does every few moments.
+// reportAndPlan advances the time by 100 ms, has workers report and runs a planning pass, as an
+// owner does all the time.
 func (s *site) reportAndPlan(workers ...string) map[string]StartOrder {
 	s.t.Helper()
 	s.advance(100 * time.Millisecond)
@@ -36,22 +38,23 @@
 	return s.plan()
 }
 
-// Failure: an upkeep ends tasks that were started just before.
+// Guards against maintenance that ends tasks which were started on an evacuated worker just before.
 func TestEvacuatedWorkerGetsNoNewTasks(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
 	s.cell.SetEvacuating([]string{"a"})
 	s.cell.Add(s.record(1, step(2)), true)
 	if starts := s.reportAndPlan("a"); len(starts) > 0 {
-		t.Errorf("started on a worker that is emptied: %v", starts)
+		t.Errorf("started on a worker that is being evacuated: %v", starts)
 	}
 	s.cell.SetEvacuating(nil)
 	if starts := s.reportAndPlan("a"); len(starts) != 2 {
-		t.Errorf("%d starts after the upkeep was taken back, want 2", len(starts))
+		t.Errorf("%d starts after the evacuation was cancelled, want 2", len(starts))
 	}
 }
 
-// Failure: an upkeep throws work away, or waits for a long run.
+// Guards against maintenance that loses work or waits for a long run: only long runs with a
+// checkpoint are moved.
 func TestOnlyLongRunsWithACheckpointAreMoved(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
@@ -73,11 +76,12 @@
 		t.Errorf("stopped %v, want %s alone", stopped, want)
 	}
 	if load := s.cell.WorkerLoad("a"); load.Runs != 3 || load.Protected {
-		t.Errorf("load %+v, want three runs, none protected", load)
+		t.Errorf("load %+v, want 3 runs, none protected", load)
 	}
 }
 
-// Failure: a service of several lasting tasks is gone for seconds during a wave.
+// Guards against a service of several long-running tasks that is down for seconds during a
+// maintenance wave: only as many as its budget allows may be moved at a time.
 func TestLongRunningTasksAreMovedWithinTheirBudget(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"), usualWorker("c"))
 	s.report("a")
@@ -92,21 +96,21 @@
 	s.reportAndPlan("a", "b", "c")
 	stopped := s.stops()
 	if len(stopped) != 1 {
-		t.Fatalf("stopped on %v, want one of two", stopped)
+		t.Fatalf("runs stopped on %v, want on one of two workers", stopped)
 	}
 	for id, other := range map[string]string{"a": "b", "b": "a"} {
 		if stopped[id] && !s.cell.WorkerLoad(other).Protected {
-			t.Errorf("the task on %s may be ended while the one of %s is away", other, id)
+			t.Errorf("the task on %s may be ended while the one of %s is down", other, id)
 		}
 	}
 	s.restartOn(starts, stopped, "c")
 	s.reportAndPlan("a", "b", "c")
 	if again := s.stops(); len(again) != 1 || again["c"] {
-		t.Errorf("stopped on %v after the first one is at work again, want the other one", again)
+		t.Errorf("runs stopped on %v after the first task runs again, want the other one", again)
 	}
 }
 
-// restartOn ends the stopped runs and has their tasks at work on a worker.
+// restartOn ends the stopped runs and has their tasks run on a worker.
 func (s *site) restartOn(starts map[string]StartOrder, stopped map[string]bool, worker string) {
 	s.t.Helper()
 	for _, o := range starts {
@@ -123,15 +127,16 @@
 	}
 }
 
-// Failure: an upkeep ends tasks that nobody knew of.
+// Guards against maintenance that ends tasks on a worker which has not reported yet.
 func TestWorkerThatHasNotReportedIsNotEmpty(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"), usualWorker("b"))
 	if load := s.cell.WorkerLoad("a"); load.Runs == 0 || !load.Protected {
-		t.Errorf("load %+v of a worker that was not heard", load)
+		t.Errorf("load %+v of a worker that has not reported, want protected runs", load)
 	}
 }
 
-// Failure: a take-over in the middle of a wave takes 5.3 s.
+// Guards against a take-over that takes 5.3 s in the middle of a maintenance wave because an old
+// heartbeat brings an ended worker back.
 func TestEndedWorkerDoesNotComeBackByAnOldHeartbeat(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
@@ -140,11 +145,11 @@
 	s.cell.UpdateRoster(old, s.now)
 	s.cell.SetRoster(old.Workers, s.now)
 	if ids := s.cell.WorkersToPoll(); len(ids) > 0 {
-		t.Errorf("workers %v after the end of their lives", ids)
+		t.Errorf("workers %v are known after they ended", ids)
 	}
 	s.cell.UpdateRoster(roster.Change{Removed: []string{"a"}}, s.now)
 	if len(s.cell.endedIncarnations) > 0 {
-		t.Error("it is remembered after the roster has dropped it")
+		t.Error("the ended worker is remembered after it left the roster")
 	}
 }
 
@@ -158,7 +163,7 @@
 	s.plan()
 	before := s.cell.Stats(s.now)
 	if before.Parked == 0 {
-		t.Fatal("nothing is parked")
+		t.Fatal("no worker is parked")
 	}
 	for id, w := range s.cell.workers {
 		if w.parked {
@@ -167,6 +172,6 @@
 		}
 	}
 	if after := s.cell.Stats(s.now); after.Workers != before.Workers-1 || after.Parked != before.Parked-1 {
-		t.Errorf("%d workers of which %d are parked, before %d and %d", after.Workers, after.Parked, before.Workers, before.Parked)
+		t.Errorf("%d workers of which %d are parked; before the end %d and %d", after.Workers, after.Parked, before.Workers, before.Parked)
 	}
 }
--- a/internal/cell/lasting_advice_test.go
+++ b/internal/cell/lasting_advice_test.go
@@ -8,24 +8,24 @@
 	"gentianstand/internal/runner"
 )
 
-// restartLimit is the longest time without a lasting task after its end, beside free room:
-// a question that is under way, one more, and the start.
+// restartLimit is the longest time until a long-running task restarts when there is free capacity:
+// one request for advice in progress, one more, and the start.
 const restartLimit = 3 * time.Second
 
-// firstStartLimit is the same for a lasting task that has never run.
+// firstStartLimit is the same limit for a long-running task that has never run.
 const firstStartLimit = 6 * time.Second
 
 const (
-	// overloadInterval is a pause between jobs with which more questions come than the lanes
-	// of lastingLoad serve.
+	// overloadInterval is an interval between jobs with which more requests for advice come than
+	// the slots of longRunningLoad serve.
 	overloadInterval = 80 * time.Millisecond
-	// normalInterval leaves a fifth of their time free.
+	// normalInterval leaves the slots free for a fifth of the time.
 	normalInterval = 140 * time.Millisecond
 )
 
-// longRunningLoad is a load with five lanes to the adviser, a lasting task of a queue with
-// priority 1 that has run for ten seconds, and room on all workers.
-func longRunningLoad(t *testing.T) (l *load, lasts string) {
+// longRunningLoad returns a load with 5 slots of the adviser, free capacity on all workers, and a
+// long-running task that has run for 10 s, from a queue of priority 1.
+func longRunningLoad(t *testing.T) (l *load, id string) {
 	l = newLoad(t, 8)
 	cost := &job.AdviceCost{PerCall: 500 * time.Millisecond, PerWorker: 8 * time.Millisecond, TicketTTL: 2 * time.Second}
 	l.advice = map[string]*job.AdviceCost{"watch": cost, "work": cost}
@@ -36,12 +36,12 @@
 		}
 		return 200 * time.Millisecond
 	}
-	lasts = l.submit("watch", 1, longRunning(1, 0))
+	id = l.submit("watch", 1, longRunning(1, 0))
 	l.run(10*time.Second, nil)
-	return l, lasts
+	return l, id
 }
 
-// submitEvery submits a job of a priority every so often while time passes.
+// submitEvery advances the time by d and submits a job of a priority in each interval.
 func (l *load) submitEvery(every, d time.Duration, priority int) {
 	next := l.now
 	l.run(d, func() {
@@ -63,7 +63,7 @@
 			return
 		}
 	}
-	l.t.Fatal("the lasting task does not run")
+	l.t.Fatal("the long-running task does not run")
 }
 
 // isRunning reports whether a job's only task runs.
@@ -77,41 +77,42 @@
 	return false
 }
 
-// Failure: a lasting task that had failed was not started again beside free workers while
-// other work kept the adviser busy.
+// Guards against a failed long-running task that is not restarted, although workers are free, while
+// other work keeps the adviser busy.
 func TestFailedLongRunningTaskIsAskedAboutBesideOtherWork(t *testing.T) {
 	for name, priority := range map[string]int{"more urgent": 0, "as urgent": 1, "less urgent": 2} {
 		t.Run(name, func(t *testing.T) {
-			l, lasts := longRunningLoad(t)
+			l, id := longRunningLoad(t)
 			l.submitEvery(overloadInterval, 2*time.Second, priority)
-			l.failLongRunning(lasts)
+			l.failLongRunning(id)
 			l.submitEvery(overloadInterval, restartLimit, priority)
-			if !l.isRunning(lasts) {
+			if !l.isRunning(id) {
 				l.submitEvery(overloadInterval, 20*time.Second, priority)
-				t.Errorf("not started again within %v; 20 s later: %t", restartLimit, l.isRunning(lasts))
+				t.Errorf("not restarted within %v; running 20 s later: %t", restartLimit, l.isRunning(id))
 			}
 		})
 	}
 }
 
-// Failure: a lasting task that had failed while the adviser could not be reached was
-// started again only after the work that had come meanwhile.
+// Guards against a failed long-running task that is restarted only after a backlog of other work,
+// which built up while the adviser was unreachable.
 func TestFailedLongRunningTaskIsAskedAboutBeforeABacklog(t *testing.T) {
-	l, lasts := longRunningLoad(t)
+	l, id := longRunningLoad(t)
 	l.submitEvery(normalInterval, 2*time.Second, 1)
 	l.adviser.slots.Any -= 5
 	l.submitEvery(normalInterval, 4*time.Second, 1)
 	l.adviser.slots.Any += 5
-	l.failLongRunning(lasts)
+	l.failLongRunning(id)
 	l.submitEvery(normalInterval, restartLimit, 1)
-	if !l.isRunning(lasts) {
+	if !l.isRunning(id) {
 		l.submitEvery(normalInterval, 4*time.Second, 1)
-		t.Errorf("not started again within %v; 4 s later: %t", restartLimit, l.isRunning(lasts))
+		t.Errorf("not restarted within %v; running 4 s later: %t", restartLimit, l.isRunning(id))
 	}
 }
 
-// Failure: a new owner did not start a lasting task again beside free workers, whose run and
-// worker were lost with the owner before, while other work kept the adviser busy.
+// Guards against a new owner that does not restart a long-running task, although workers are free,
+// while other work keeps the adviser busy. Its run and worker were lost together with the previous
+// owner.
 func TestLongRunningTaskOfThePreviousOwnerIsAskedAboutBesideOtherWork(t *testing.T) {
 	l, _ := longRunningLoad(t)
 	l.submitEvery(overloadInterval, 2*time.Second, 1)
@@ -121,19 +122,19 @@
 	l.submitEvery(overloadInterval, restartLimit, 1)
 	if !l.isRunning(r.ID) {
 		l.submitEvery(overloadInterval, 20*time.Second, 1)
-		t.Errorf("not started again within %v; 20 s later: %t", restartLimit, l.isRunning(r.ID))
+		t.Errorf("not restarted within %v; running 20 s later: %t", restartLimit, l.isRunning(r.ID))
 	}
 }
 
-// Failure: a lasting task that had never run was not started beside free workers while more
-// urgent work kept the adviser busy.
+// Guards against a new long-running task that is not started, although workers are free, while more
+// urgent work keeps the adviser busy.
 func TestNewLongRunningTaskIsAskedAboutBesideMoreUrgentWork(t *testing.T) {
 	l, _ := longRunningLoad(t)
 	l.submitEvery(overloadInterval, 2*time.Second, 0)
-	lasts := l.submit("watch", 1, longRunning(1, 0))
+	id := l.submit("watch", 1, longRunning(1, 0))
 	l.submitEvery(overloadInterval, firstStartLimit, 0)
-	if !l.isRunning(lasts) {
+	if !l.isRunning(id) {
 		l.submitEvery(overloadInterval, 20*time.Second, 0)
-		t.Errorf("not started within %v; 20 s later: %t", firstStartLimit, l.isRunning(lasts))
+		t.Errorf("not started within %v; running 20 s later: %t", firstStartLimit, l.isRunning(id))
 	}
 }
--- a/internal/cell/lasting_came_back_test.go
+++ b/internal/cell/lasting_came_back_test.go
@@ -10,8 +10,8 @@
 	"gentianstand/internal/roster"
 )
 
-// Failure: a lasting task does not run beside a worker with room for it that came back, as the
-// adviser is only asked again about full workers, of which it has allowed many.
+// Guards against a long-running task that stays down although a worker with free capacity has come
+// back: the adviser allows many full workers, and is asked again about these only.
 func TestLongRunningTaskAsksAboutAReturnedWorkerBesideManyFullOnes(t *testing.T) {
 	const many = 200
 	var workers []roster.Worker
@@ -30,29 +30,29 @@
 	r := s.longRunningRecord(1, 4000)
 	r.Advice = &job.AdviceCost{PerCall: 560 * time.Millisecond, PerWorker: 8 * time.Millisecond, TicketTTL: 2 * time.Second}
 	s.cell.Add(r, true)
-	hear := func() {
+	reportAll := func() {
 		for _, w := range workers {
 			s.report(w.ID)
 		}
 	}
-	if s.startsWhileAsked(30, hear) {
+	if s.startsWhileAsked(30, reportAll) {
 		t.Fatal("started on a full worker")
 	}
 	back := usualWorker("back")
 	workers = append(workers, back)
 	s.cell.SetRoster(workers, s.now)
 	s.commit()
-	if !s.startsWhileAsked(30, hear) {
-		t.Errorf("not started after 30 questions beside a worker that came back")
+	if !s.startsWhileAsked(30, reportAll) {
+		t.Errorf("not started after 30 requests for advice although a worker with free capacity came back")
 	}
 }
 
-// startsWhileAsked answers some questions to the adviser, each as late as it takes, and
-// reports whether something was started. The adviser allows all workers.
-func (s *site) startsWhileAsked(questions int, hear func()) bool {
+// startsWhileAsked answers a number of requests for advice, each after its estimated duration, and
+// reports whether a task was started. The adviser allows all workers.
+func (s *site) startsWhileAsked(questions int, reportAll func()) bool {
 	s.t.Helper()
 	for range questions {
-		hear()
+		reportAll()
 		if len(s.plan()) > 0 {
 			return true
 		}
--- a/internal/cell/lasting_crash_test.go
+++ b/internal/cell/lasting_crash_test.go
@@ -7,8 +7,8 @@
 	"gentianstand/internal/runner"
 )
 
-// Failure: a lasting task stayed away for ten seconds because it was not known whether the
-// workers that were lost under it had crashed.
+// Guards against a long-running task that is down for 10 s because it is unknown whether the
+// workers that were lost under it have crashed.
 func TestLostWorkersDoNotKeepALongRunningTaskDown(t *testing.T) {
 	s := newReportedSite(t, manyWorkers(6)...)
 	r := s.longRunningRecord(1, 2000)
@@ -27,7 +27,7 @@
 	for lost := 1; lost <= 3; lost++ {
 		o, ok := starts[r.ID+".0.0.0"]
 		if !ok {
-			t.Fatalf("not started after %d lost workers", lost-1)
+			t.Fatalf("the task was not started after %d lost workers", lost-1)
 		}
 		s.cell.StartAnswered(o, runner.Answer{}, nil, s.now)
 		delete(alive, o.Worker.ID)
@@ -40,8 +40,8 @@
 				break
 			}
 		}
-		if away := s.now.Sub(lostAt); away > maxDowntime {
-			t.Errorf("away for %v after %d lost workers", away, lost)
+		if down := s.now.Sub(lostAt); down > maxDowntime {
+			t.Errorf("the task was down for %v after %d lost workers", down, lost)
 		}
 	}
 }
--- a/internal/cell/lasting_end_test.go
+++ b/internal/cell/lasting_end_test.go
@@ -7,8 +7,8 @@
 	"gentianstand/internal/runner"
 )
 
-// Failure: a lasting task that ended by itself did not run any more, and its job was shown
-// as completed.
+// Guards against a long-running task that is not restarted after it ended by itself, and whose job
+// is shown as completed.
 func TestLongRunningTaskThatEndsAsDoneIsRestarted(t *testing.T) {
 	s := newReportedSite(t, usualWorker("a"))
 	r := s.longRunningRecord(1, 2000)
@@ -17,15 +17,15 @@
 	s.finish(o, runner.Done)
 	again, ok := s.reportAndPlan("a")[o.Start.Task]
 	if !ok || again.Start.Run <= o.Start.Run {
-		t.Errorf("not started again: %+v", again)
+		t.Errorf("not restarted with a later run: %+v", again)
 	}
 	s.commit()
 	if state, _ := s.cell.State(r.ID); state != job.Running {
-		t.Errorf("the job is shown as %s", state)
+		t.Errorf("the job is shown as %s, want running", state)
 	}
 }
 
-// Failure: a gang of lasting tasks that ended by itself did not run any more.
+// Guards against a gang of long-running tasks that is not restarted after it ended by itself.
 func TestLongRunningGangThatEndsAsDoneIsRestarted(t *testing.T) {
 	s := newReportedSite(t, usualWorker("a"))
 	r := s.longRunningRecord(1, 2000)
@@ -37,16 +37,17 @@
 	}
 	again := s.reportAndPlan("a")
 	if len(again) != 2 {
-		t.Fatalf("%d of 2 members started again", len(again))
+		t.Fatalf("%d of 2 members were restarted", len(again))
 	}
 	for task, o := range again {
 		if o.Start.Run <= starts[task].Start.Run {
-			t.Errorf("%s started again with run %d", task, o.Start.Run)
+			t.Errorf("%s was restarted with run %d, which is not a later one", task, o.Start.Run)
 		}
 	}
 }
 
-// Failure: a lasting task was started again while a run of it went on.
+// Guards against restarting a long-running task while a run of it continues: the end of an older
+// run is reported late.
 func TestLongRunningTaskThatEndsAsDoneHasOneRun(t *testing.T) {
 	s := newReportedSite(t, usualWorker("a"), usualWorker("b"))
 	o := s.startOne(s.longRunningRecord(1, 2000))
@@ -57,6 +58,6 @@
 	s.report(o.Worker.ID)
 	s.end(other, o.Start.Task, 0, runner.Done)
 	if starts := s.reportAndPlan("a", "b"); len(starts) > 0 {
-		t.Errorf("started beside a run that goes on: %v", starts)
+		t.Errorf("started while a run continues: %v", starts)
 	}
 }
--- a/internal/cell/lasting_failure_test.go
+++ b/internal/cell/lasting_failure_test.go
@@ -7,7 +7,8 @@
 	"gentianstand/internal/job"
 )
 
-// Failure: jobs waited for 6 s beside a sound worker on which lasting tasks had failed.
+// Guards against jobs that wait for 6 s for a healthy worker because long-running tasks have failed
+// on it after a long time.
 func TestLateFailuresOfLongRunningTasksDoNotCountAgainstTheWorker(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -32,7 +33,7 @@
 			}
 		}
 		if starts != test.want {
-			t.Errorf("lasting tasks fail %s: %d starts of another job, want %d", test.name, starts, test.want)
+			t.Errorf("long-running tasks fail %s: %d starts of another job, want %d", test.name, starts, test.want)
 		}
 	}
 }
--- a/internal/cell/lasting_failures_test.go
+++ b/internal/cell/lasting_failures_test.go
@@ -6,8 +6,8 @@
 	"gentianstand/internal/runner"
 )
 
-// Failure: what is stored of a lasting job grows with each failure, until the store takes no
-// row of that size any more and no progress of any job is stored.
+// Guards against progress of a long-running job that grows with each failure, until the store
+// refuses its row for its size and no progress of any job is stored.
 func TestStoredFailuresOfALongRunningTaskAreBounded(t *testing.T) {
 	const failures, most = 100, 20
 	s := newReportedSite(t, usualWorker("a"))
@@ -23,7 +23,7 @@
 			}
 		}
 		if !ok {
-			t.Fatalf("not started after %d failures", n+1)
+			t.Fatalf("the task was not restarted after %d failures", n+1)
 		}
 		s.confirm(o)
 		s.commit()
@@ -31,6 +31,6 @@
 	task := s.cell.taskByName(o.Start.Task)
 	kept := encodeAndDecode(t, task.stage.job.progress()).Stages[0].Tasks[0].FailedRuns
 	if len(kept) > most || len(task.failedOn) > most {
-		t.Errorf("%d runs are stored and %d workers kept after %d failures, want %d at most", len(kept), len(task.failedOn), failures, most)
+		t.Errorf("%d failed runs are stored and %d workers remembered after %d failures, want %d at most", len(kept), len(task.failedOn), failures, most)
 	}
 }
--- a/internal/cell/lasting_given_up_test.go
+++ b/internal/cell/lasting_given_up_test.go
@@ -8,8 +8,8 @@
 	"gentianstand/internal/runner"
 )
 
-// crashWorkersUnder crashes the workers of a lasting task one after the other, each some time
-// after the task began there, and returns the state of its job.
+// crashWorkersUnder crashes the workers of a long-running task one after the other, each some time
+// after the task started there, and returns the state of its job.
 func crashWorkersUnder(t *testing.T, crashes int, after time.Duration) job.State {
 	t.Helper()
 	s := newReportedSite(t, manyWorkers(8)...)
@@ -32,8 +32,8 @@
 	return state
 }
 
-// Failure: a lasting job was shown as failed because two workers crashed by themselves,
-// each a moment after one of its tasks had begun there.
+// Guards against a long-running job that fails because two workers crash by themselves, each
+// shortly after one of its tasks started there.
 func TestLongRunningJobDoesNotFailAfterTwoCrashes(t *testing.T) {
 	for _, after := range []time.Duration{150 * time.Millisecond, 300 * time.Millisecond, 450 * time.Millisecond} {
 		if state := crashWorkersUnder(t, 2, after); state != job.Running {
@@ -42,7 +42,7 @@
 	}
 }
 
-// Failure: a lasting task that crashes its workers is started on and on.
+// Guards against a long-running task that crashes its workers and is restarted without limit.
 func TestLongRunningTaskThatCrashesWorkersFails(t *testing.T) {
 	for _, test := range []struct {
 		crashes int
--- a/internal/cell/lasting_judge_test.go
+++ b/internal/cell/lasting_judge_test.go
@@ -9,25 +9,27 @@
 )
 
 const (
-	// maxDownSinceLastRun is how long after its last run a lasting task may be away, and roomFor for
-	// how much of that time there may have been room for two.
+	// maxDownSinceLastRun is how long a long-running task may be down after its last run. It counts
+	// as a violation only if enough capacity for two such tasks has been free for minFreeTime.
 	maxDownSinceLastRun = 9 * time.Second
 	minFreeTime         = 3 * time.Second
 )
 
-// taskDowntime is that of one lasting task.
+// taskDowntime is the downtime of one long-running task.
 type taskDowntime struct {
-	// ranAt is when it last ran; freeSince is since when there has been room for two, or zero.
+	// ranAt is when it last ran; freeSince is since when there has been free capacity for two such
+	// tasks, or zero.
 	ranAt, freeSince time.Time
 	reported         bool
 }
 
-// downtimeChecker sees from the workers which lasting tasks are away beside room for them.
+// downtimeChecker checks from the workers' side which long-running tasks are down although there is
+// free capacity for them.
 type downtimeChecker struct {
 	load  *load
 	jobs  []string
 	tasks map[string]*taskDowntime
-	// violations are the tasks that were away for too long.
+	// violations lists the tasks that were down for too long.
 	violations []string
 }
 
@@ -35,7 +37,7 @@
 	return &downtimeChecker{load: l, jobs: jobs, tasks: map[string]*taskDowntime{}}
 }
 
-// check judges this moment.
+// check checks all tasks at the present time.
 func (j *downtimeChecker) check() {
 	running := j.running()
 	for _, id := range j.jobs {
@@ -46,7 +48,7 @@
 	}
 }
 
-// running returns the tasks that workers run.
+// running returns the tasks that run on workers.
 func (j *downtimeChecker) running() map[string]bool {
 	running := map[string]bool{}
 	for _, w := range j.load.workers {
@@ -78,8 +80,8 @@
 	}
 }
 
-// freePlaces returns for how many tasks of a stage, at most two, the workers that may run it
-// have room.
+// freePlaces returns how many more tasks of a stage, at most two, fit on the workers that may run
+// it.
 func (j *downtimeChecker) freePlaces(s *stage) int64 {
 	places := int64(0)
 	for id, w := range j.load.workers {
--- a/internal/cell/lasting_load_test.go
+++ b/internal/cell/lasting_load_test.go
@@ -9,8 +9,8 @@
 	"gentianstand/internal/runner"
 )
 
-// Failure: lasting tasks that failed were away beside room for them, as questions about other
-// work took the adviser's lanes and other work the room.
+// Guards against failed long-running tasks that stay down although workers have free capacity:
+// other work takes the adviser's slots and the capacity.
 func TestFailedLongRunningTasksRestartUnderLoad(t *testing.T) {
 	const freeSlots = 3
 	for seed := range int64(2) {
@@ -25,13 +25,13 @@
 			checker.check()
 		})
 		if len(checker.violations) > 0 {
-			t.Errorf("seed %d: %d tasks were away beside room for two: %v", seed, len(checker.violations), checker.violations)
+			t.Errorf("seed %d: %d tasks were down although there was free capacity for two: %v", seed, len(checker.violations), checker.violations)
 		}
 	}
 }
 
-// newAdvisedLoad returns a load of 35 workers of which the adviser allows three in ten for a
-// stage, with lanes for slow questions.
+// newAdvisedLoad returns a load of 35 workers, of which the adviser allows 30% for a stage, with
+// some slots for slow requests.
 func newAdvisedLoad(t *testing.T, lanes int, seed int64) *load {
 	l := newLoad(t, 35)
 	l.rnd = rand.New(rand.NewSource(seed))
@@ -54,8 +54,8 @@
 	return l
 }
 
-// submitLongRunning submits jobs of six lasting tasks that need an eighth to three quarters of a
-// worker each, and returns their ids.
+// submitLongRunning submits jobs of 6 long-running tasks each, which need from an eighth to three
+// quarters of a worker, and returns their ids.
 func submitLongRunning(l *load) []string {
 	var ids []string
 	for i, milliCPU := range []int64{2000, 4000, 4000, 6000, 12000} {
@@ -68,7 +68,7 @@
 	return ids
 }
 
-// submitMixed submits, on the mean, work for three fifths of the workers' processors.
+// submitMixed submits work that needs three fifths of the workers' processors on average.
 func submitMixed(l *load) {
 	submit := func(share float64, queue string, priority, count int, milliCPU int64, estimate time.Duration) {
 		if l.rnd.Float64() >= share {
@@ -83,7 +83,7 @@
 	submit(0.027, "batch", 2, 8, 2000, 5*time.Second)
 }
 
-// failOneOf ends the run of one task of some jobs as failed, if it has one.
+// failOneOf ends the runs of a random task of the jobs as failed, if it has any.
 func failOneOf(l *load, jobs []string) {
 	task := job.TaskID{Job: jobs[l.rnd.Intn(len(jobs))], Index: l.rnd.Intn(6)}.String()
 	for _, w := range l.workers {
--- a/internal/cell/lasting_near_test.go
+++ b/internal/cell/lasting_near_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Failure: a lasting task stayed away until there was room near its data, although workers
-// elsewhere had room.
+// Guards against a long-running task that stays down until there is free capacity near its data
+// although other workers have free capacity.
 func TestLongRunningTaskDoesNotWaitForCapacityNearItsData(t *testing.T) {
 	s := twoRacks(t)
 	s.fill()
@@ -17,7 +17,7 @@
 	for len(s.reportAndPlan("near", "far")) == 0 && s.now.Sub(began) < 20*time.Second {
 		s.commit()
 	}
-	if away := s.now.Sub(began); away > maxDowntime {
-		t.Errorf("the lasting task was away for %v", away)
+	if down := s.now.Sub(began); down > maxDowntime {
+		t.Errorf("the long-running task was down for %v", down)
 	}
 }
--- a/internal/cell/lasting_parked_test.go
+++ b/internal/cell/lasting_parked_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Failure: a lasting task does not run beside parked workers with room for it, as more urgent
-// work without any room is looked at first in each planning pass.
+// Guards against a long-running task that is not started although parked workers have capacity for
+// it: each planning pass wakes workers first for more urgent work, which fits on no worker.
 func TestParkedWorkersWakeForALongRunningTaskBehindImpossibleWork(t *testing.T) {
 	s := idleSite(t, 6, 1)
 	s.startAll()
@@ -21,9 +21,9 @@
 		impossible.RequiredLabel = "none"
 		s.cell.Add(s.record(n+10, impossible), true)
 	}
-	lasting := wide(3)
-	lasting.LongRunning = true
-	r := s.record(1, lasting)
+	longRunning := wide(3)
+	longRunning.LongRunning = true
+	r := s.record(1, longRunning)
 	r.Priority = 1
 	s.cell.Add(r, true)
 	got := 0
@@ -37,6 +37,6 @@
 		s.reportAll()
 	}
 	if got != 3 {
-		t.Errorf("%d of 3 lasting tasks started within 4 s beside %d parked workers", got, s.cell.parkedCount)
+		t.Errorf("%d of 3 long-running tasks were started within 4 s while %d workers are parked", got, s.cell.parkedCount)
 	}
 }
--- a/internal/cell/lasting_reservation_test.go
+++ b/internal/cell/lasting_reservation_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Failure: a lasting task stayed away while its worker was kept for a large task, time and
-// again, although there was room beside what ran.
+// Guards against a long-running task that stays down while its worker is reserved for a large task,
+// again and again, although the worker has free capacity.
 func TestReservationsKeepNoLongRunningTaskDown(t *testing.T) {
 	s := newReportedSite(t, usualWorker("a"))
 	inTheWay := s.longRunningRecord(1, 6000)
 	s.startOne(inTheWay)
-	lasts := s.startOne(s.longRunningRecord(2, 2000))
+	start := s.startOne(s.longRunningRecord(2, 2000))
 	large := transcode()
 	large.Estimate = 30 * time.Second
 	waits := s.record(3, large)
@@ -21,5 +21,5 @@
 	if s.cell.workers["a"].reserved == nil {
 		t.Fatal("the worker is not reserved for the large task")
 	}
-	s.failAndCheckDowntime(lasts, nil, "a")
+	s.failAndCheckDowntime(start, nil, "a")
 }
--- a/internal/cell/lasting_reserve_test.go
+++ b/internal/cell/lasting_reserve_test.go
@@ -2,18 +2,18 @@
 
 import "testing"
 
-// Failure: a lasting task stayed away as long as its workers were nearly full, although
-// they had room for it.
+// Guards against a long-running task that stays down as long as its workers are nearly full,
+// although it would fit into the urgent reserve.
 func TestUrgentReserveKeepsNoLongRunningTaskDown(t *testing.T) {
 	s := newReportedSite(t, usualWorker("a"))
-	lasts := s.startOne(s.longRunningRecord(1, 400))
+	start := s.startOne(s.longRunningRecord(1, 400))
 	urgent := step(1)
 	urgent.Need.MilliCPU, urgent.LongRunning = 15200, true
 	s.startOne(s.record(2, urgent))
-	s.failAndCheckDowntime(lasts, nil, "a")
+	s.failAndCheckDowntime(start, nil, "a")
 }
 
-// Failure: a new job that lasts did not begin, for the same reason.
+// Guards against a new long-running job that is not started for the same reason.
 func TestUrgentReserveKeepsNoNewLongRunningTaskDown(t *testing.T) {
 	s := newReportedSite(t, usualWorker("a"))
 	urgent := step(1)
@@ -22,16 +22,17 @@
 	r := s.longRunningRecord(2, 400)
 	s.cell.Add(r, true)
 	if len(s.plan()) != 1 {
-		t.Error("not started although there is room")
+		t.Error("not started although there is free capacity")
 	}
 }
 
-// Failure: a lasting task stayed away because the workers of another service were full.
+// Guards against a long-running task that stays down because the workers of another service are
+// full.
 func TestReserveOfOtherServicesKeepsNoLongRunningTaskDown(t *testing.T) {
 	other := usualWorker("b")
 	other.Service, other.Capacity.MilliCPU = "studio", 160000
 	s := newReportedSite(t, usualWorker("a"), other)
-	lasts := s.startOne(s.longRunningRecord(1, 2000))
+	start := s.startOne(s.longRunningRecord(1, 2000))
 	full := step(1)
 	full.Need.MilliCPU = 160000
 	elsewhere := s.record(2, full)
@@ -40,10 +41,10 @@
 	mine := step(1)
 	mine.Need.MilliCPU = 8000
 	s.startOne(s.record(3, mine))
-	s.failAndCheckDowntime(lasts, nil, "a", "b")
+	s.failAndCheckDowntime(start, nil, "a", "b")
 }
 
-// Failure: work that ends took the processors that are kept for the most urgent queue.
+// Guards against tasks that end taking the processors that are reserved for the most urgent queue.
 func TestTheUrgentReserveIsKeptFromWorkThatEnds(t *testing.T) {
 	s := newReportedSite(t, usualWorker("a"))
 	urgent := step(1)
@@ -55,6 +56,6 @@
 	r.Priority = 1
 	s.cell.Add(r, true)
 	if starts := s.plan(); len(starts) > 0 {
-		t.Errorf("started within the reserve: %v", starts)
+		t.Errorf("started within the urgent reserve: %v", starts)
 	}
 }
--- a/internal/cell/lasting_restart_test.go
+++ b/internal/cell/lasting_restart_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Failure: after a restart of everything, urgent jobs get no answer of the adviser until it was
-// asked about all lasting tasks.
+// Guards against urgent jobs that get no advice, after a restart of all instances, until the
+// adviser was asked about all long-running tasks.
 func TestUrgentJobsAreAskedAboutBesideManyLongRunningTasks(t *testing.T) {
 	const longRunningStages, limit = 40, 2 * time.Second
 	l, _ := longRunningLoad(t)
@@ -20,6 +20,6 @@
 		l.step()
 	}
 	if took := l.now.Sub(began); took > limit {
-		t.Errorf("the urgent job began after %v, want %v at most", took, limit)
+		t.Errorf("the urgent job started after %v, want %v at most", took, limit)
 	}
 }
--- a/internal/cell/lasting_retry_test.go
+++ b/internal/cell/lasting_retry_test.go
@@ -8,17 +8,18 @@
 	"gentianstand/internal/runner"
 )
 
-// longRunningWorld is a worker with one lasting task of each of some jobs.
+// longRunningWorld is a site with one worker and several jobs of one long-running task each.
 type longRunningWorld struct {
 	*site
-	// starts are the present runs by job, and away since when a job has none.
+	// starts holds the starts of the present runs by job; downSince holds since when a job has no
+	// run.
 	starts    map[string]StartOrder
 	downSince map[string]time.Time
-	// maxDowntime is the maxDowntime time that a job's task was away for.
+	// maxDowntime is the longest time that a task was down.
 	maxDowntime time.Duration
-	// fails says that the worker fails all that it starts.
+	// fails is set while the worker fails every run.
 	fails bool
-	// countedFrom is from when on the time away counts.
+	// countedFrom is the time from which downtime counts.
 	countedFrom time.Time
 }
 
@@ -33,7 +34,7 @@
 	return w
 }
 
-// run lets time pass, in which runs begin and are at work at once.
+// run advances the time. Tasks that are started run at once.
 func (w *longRunningWorld) run(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); {
 		for _, start := range w.reportAndPlan("a") {
@@ -63,7 +64,8 @@
 	w.downSince[id] = w.now
 }
 
-// Failure: lasting tasks that failed kept each other off their sound worker for over 10 s.
+// Guards against failed long-running tasks that keep each other off their healthy worker for more
+// than 10 s.
 func TestFailedLongRunningTasksRestartOnTheirOnlyWorker(t *testing.T) {
 	w := newLongRunningWorld(t, 5)
 	w.run(5 * time.Second)
@@ -74,11 +76,11 @@
 	}
 	w.run(10 * time.Second)
 	if w.maxDowntime > 2*time.Second {
-		t.Errorf("a lasting task was away for %v beside room on a sound worker", w.maxDowntime)
+		t.Errorf("a long-running task was down for %v although a healthy worker had free capacity", w.maxDowntime)
 	}
 }
 
-// Failure: lasting tasks stayed away for six seconds after their worker was sound again.
+// Guards against long-running tasks that stay down for 6 s after their worker has recovered.
 func TestLongRunningTasksRestartSoonOnARecoveredWorker(t *testing.T) {
 	w := newLongRunningWorld(t, 4)
 	w.fails = true
@@ -86,21 +88,22 @@
 	w.fails, w.countedFrom, w.maxDowntime = false, w.now, 0
 	w.run(10 * time.Second)
 	if w.maxDowntime > 2*time.Second {
-		t.Errorf("a lasting task was away for %v after its worker was sound again", w.maxDowntime)
+		t.Errorf("a long-running task was down for %v after its worker recovered", w.maxDowntime)
 	}
 	if len(w.downSince) > 0 {
 		t.Errorf("tasks of %d jobs do not run", len(w.downSince))
 	}
 }
 
-// markAvoided has a worker avoided for the failures of several jobs.
+// markAvoided has a worker avoided because tasks of several jobs failed on it.
 func (s *site) markAvoided(id string) {
 	for n := range avoidAfterFailures {
 		s.cell.recordFailure(s.cell.workers[id], s.record(100+n, job.Step{}).ID, s.now)
 	}
 }
 
-// Failure: a task that ends used up its attempts on a worker that fails all.
+// Guards against a task that uses up its attempts on a worker that fails every run: only
+// long-running tasks may be tried there.
 func TestOnlyLongRunningTasksAreTriedOnAnAvoidedWorker(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -109,8 +112,8 @@
 		want    int
 	}{
 		{"a task that ends", step(1), false, 0},
-		{"a lasting task", longRunning(1, 0), false, 1},
-		{"a lasting task with an adviser", longRunning(1, 0), true, 1},
+		{"a long-running task", longRunning(1, 0), false, 1},
+		{"a long-running task with an adviser", longRunning(1, 0), true, 1},
 	} {
 		s := newSite(t, 1, usualWorker("a"))
 		s.report("a")
@@ -131,7 +134,8 @@
 	}
 }
 
-// Failure: a lasting task was started on a worker that fails all, beside room on a sound one.
+// Guards against starting a long-running task on a worker that fails every run while a healthy one
+// has free capacity.
 func TestLongRunningTaskPrefersAWorkerThatIsNotAvoided(t *testing.T) {
 	for _, withAdviser := range []bool{false, true} {
 		s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
@@ -152,12 +156,12 @@
 			s.advise("a", "b")
 		}
 		if len(on) != 1 || on[0] != "b" {
-			t.Errorf("with an adviser %v: started on %v, want b", withAdviser, on)
+			t.Errorf("with an adviser: %v: started on %v, want b", withAdviser, on)
 		}
 	}
 }
 
-// Failure: a lasting task was sent again and again to a worker that declines it.
+// Guards against sending a long-running task again and again to a worker that refuses it.
 func TestLongRunningTaskIsNotTriedOnAWorkerThatJustRefused(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
@@ -168,14 +172,15 @@
 	s.advance(refusalPeriod - 50*time.Millisecond)
 	s.report("a")
 	if starts := s.plan(); len(starts) > 0 {
-		t.Errorf("started right after the worker declined: %v", starts)
+		t.Errorf("started right after the worker refused: %v", starts)
 	}
 	if starts := s.reportAndPlan("a"); len(starts) != 1 {
 		t.Errorf("%d starts after the pause, want 1", len(starts))
 	}
 }
 
-// Failure: a lasting task was started on a worker that fails all, and parked ones slept on.
+// Guards against starting a long-running task on a worker that fails every run while healthy
+// workers stay parked.
 func TestParkedWorkersWakeBeforeAnAvoidedOneIsTried(t *testing.T) {
 	s := idleSite(t, 4, 1)
 	s.startAll()
@@ -196,5 +201,5 @@
 		}
 		s.commit()
 	}
-	t.Error("no start")
+	t.Error("the task was not started")
 }
--- a/internal/cell/lasting_site_test.go
+++ b/internal/cell/lasting_site_test.go
@@ -9,8 +9,8 @@
 	"gentianstand/internal/runner"
 )
 
-// maxDowntime is how long a lasting task may be away after the last failure while workers
-// have room for two like it.
+// maxDowntime is how long a long-running task may be down after the last failure while workers have
+// enough free capacity for two such tasks.
 const maxDowntime = 7 * time.Second
 
 // newReportedSite returns a site whose workers have all reported.
@@ -23,7 +23,7 @@
 	return s
 }
 
-// longRunningRecord returns a job with one lasting task of some thousandths of a core.
+// longRunningRecord returns a job with one long-running task of some thousandths of a core.
 func (s *site) longRunningRecord(n int, milliCPU int64) *job.Record {
 	watch := step(1)
 	watch.LongRunning, watch.Need.MilliCPU = true, milliCPU
@@ -42,8 +42,8 @@
 	return o
 }
 
-// downtime lets time pass until the task of a run is started again, at most for limit, and
-// returns how long that took. each, if not nil, is called before every look.
+// downtime advances the time until the task of a run is started again, by limit at most, and
+// returns how long that took. each, if not nil, is called before every poll.
 func (s *site) downtime(o StartOrder, limit time.Duration, each func(), workers ...string) time.Duration {
 	s.t.Helper()
 	began := s.now
@@ -59,11 +59,11 @@
 	return s.now.Sub(began)
 }
 
-// failAndCheckDowntime fails a run and checks that its task is not away for long.
+// failAndCheckDowntime fails a run and checks that its task restarts in time.
 func (s *site) failAndCheckDowntime(o StartOrder, each func(), workers ...string) {
 	s.t.Helper()
 	s.finish(o, runner.Failed)
-	if away := s.downtime(o, 20*time.Second, each, workers...); away > maxDowntime {
-		s.t.Errorf("the lasting task was away for %v", away)
+	if down := s.downtime(o, 20*time.Second, each, workers...); down > maxDowntime {
+		s.t.Errorf("the long-running task was down for %v", down)
 	}
 }
--- a/internal/cell/lease_test.go
+++ b/internal/cell/lease_test.go
@@ -11,7 +11,7 @@
 	"gentianstand/internal/runner"
 )
 
-// Failure: tasks of a worker that was gone for good never started again.
+// Guards against tasks that are never restarted after their worker is gone permanently.
 func TestLeaseOfAnUnresponsiveWorkerExpires(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	s.report("a")
@@ -28,23 +28,24 @@
 		s.cell.PollFailed("a", fmt.Errorf("%w: timeout", runner.ErrNoAnswer), s.now)
 		s.report("b")
 		if again, ok := s.plan()[task]; ok {
-			t.Fatalf("run %d was started %v after the last report, within the lease", again.Start.Run, s.now.Sub(lost))
+			t.Fatalf("run %d was started %v after the last report, before the lease expired", again.Start.Run, s.now.Sub(lost))
 		}
 	}
-	// The first look without an answer, after 0.2 s, may still have extended the
-	// lease by 3.5 s on a clock that is 2% slow: it must have ended after 3.83 s.
+	// The first poll without an answer, after 0.2 s, may still have extended the lease by 3.5 s on
+	// a clock that is 2% slow: it must have expired after 3.83 s.
 	s.advance(500 * time.Millisecond)
 	s.report("b")
 	again, ok := s.plan()[task]
 	if !ok {
-		t.Fatal("the task was not started again after the lease must have ended")
+		t.Fatal("the task was not started again after the lease must have expired")
 	}
 	if again.Start.Run <= first.Start.Run || again.Worker.ID != "b" {
 		t.Errorf("started as run %d on %s after run %d on a", again.Start.Run, again.Worker.ID, first.Start.Run)
 	}
 }
 
-// Failure: a task ran twice at once.
+// Guards against a task that runs twice at once: a start without an answer must be revoked before
+// the task is started again.
 func TestUnansweredStartIsRevokedBeforeTheNext(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	s.report("a")
@@ -66,7 +67,7 @@
 	}
 	s.report(first.Worker.ID)
 	if len(s.plan()) != 0 {
-		t.Fatal("a report without the run was taken as proof that it cannot begin")
+		t.Fatal("the task was started again after a report without the run, although the start may still arrive")
 	}
 	s.cell.StopAnswered(stop, runner.Answer{}, nil, s.now)
 	s.advance(time.Millisecond)
@@ -76,7 +77,7 @@
 	}
 }
 
-// Failure: a worker was told to run more than it has.
+// Guards against exceeding the capacity of a worker while starts on it are unconfirmed.
 func TestUnsettledStartsCountAgainstCapacity(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
@@ -89,12 +90,12 @@
 	s.cell.Add(s.record(2, large), true)
 	s.report("a")
 	if starts := s.plan(); len(starts) != 0 {
-		t.Errorf("started beside an unsettled start: %v", starts)
+		t.Errorf("started while the capacity is taken by an unconfirmed start: %v", starts)
 	}
 }
 
-// Failure: a task that was done ran again after the owner and the worker were lost
-// together.
+// Guards against a task that runs again after its success because owner and worker were lost
+// together: an end is acknowledged only after it is stored.
 func TestEndsAreAcknowledgedAfterTheyAreStored(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
@@ -124,8 +125,8 @@
 	}
 }
 
-// Failure: tasks of a crashed worker waited for the end of its lease although it was
-// back as a new process.
+// Guards against tasks of a crashed worker that wait for its lease to expire although a new process
+// has replaced it.
 func TestReplacedWorkerLosesItsRunsAtOnce(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	s.report("a")
@@ -140,7 +141,8 @@
 	}
 }
 
-// Failure: a task ran twice after a take-over.
+// Guards against a task that runs twice after a take-over because the previous owner extended the
+// lease.
 func TestLeaseOfThePreviousOwnerCounts(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"), usualWorker("b"))
 	r := s.record(1, step(1))
@@ -154,18 +156,17 @@
 		s.advance(200 * time.Millisecond)
 		s.report("b")
 		if again, ok := s.plan()[task]; ok {
-			t.Fatalf("run %d was started after %v, within the earlier owner's lease", again.Start.Run, s.now.Sub(found))
+			t.Fatalf("run %d was started after %v, before the previous owner's lease expired", again.Start.Run, s.now.Sub(found))
 		}
 	}
 	s.advance(600 * time.Millisecond)
 	s.report("b")
 	if _, ok := s.plan()[task]; !ok {
-		t.Error("the task was not started after that lease must have ended")
+		t.Error("the task was not started after that lease must have expired")
 	}
 }
 
-// Failure: after a take-over older tasks waited four seconds for a worker that had
-// left.
+// Guards against a take-over after which tasks of older jobs wait 4 s for a worker that has left.
 func TestWorkerThatLeftWithoutRunsIsForgottenAtOnce(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	s.report("a")
@@ -174,13 +175,13 @@
 	s.advance(watchPeriod)
 	s.plan()
 	if s.cell.workers["a"] == nil {
-		t.Fatal("a worker that answers was forgotten")
+		t.Fatal("a worker that answers was removed")
 	}
 	s.cell.PollFailed("a", runner.ErrNoAnswer, s.now)
 	s.advance(watchPeriod)
 	s.plan()
 	if s.cell.workers["a"] != nil {
-		t.Error("the worker that left is still known")
+		t.Error("the worker that left was not removed")
 	}
 	commit := s.cell.NextCommit(10)
 	if len(commit.Chunks) != 1 || commit.Chunks[0].Number != chunkOf("a") {
@@ -188,7 +189,8 @@
 	}
 }
 
-// Failure: a task is started again after its success was acknowledged.
+// Guards against a task that is started again after its success was acknowledged: a new owner
+// acknowledges ends only when no worker accepts orders of the earlier one any more.
 func TestEndsAreAcknowledgedWhenThePreviousOwnerIsFenced(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"), usualWorker("b"))
 	r := s.record(1, step(1))
@@ -198,12 +200,12 @@
 	s.plan()
 	s.commit()
 	if _, look, _ := s.cell.NextPoll("a", s.now); look.Acknowledged != 0 {
-		t.Errorf("end %d is acknowledged before b was heard", look.Acknowledged)
+		t.Errorf("end %d is acknowledged before b has reported", look.Acknowledged)
 	}
 	s.report("b")
 	s.plan()
 	s.commit()
 	if _, look, _ := s.cell.NextPoll("a", s.now); look.Acknowledged != 1 {
-		t.Errorf("end %d is acknowledged after all workers were heard, want 1", look.Acknowledged)
+		t.Errorf("end %d is acknowledged after all workers have reported, want 1", look.Acknowledged)
 	}
 }
--- a/internal/cell/load_adviser_test.go
+++ b/internal/cell/load_adviser_test.go
@@ -7,17 +7,17 @@
 	"gentianstand/internal/job"
 )
 
-// loadAdviser plays the placement adviser and the lanes to it.
+// loadAdviser simulates the placement adviser and its concurrency slots.
 type loadAdviser struct {
-	// allowedPercent is the share of the workers that may run a stage; 0 is all.
+	// allowedPercent is the percentage of workers that may run a stage; 0 means all.
 	allowedPercent uint64
-	// slots are the free ones.
+	// slots are the free concurrency slots.
 	slots AdviceSlots
-	// pending are the questions pending way.
+	// pending holds the requests in progress.
 	pending []loadQuestion
 }
 
-// ask begins a question.
+// ask starts a request for advice.
 func (l *load) ask(order AdviceOrder) {
 	quick := l.adviser.slots.Quick
 	l.adviser.slots.acquire(order.Slow)
@@ -26,7 +26,7 @@
 	})
 }
 
-// answerDue answers the questions that are due.
+// answerDue answers the requests that are due.
 func (l *load) answerDue() {
 	under := l.adviser.pending
 	l.adviser.pending = nil
@@ -44,7 +44,7 @@
 	}
 }
 
-// allows reports whether a worker may run a stage, always the same.
+// allows reports whether a worker may run a stage. The answer never changes.
 func (a *loadAdviser) allows(stage job.StageID, worker string) bool {
 	return a.allowedPercent == 0 || xxhash.Sum64String(stage.String()+"|"+worker)%100 < a.allowedPercent
 }
--- a/internal/cell/load_jobs_test.go
+++ b/internal/cell/load_jobs_test.go
@@ -7,12 +7,12 @@
 	"gentianstand/internal/job"
 )
 
-// submit hands a job in.
+// submit adds a job to the cell and returns its id.
 func (l *load) submit(queue string, priority int, steps ...job.Step) string {
 	return l.submitFor("", queue, priority, steps...)
 }
 
-// submitFor hands a job of a workspace in.
+// submitFor adds a job of a workspace to the cell and returns its id.
 func (l *load) submitFor(workspace, queue string, priority int, steps ...job.Step) string {
 	l.jobs++
 	r := &job.Record{ID: fmt.Sprintf("%016x", l.jobs), Queue: queue, Service: "desk", Workspace: workspace, Priority: priority, MaxAttempts: 4,
--- a/internal/cell/load_question_test.go
+++ b/internal/cell/load_question_test.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// loadQuestion is a question to the adviser under way.
+// loadQuestion is a request for advice in progress.
 type loadQuestion struct {
 	order AdviceOrder
-	// quick says that it took a lane for quick calls.
+	// quick is set if it occupies a slot for quick calls.
 	quick    bool
 	answerAt time.Time
 }
--- a/internal/cell/load_test.go
+++ b/internal/cell/load_test.go
@@ -9,10 +9,9 @@
 	"gentianstand/internal/roster"
 )
 
-// TestLoadUrgentBurstOnFullWorkers: load: letters fill all 48 workers, then 60
-// lookups come within two seconds. Limit: 95 of 100 start within 1.2 s, which is the
-// wait for a stop and its grace; without preemption and the reserve it is the next
-// end of a letter, up to six seconds.
+// Load: letters fill all 48 workers, then 60 lookups come within 2 s. Limit: 95% of the lookups
+// start within 1.2 s, the time for a stop and its grace period. Without preemption and the urgent
+// reserve they wait for the next end of a letter, up to 6 s.
 func TestLoadUrgentBurstOnFullWorkers(t *testing.T) {
 	l := newLoad(t, 48)
 	for range 30 {
@@ -27,13 +26,13 @@
 	})
 	l.run(4*time.Second, nil)
 	if got := percentile(l.waits(urgent), 0.95); got > 1200*time.Millisecond {
-		t.Errorf("95 of 100 lookups waited up to %v", got)
+		t.Errorf("95%% of the lookups waited up to %v", got)
 	}
 }
 
-// TestLoadLettersGoOnBesideLookups: load: lookups that need a third of the workers
-// come without end beside more letters than fit. Limit: the letters still get at
-// least half of the processors, and none of the first ten is left out.
+// Load: a continuous stream of lookups that needs a third of the workers, beside more letters than
+// fit. Limit: the letters still get at least half of the processors, so that the first 10 jobs of
+// letters complete within 30 s.
 func TestLoadLettersGoOnBesideLookups(t *testing.T) {
 	l := newLoad(t, 24)
 	var first []string
@@ -50,14 +49,13 @@
 	})
 	for _, id := range first {
 		if _, ok := l.completed[id]; !ok {
-			t.Errorf("letters %s are not complete after 30 s", id)
+			t.Errorf("job of letters %s is not completed after 30 s", id)
 		}
 	}
 }
 
-// TestLoadLargeJobsBesideSmallOnes: load: twice the work that fits, a tenth of the
-// jobs eight times as wide. Limit: the share of the wide jobs that is served is at
-// least half of that of all.
+// Load: twice the work that fits, in which one job in 10 has 8 times as many tasks. Limit: the
+// share of these wide jobs that is served is at least half of the share of all jobs.
 func TestLoadLargeJobsBesideSmallOnes(t *testing.T) {
 	l := newLoad(t, 24)
 	var wide, all []string
@@ -86,16 +84,16 @@
 		return float64(n) / float64(len(ids))
 	}
 	if len(wide) < 5 {
-		t.Fatalf("only %d wide jobs", len(wide))
+		t.Fatalf("only %d wide jobs, want 5 at least", len(wide))
 	}
 	if got, of := served(wide), served(all); got < of/2 {
-		t.Errorf("%.2f of the wide jobs are served and %.2f of all", got, of)
+		t.Errorf("a share of %.2f of the wide jobs is served, and of %.2f of all jobs", got, of)
 	}
 }
 
-// TestLoadManyJobsForOneRack: load: all jobs of a burst have their data in one rack
-// of six. Limit: no worker is given more than it has (the books are checked), all
-// complete, and jobs of other racks that come meanwhile start within 0.3 s.
+// Load: all jobs of a burst have their data in one of 6 racks. Limit: no worker gets more than its
+// capacity (checked in the cell's accounting), all jobs complete, and jobs for another rack that
+// arrive meanwhile start within 0.3 s.
 func TestLoadManyJobsForOneRack(t *testing.T) {
 	l := newLoad(t, 48)
 	near := lookup(6)
@@ -112,22 +110,22 @@
 		}
 		for id, w := range l.cell.workers {
 			if free := w.free(); free.MilliCPU < 0 {
-				t.Fatalf("%s is given %d too much", id, -free.MilliCPU)
+				t.Fatalf("worker %s is over its capacity by %d thousandths of a core", id, -free.MilliCPU)
 			}
 		}
 	})
 	l.run(4*time.Second, nil)
 	if len(l.completed) != len(l.submitted) {
-		t.Errorf("%d of %d jobs are complete", len(l.completed), len(l.submitted))
+		t.Errorf("%d of %d jobs are completed", len(l.completed), len(l.submitted))
 	}
 	if got := percentile(l.waits(others), 0.95); got > 300*time.Millisecond {
-		t.Errorf("95 of 100 jobs of the other rack waited up to %v", got)
+		t.Errorf("95%% of the jobs of the other rack waited up to %v", got)
 	}
 }
 
-// TestLoadWaveOfCancellations: load: 100 jobs wait or run on full workers, and 80 are
-// cancelled at once. Limit: nothing of them runs after the grace of a stop, and the
-// room is in use again: the 20 others complete as if they had been alone.
+// Load: 100 jobs wait or run on full workers, and 80 of them are cancelled at once. Limit: none of
+// their tasks runs after the stop grace period, and their capacity is used again: the other 20
+// complete as if they had been alone.
 func TestLoadWaveOfCancellations(t *testing.T) {
 	l := newLoad(t, 12)
 	var kept, cancelled []string
@@ -154,14 +152,13 @@
 	l.run(18*time.Second, nil)
 	for _, id := range kept {
 		if _, ok := l.completed[id]; !ok {
-			t.Errorf("job %s is not complete", id)
+			t.Errorf("job %s is not completed", id)
 		}
 	}
 }
 
-// TestLoadWorkersLeaveAtShortNotice: load: a quarter of the workers say that they
-// leave in two seconds and then are gone. Limit: every job completes, and what was
-// running there has been moved before: no run is lost with its worker.
+// Load: a quarter of the workers announce that they leave in 2 s and then are gone. Limit: every
+// job completes, and all runs were moved away before, so that none is lost with its worker.
 func TestLoadWorkersLeaveAtShortNotice(t *testing.T) {
 	l := newLoad(t, 24)
 	for range 8 {
@@ -178,18 +175,18 @@
 	l.run(2*time.Second, nil)
 	for _, r := range leaving {
 		if n := len(l.workers[r.ID].runs); n > 0 {
-			t.Errorf("%d runs are left on %s", n, r.ID)
+			t.Errorf("%d runs are left on worker %s", n, r.ID)
 		}
 		l.workers[r.ID].gone = true
 	}
 	l.run(20*time.Second, nil)
 	if len(l.completed) != len(l.submitted) {
-		t.Errorf("%d of %d jobs are complete", len(l.completed), len(l.submitted))
+		t.Errorf("%d of %d jobs are completed", len(l.completed), len(l.submitted))
 	}
 }
 
-// TestLoadWorkersThatFailEverything: load: a tenth of the workers fail all that they
-// start, and are always free. Limit: no job runs out of its four attempts.
+// Load: 2 of 24 workers fail every run at once and are therefore always free. Limit: no job uses up
+// its 4 attempts.
 func TestLoadWorkersThatFailEverything(t *testing.T) {
 	l := newLoad(t, 24)
 	for _, id := range l.workerIDs()[:2] {
@@ -208,9 +205,8 @@
 	}
 }
 
-// TestLoadSlowWorkers: load: a tenth of the workers run twelve times slower. Limit: 95
-// of 100 jobs of 0.5 s complete within 3 s; left where they are, those on slow
-// workers would take 6 s.
+// Load: 2 of 24 workers run tasks 12 times slower. Limit: 95% of the jobs of 0.5 s complete within
+// 3 s; without speculative runs those on slow workers would take 6 s.
 func TestLoadSlowWorkers(t *testing.T) {
 	l := newLoad(t, 24)
 	slow := l.workerIDs()[:2]
@@ -232,6 +228,6 @@
 	}
 	slices.Sort(took)
 	if got := percentile(took, 0.95); got > 3*time.Second || took[0] < 0 {
-		t.Errorf("95 of 100 jobs took up to %v, the fastest %v", got, took[0])
+		t.Errorf("95%% of the jobs took up to %v, the fastest %v", got, took[0])
 	}
 }
--- a/internal/cell/load_world_test.go
+++ b/internal/cell/load_world_test.go
@@ -13,33 +13,33 @@
 	"gentianstand/internal/runner"
 )
 
-// loadTick is the step of virtual time in the replays of loads.
+// loadTick is the step of virtual time in load simulations.
 const loadTick = 10 * time.Millisecond
 
-// load replays a pattern of load in virtual time: workers run what they are told
-// for as long as the test says, and everything is answered at once.
+// load simulates a load in virtual time. Workers run what they are ordered to, for as long as the
+// test specifies, and every call is answered at once.
 type load struct {
 	t       *testing.T
 	cell    *Cell
 	now     time.Time
 	rnd     *rand.Rand
 	workers map[string]*loadWorker
-	// submitted and completed are by job id.
+	// submitted and completed hold the times by job id.
 	submitted map[string]time.Time
 	completed map[string]time.Time
-	// firstStart is when a job's first task was started.
+	// firstStart holds the time of the first start of a task, by job id.
 	firstStart map[string]time.Time
-	// acknowledged are the tasks whose success a worker was told to forget; again are those
-	// of them that were started afterwards.
+	// acknowledged holds the tasks whose success was acknowledged to a worker; startedAgain lists
+	// those of them that were started afterwards.
 	acknowledged map[string]bool
 	startedAgain []string
-	// runTimeOf tells how long a task of a job really takes on a worker.
+	// runTimeOf returns how long a task takes on a worker.
 	runTimeOf func(id job.TaskID, w *loadWorker) time.Duration
 	jobs      int
-	// adviser is asked about the queues in advice.
+	// adviser is asked about the jobs of the queues in advice.
 	adviser loadAdviser
 	advice  map[string]*job.AdviceCost
-	// maxStopTime is how long a stop takes at most; 0 is 100 ms each time.
+	// maxStopTime is the longest time that a stop takes; 0 means 100 ms for each stop.
 	maxStopTime time.Duration
 }
 
@@ -48,13 +48,13 @@
 	runs     map[string]*loadRun
 	ends     []runner.End
 	sequence uint64
-	// gone says that the worker has left: it answers nothing.
+	// gone is set when the worker has left; it answers no calls.
 	gone bool
-	// failing says that it fails all that it starts.
+	// failing is set if it fails every run.
 	failing bool
 	// startedAt is when its clock showed clockAtStart.
 	startedAt time.Time
-	// downUntil is when it starts again after a crash; it answers nothing before.
+	// downUntil is when it restarts after a crash; before that it answers no calls.
 	downUntil time.Time
 }
 
@@ -63,9 +63,9 @@
 	began  time.Time
 	endsAt time.Time
 	stop   time.Time
-	// hasCheckpoint says that the run can go on elsewhere from what it has done.
+	// hasCheckpoint is set if the run can be resumed elsewhere.
 	hasCheckpoint bool
-	// resumed is what runs before it had done.
+	// resumed is the run time that earlier runs had completed.
 	resumed time.Duration
 }
 
@@ -100,7 +100,7 @@
 	return r
 }
 
-// run lets time pass; each, if not nil, is called before every step.
+// run advances the time by d; each, if not nil, is called before every step.
 func (l *load) run(d time.Duration, each func()) {
 	for end := l.now.Add(d); l.now.Before(end); {
 		if each != nil {
@@ -135,7 +135,7 @@
 
 func (l *load) workerIDs() []string { return slices.Sorted(maps.Keys(l.workers)) }
 
-// work ends what is due on a worker.
+// work ends the runs of a worker that are due.
 func (l *load) work(w *loadWorker) {
 	for _, task := range slices.Sorted(maps.Keys(w.runs)) {
 		r := w.runs[task]
@@ -154,10 +154,10 @@
 	w.endWithCheckpoint(task, run, how, "")
 }
 
-func (w *loadWorker) endWithCheckpoint(task string, run uint64, how runner.EndKind, saved string) {
+func (w *loadWorker) endWithCheckpoint(task string, run uint64, how runner.EndKind, checkpoint string) {
 	delete(w.runs, task)
 	w.sequence++
-	w.ends = append(w.ends, runner.End{Sequence: w.sequence, Task: task, Run: run, Kind: how, Checkpoint: saved})
+	w.ends = append(w.ends, runner.End{Sequence: w.sequence, Task: task, Run: run, Kind: how, Checkpoint: checkpoint})
 }
 
 func (l *load) report(w *loadWorker) {
@@ -185,7 +185,7 @@
 	l.cell.Reported(w.roster.ID, report, l.now, l.now)
 }
 
-// acknowledge has a worker acknowledge its ends up to one.
+// acknowledge removes a worker's ends up to a sequence number.
 func (l *load) acknowledge(w *loadWorker, through uint64) {
 	w.ends = slices.DeleteFunc(w.ends, func(e runner.End) bool {
 		if e.Sequence > through {
@@ -198,7 +198,8 @@
 	})
 }
 
-// deliveryError returns why an order does not reach the incarnation that is meant, or nil.
+// deliveryError returns why an order does not reach the incarnation that it is addressed to, or
+// nil.
 func (l *load) deliveryError(to runner.Target) error {
 	w := l.workers[to.ID]
 	switch {
@@ -229,7 +230,7 @@
 	}
 }
 
-// startRun has a worker carry out a start.
+// startRun has a worker carry out a start order.
 func (l *load) startRun(order StartOrder) {
 	if l.acknowledged[order.Start.Task] {
 		l.startedAgain = append(l.startedAgain, order.Start.Task)
@@ -249,7 +250,7 @@
 	return time.Duration(l.rnd.Int63n(int64(l.maxStopTime)))
 }
 
-// newRun begins a run, from its checkpoint if it has one.
+// newRun returns a run that begins now, from its checkpoint if it has one.
 func (l *load) newRun(order StartOrder, w *loadWorker) *loadRun {
 	r := &loadRun{run: order.Start.Run, began: l.now, hasCheckpoint: l.cell.jobs[order.Task.Job].record.Steps[order.Task.Step].Checkpoint}
 	if order.Start.Checkpoint != "" {
@@ -281,7 +282,7 @@
 	return list[min(len(list)-1, int(p*float64(len(list))))]
 }
 
-// letters is a long step that saves its progress, lookup a short one.
+// letters returns a long step that supports checkpoints, lookup a short one.
 func letters(count int) job.Step {
 	s := step(count)
 	s.Need.MilliCPU, s.Estimate, s.Checkpoint = 4000, 6*time.Second, true
--- a/internal/cell/long_wait_test.go
+++ b/internal/cell/long_wait_test.go
@@ -7,8 +7,8 @@
 	"gentianstand/internal/job"
 )
 
-// Failure: tasks wait for good beside workers that are nine tenths free, and neither
-// log nor metric says why.
+// Guards against tasks that wait without end while workers are nine tenths free, and neither log
+// nor metrics give a reason.
 func TestLongWaitsAreExplained(t *testing.T) {
 	large := step(1)
 	large.Need.MilliCPU = 17000
@@ -24,9 +24,9 @@
 		want    WaitReason
 	}{
 		{"a task is larger than any worker", large, false, NoWorkerFits},
-		{"advice allows none", step(1), true, AllWorkersDenied},
+		{"the adviser allows no worker", step(1), true, AllWorkersDenied},
 		{"a gang is larger than all workers", gang, false, GangTooLarge},
-		{"others use the room", full, false, WaitsForCapacity},
+		{"other tasks use the capacity", full, false, WaitsForCapacity},
 	} {
 		s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 		s.report("a")
@@ -39,12 +39,12 @@
 		s.plan()
 		s.advise()
 		if waits := s.cell.LongWaits(s.now); len(waits) > 0 {
-			t.Errorf("%s: told at once: %+v", test.name, waits)
+			t.Errorf("%s: reported at once: %+v", test.name, waits)
 		}
 		s.advance(longWaitAfter)
 		waits := s.cell.LongWaits(s.now)
 		if len(waits) != 1 || waits[0].Reason != test.want || waits[0].Waited != longWaitAfter {
-			t.Errorf("%s: %+v", test.name, waits)
+			t.Errorf("%s: %+v, want reason %v", test.name, waits, test.want)
 		}
 	}
 }
--- a/internal/cell/many_ends_test.go
+++ b/internal/cell/many_ends_test.go
@@ -10,8 +10,8 @@
 	"gentianstand/internal/runner"
 )
 
-// reportWithEndLimit is report by a worker that lists no more ends than it may at a time: the oldest
-// that are not acknowledged.
+// reportWithEndLimit has a worker report no more ends than a report may list: the oldest that are
+// not acknowledged.
 func (s *site) reportWithEndLimit(id string) {
 	acked := s.cell.workers[id].ackedEnd
 	all := slices.DeleteFunc(s.ends[id], func(e runner.End) bool { return e.Sequence <= acked })
@@ -20,14 +20,15 @@
 	s.ends[id] = all
 }
 
-// small returns a step of many tasks that fit on one worker.
+// small returns a step of tasks of which many fit on one worker.
 func small(count int) job.Step {
 	st := step(count)
 	st.Need.MilliCPU, st.Need.MemoryMiB = 10, 1
 	return st
 }
 
-// Failure: in an outage of the store tasks that had ended were started again.
+// Guards against restarting tasks that have ended: in a store outage a worker has more
+// unacknowledged ends than its report lists, so that neither the run nor its end is reported.
 func TestRunWhoseEndIsNotReportedYetIsNotLost(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
@@ -65,7 +66,8 @@
 	}
 }
 
-// Failure: a new owner started tasks again that had ended on a worker with a long list.
+// Guards against a new owner that restarts tasks which have ended on a worker with more ends than
+// its report lists.
 func TestNewOwnerWaitsForAllEndsOfAWorker(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
--- a/internal/cell/mechanism_test.go
+++ b/internal/cell/mechanism_test.go
@@ -22,12 +22,12 @@
 			t.Errorf("%q: %q, error %v", test.text, w, err)
 		}
 		if err != nil && !strings.Contains(err.Error(), "speed") {
-			t.Errorf("%q: the error does not name what is wrong: %v", test.text, err)
+			t.Errorf("%q: the error does not name the unknown mechanism: %v", test.text, err)
 		}
 	}
 }
 
-// Failure: a switch does nothing, and the mechanism is taken for worthless.
+// Guards against a switch that has no effect, which would make the mechanism look useless.
 func TestMechanismsCanBeSwitchedOff(t *testing.T) {
 	for _, test := range []struct {
 		off   Mechanism
--- a/internal/cell/model_ends_test.go
+++ b/internal/cell/model_ends_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// finishAll heals everything and waits until all jobs are shown as complete.
+// finishAll ends all faults and waits until all jobs are shown as completed.
 func (m *model) finishAll() {
 	m.takeOver(true)
 	m.faultsEnded = true
@@ -61,18 +61,18 @@
 			return
 		}
 	}
-	m.rt.Fatalf("not all jobs completed after the faults had ended")
+	m.rt.Fatalf("not all jobs completed after the faults ended")
 }
 
-// allComplete reports whether all jobs are done. One may be given up instead if two
-// workers have crashed under one of its tasks.
+// allComplete reports whether all jobs are completed. A job may have failed instead if two workers
+// crashed under one of its tasks.
 func (m *model) allComplete(o *modelOwner) bool {
 	for _, r := range m.records {
 		switch state, _ := o.cell.State(r.ID); state {
 		case job.Completed:
 		case job.Failed:
 			if !m.crashedUnder(r) {
-				m.rt.Fatalf("job %s was given up although no two workers crashed under one of its tasks", r.ID)
+				m.rt.Fatalf("job %s failed although no two workers crashed under one of its tasks", r.ID)
 			}
 		default:
 			return false
@@ -81,7 +81,7 @@
 	return true
 }
 
-// crashedUnder reports whether two workers have crashed under one task of a job.
+// crashedUnder reports whether two workers crashed under one task of a job.
 func (m *model) crashedUnder(r *job.Record) bool {
 	for task, crashes := range m.crashes {
 		if strings.HasPrefix(task, r.ID) && crashes >= maxCrashesSoleSuspect {
--- a/internal/cell/model_jobs_test.go
+++ b/internal/cell/model_jobs_test.go
@@ -8,7 +8,7 @@
 	"gentianstand/internal/job"
 )
 
-// submit stores a job; the owner of the moment is told of it, or finds it later.
+// submit stores a job. An owner gets it at once or finds it later.
 func (m *model) submit() {
 	r := &job.Record{ID: fmt.Sprintf("%016x", len(m.records)+1), Queue: "q", Service: "desk", MaxAttempts: 100, Stretch: 2, AcceptedAt: m.now,
 		Workspace: rapid.SampledFrom([]string{"", quotaWorkspace, quotaWorkspace}).Draw(m.rt, "workspace"), CatalogVersion: uint64(len(m.quotas.caps)),
@@ -19,7 +19,7 @@
 		r.Steps = append(r.Steps, second)
 	}
 	m.records = append(m.records, r)
-	if rapid.Bool().Draw(m.rt, "told") {
+	if rapid.Bool().Draw(m.rt, "notified") {
 		m.anyOwner().cell.Add(r, true)
 	}
 }
--- a/internal/cell/model_lasting_test.go
+++ b/internal/cell/model_lasting_test.go
@@ -14,24 +14,25 @@
 )
 
 const (
-	// faultFreePeriod is how long the model stays calm at the end, and lastingTick the time
-	// between two rounds of it.
+	// faultFreePeriod is how long the model runs without faults at the end; faultFreeTick is the
+	// time between two rounds of it.
 	faultFreePeriod = 12 * time.Second
 	faultFreeTick   = 40 * time.Millisecond
-	// enoughFreeCores is for how many tasks of one core the workers have room when one that
-	// may not share its worker with its sibling surely fits, too.
+	// enoughFreeCores is the number of free cores with which a task of one core fits for certain,
+	// even if it must not share a worker with its sibling.
 	enoughFreeCores = 7
 )
 
-// longRunningModel is a model in which all tasks last.
+// longRunningModel is a model in which all tasks are long-running.
 type longRunningModel struct {
 	*model
-	// downSince is from when on a task has been away beside room for two.
+	// downSince is the time since when a task has been down although workers have enough free
+	// capacity.
 	downSince map[string]time.Time
 }
 
-// Failure: after faults of any kind, with workers that never come back, a lasting task stays
-// away beside room for two.
+// Guards against a long-running task that stays down after faults of any kind, some of them crashes
+// for good, although workers have enough free capacity.
 func TestModelLongRunningTasksRestart(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := &longRunningModel{model: newModel(rt), downSince: map[string]time.Time{}}
@@ -78,7 +79,7 @@
 			w.expireLease()
 		}
 	case 1, 2, 3:
-		m.poll(o, m.workers[rapid.IntRange(0, len(m.workers)-1).Draw(m.rt, "worker")], rapid.IntRange(0, 5).Draw(m.rt, "lost look") == 0)
+		m.poll(o, m.workers[rapid.IntRange(0, len(m.workers)-1).Draw(m.rt, "worker")], rapid.IntRange(0, 5).Draw(m.rt, "lost poll") == 0)
 	case 4, 5:
 		m.plan(o, true)
 	case 6:
@@ -87,7 +88,7 @@
 	}
 }
 
-// failSomeRun ends a run by its own fault, or by its stop.
+// failSomeRun ends a run as failed, or as stopped if it has a stop order.
 func (m *longRunningModel) failSomeRun() {
 	for _, w := range m.workers {
 		if len(w.runs) == 0 {
@@ -103,7 +104,7 @@
 	}
 }
 
-// deliverLateOrders carries out the orders that are on their way.
+// deliverLateOrders delivers the delayed orders.
 func (m *longRunningModel) deliverLateOrders() {
 	for _, act := range m.lateOrders {
 		act()
@@ -111,12 +112,12 @@
 	m.lateOrders = nil
 }
 
-// endFaults ends all faults. Some of the workers that are cut off have crashed for good.
+// endFaults ends all faults. Some of the unreachable workers turn out to have crashed for good.
 func (m *longRunningModel) endFaults() {
 	m.deliverLateOrders()
 	m.faultsEnded = true
 	for _, w := range m.workers {
-		if w.repliesLost && rapid.Bool().Draw(m.rt, "gone for good") {
+		if w.repliesLost && rapid.Bool().Draw(m.rt, "crashed") {
 			m.crash(w)
 		}
 		w.repliesLost = false
@@ -129,7 +130,8 @@
 	}
 }
 
-// roundWithoutFaults lets some time pass in which everything is answered. Crashed workers are silent.
+// roundWithoutFaults advances the time by a tick in which all calls are answered. Crashed workers
+// stay unresponsive.
 func (m *longRunningModel) roundWithoutFaults() {
 	o := m.current()
 	m.now = m.now.Add(faultFreeTick)
@@ -150,9 +152,10 @@
 	m.commit(o, true)
 }
 
-// checkDowntime fails if a task has been away for long beside room for two.
+// checkDowntime fails the test if a task was down for too long although workers had enough free
+// capacity.
 func (m *longRunningModel) checkDowntime() {
-	room := m.freeCores()
+	free := m.freeCores()
 	for _, r := range m.records {
 		if state, _ := m.current().cell.State(r.ID); state == job.Failed && m.crashedUnder(r) {
 			continue
@@ -162,32 +165,32 @@
 			wanted = enoughFreeCores
 		}
 		for i := range r.Steps[0].Count {
-			m.checkTask(fmt.Sprintf("%s.0.0.%d", r.ID, i), room >= wanted)
+			m.checkTask(fmt.Sprintf("%s.0.0.%d", r.ID, i), free >= wanted)
 		}
 	}
 }
 
-func (m *longRunningModel) checkTask(task string, roomy bool) {
-	if _, runs := m.running[task]; runs || !roomy {
+func (m *longRunningModel) checkTask(task string, enoughFree bool) {
+	if _, runs := m.running[task]; runs || !enoughFree {
 		delete(m.downSince, task)
 		return
 	}
 	if m.downSince[task].IsZero() {
 		m.downSince[task] = m.now
 	}
-	if away := m.now.Sub(m.downSince[task]); away > maxDowntime {
+	if down := m.now.Sub(m.downSince[task]); down > maxDowntime {
 		list, _ := m.current().cell.DownTasks(len(m.records), m.now)
-		m.rt.Fatalf("%s was away for %v: %+v", task, away, list)
+		m.rt.Fatalf("%s was down for %v: %+v", task, down, list)
 	}
 }
 
-// freeCores returns how many more tasks of one core the workers hold.
+// freeCores returns how many more tasks of one core fit on the workers.
 func (m *longRunningModel) freeCores() int {
-	room := 0
+	free := 0
 	for _, w := range m.workers {
 		if w.alive {
-			room += int(w.roster.Capacity.MilliCPU/1000) - len(w.runs)
+			free += int(w.roster.Capacity.MilliCPU/1000) - len(w.runs)
 		}
 	}
-	return room
+	return free
 }
--- a/internal/cell/model_orders_test.go
+++ b/internal/cell/model_orders_test.go
@@ -10,7 +10,8 @@
 	"gentianstand/internal/runner"
 )
 
-// plan carries the orders out; some get no answer, some arrive late or never.
+// plan delivers the orders of a planning pass. With faults some get no answer, and some arrive late
+// or never.
 func (m *model) plan(o *modelOwner, faults bool) {
 	m.configure(o)
 	orders := o.cell.Plan(m.now, AdviceSlots{})
@@ -32,10 +33,10 @@
 	}
 }
 
-// retryOutcome is how a start ends after one more attempt, if the first one had no answer:
-// the worker may decline it and yet carry the first one out, before or after.
+// retryOutcome returns the outcome of a start after one more attempt if the first one got no
+// answer. The worker may refuse the second attempt and still run the first one, before or after it.
 func (m *model) retryOutcome(err error) error {
-	if errors.Is(err, runner.ErrNoAnswer) && rapid.Bool().Draw(m.rt, "repeat declined") {
+	if errors.Is(err, runner.ErrNoAnswer) && rapid.Bool().Draw(m.rt, "retry refused") {
 		return &runner.Refusal{Reason: runner.Unhealthy, Repeated: true}
 	}
 	return err
@@ -54,14 +55,14 @@
 			fate = 4
 		}
 		switch fate {
-		case 4: // carried out, no answer
-			_ = act(w) // nobody hears of it
+		case 4: // delivered, without an answer
+			_ = act(w) // the answer is lost
 			answer(runner.ErrNoAnswer)
-		case 5: // carried out late, no answer
-			m.lateOrders = append(m.lateOrders, func() { _ = act(w) }) // as above
+		case 5: // delivered late, without an answer
+			m.lateOrders = append(m.lateOrders, func() { _ = act(w) }) // the answer is lost
 			m.noteLateOrder()
 			answer(runner.ErrNoAnswer)
-		case 6: // never carried out
+		case 6: // never delivered
 			answer(runner.ErrNoAnswer)
 		default:
 			answer(act(w))
--- a/internal/cell/model_quotas_test.go
+++ b/internal/cell/model_quotas_test.go
@@ -12,17 +12,17 @@
 // quotaWorkspace is the workspace that has a quota.
 const quotaWorkspace = "north"
 
-// modelQuotas are the configurations of the model.
+// modelQuotas holds the configurations of the model.
 type modelQuotas struct {
-	// caps are those of the workspace in tasks, by version less one.
+	// caps holds the quota of the workspace, in tasks, by configuration version less one.
 	caps []int
-	// orderPending says that orders may still arrive, and lateFrom is the oldest version under
-	// which one of them was given.
+	// orderPending is set while delayed orders may still arrive; lateFrom is the oldest
+	// configuration version under which one of them was issued.
 	orderPending bool
 	lateFrom     int
 }
 
-// noteLateOrder notes that an order is on its way under the versions in use.
+// noteLateOrder records that an order issued under the versions in use is delayed.
 func (m *model) noteLateOrder() {
 	if from := m.oldestConfig(); !m.quotas.orderPending || from < m.quotas.lateFrom {
 		m.quotas.orderPending, m.quotas.lateFrom = true, from
@@ -34,7 +34,7 @@
 	m.quotas.caps = append(m.quotas.caps, rapid.IntRange(1, 5).Draw(m.rt, "cap"))
 }
 
-// configure tells an owner of the newest configuration, or leaves it behind.
+// configure gives an owner the newest configuration, or leaves it at the one it has.
 func (m *model) configure(o *modelOwner) {
 	if !m.faultsEnded && rapid.IntRange(0, 3).Draw(m.rt, "behind") == 0 {
 		return
@@ -44,7 +44,7 @@
 	o.cell.Configure(catalog.New(catalog.Content{Version: uint64(o.config), Workspaces: []catalog.Workspace{{Name: quotaWorkspace, Cap: limit}}}))
 }
 
-// oldestConfig is the oldest version under which an owner may act.
+// oldestConfig returns the oldest version under which an owner may act.
 func (m *model) oldestConfig() int {
 	oldest := len(m.quotas.caps)
 	for i, o := range m.owners {
@@ -55,8 +55,8 @@
 	return oldest
 }
 
-// checkQuota fails if a task that has just started brings its workspace over the highest cap
-// that may be in force.
+// checkQuota fails the test if a task that has just started brings its workspace over the highest
+// quota that may be in force.
 func (m *model) checkQuota(task string) {
 	if m.workspaceOf(task) != quotaWorkspace {
 		return
--- a/internal/cell/model_restart_test.go
+++ b/internal/cell/model_restart_test.go
@@ -13,11 +13,11 @@
 	return &modelWorker{model: m, roster: r, alive: true, startedAt: m.now, runs: map[string]*modelRun{}, highest: map[string]uint64{}}
 }
 
-// crash ends a worker's life.
+// crash ends the present incarnation of a worker.
 func (m *model) crash(w *modelWorker) {
 	w.alive = false
 	for _, e := range w.ends[w.reportedEnds:] {
-		// To everybody else the run ended with the worker.
+		// Without an acknowledgement, these runs look as if they had ended with the worker.
 		m.crashes[e.Task]++
 	}
 	for _, e := range w.ends[:w.reportedEnds] {
@@ -30,19 +30,19 @@
 	w.runs = map[string]*modelRun{}
 }
 
-// readStaleEntry has an owner read an entry of an incarnation that has ended. Only the last one
-// before the present one can still be read.
+// readStaleEntry has the owner read a roster entry of an ended incarnation. Only the latest of them
+// can still be read.
 func (m *model) readStaleEntry() {
 	if len(m.staleEntries) == 0 {
 		return
 	}
 	r := m.staleEntries[len(m.staleEntries)-1]
-	m.rt.Logf("%v stale entry of %s, born %d", m.now.Sub(siteStart), r.ID, r.Incarnation)
+	m.rt.Logf("%v stale entry of %s, incarnation %d", m.now.Sub(siteStart), r.ID, r.Incarnation)
 	m.current().cell.register(r, m.now)
 }
 
-// restart crashes one of the workers and starts it again under its id, with what its time
-// of day shows then. Its entry in the roster may come late.
+// restart crashes a worker and restarts it under its id. Its incarnation is the time of day at the
+// restart, which may have been set back. Its roster entry may come late.
 func (m *model) restart(n int) {
 	m.crash(m.workers[n])
 	r := m.workers[n].roster
@@ -54,7 +54,7 @@
 	}
 	r.Incarnation = runner.Incarnation(born.UnixMilli())
 	m.workers[n] = m.newWorker(r)
-	m.rt.Logf("%v %s starts again, born %d", m.now.Sub(siteStart), r.ID, r.Incarnation)
+	m.rt.Logf("%v %s restarts as incarnation %d", m.now.Sub(siteStart), r.ID, r.Incarnation)
 	if rapid.Bool().Draw(m.rt, "registers") {
 		m.current().cell.register(r, m.now)
 	}
--- a/internal/cell/model_test.go
+++ b/internal/cell/model_test.go
@@ -14,12 +14,11 @@
 	"gentianstand/internal/runner"
 )
 
-// TestModel plays random sequences of lost, late and answered orders and looks,
-// ends, crashes of workers, failed commits and take-overs with the overtaken
-// owner still acting, and checks after each step that no task runs twice, none
-// runs again after its success was acknowledged, and no worker gets more than it
-// has, and no workspace more than its quota. At the end everything is healed, and all jobs
-// must complete.
+// TestModel runs random sequences of lost, late and answered orders and polls, ends, worker
+// crashes, failed commits and take-overs with the superseded owner still acting. After each step it
+// checks that no task runs twice, that none runs again after its success was acknowledged, and that
+// no worker exceeds its capacity and no workspace its quota. At the end all faults are ended, and
+// all jobs must complete.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := newModel(rt)
@@ -31,39 +30,39 @@
 	})
 }
 
-// modelOwner is one owner's term.
+// modelOwner is one owner during its term.
 type modelOwner struct {
 	cell    *Cell
 	stopped bool
 	since   time.Time
-	// config is the version of the configuration that it knows.
+	// config is the configuration version that the owner has.
 	config int
 }
 
-// model is the world around the cells: workers, store, time.
+// model simulates what surrounds the cells: workers, store and time.
 type model struct {
 	rt             *rapid.T
 	now            time.Time
 	workers        []*modelWorker
 	workersCreated int
-	// faultsEnded says that nothing fails any more.
+	// faultsEnded is set when no more faults are injected.
 	faultsEnded bool
-	// restarts counts the workers that started again under their ids.
+	// restarts counts the restarts of workers under their ids.
 	restarts int
-	// unstoredEnds are the tasks of ends that a worker which has crashed since had listed to the
-	// present owner, and that are not stored for certain. They are lost with the owner.
+	// unstoredEnds holds the tasks of ends that a worker reported to the present owner before it
+	// crashed and that may not be stored. They are lost with the owner.
 	unstoredEnds []string
-	// staleEntries are the entries of incarnations that have ended.
+	// staleEntries holds the roster entries of incarnations that have ended.
 	staleEntries []roster.Worker
 	records      []*job.Record
 	stored       map[string]*job.Progress
-	// chunks are the stored known workers.
+	// chunks holds the known workers as stored.
 	chunks     map[int]WorkerChunk
 	owners     []*modelOwner
 	lateOrders []func()
 	running    map[string]string
 	done       map[string]bool
-	// crashes counts the workers that crashed under a task.
+	// crashes counts, by task, the workers that crashed under it.
 	crashes map[string]int
 	quotas  modelQuotas
 }
@@ -95,7 +94,7 @@
 	m.running[task] = w.roster.ID
 	m.checkQuota(task)
 	if used := int64(len(w.runs)) * 1000; used > w.roster.Capacity.MilliCPU {
-		m.rt.Fatalf("%s has %d of %d", w.roster.ID, used, w.roster.Capacity.MilliCPU)
+		m.rt.Fatalf("%s uses %d of %d", w.roster.ID, used, w.roster.Capacity.MilliCPU)
 	}
 }
 
@@ -111,8 +110,8 @@
 	}
 }
 
-// takeOver begins a term. The earlier owner goes on until it is told off, unless
-// its process has ended.
+// takeOver begins a term. Unless its process has ended, the previous owner continues until it is
+// notified.
 func (m *model) takeOver(earlierStopped bool) {
 	if n := len(m.owners); n > 0 {
 		m.owners[n-1].stopped = earlierStopped
@@ -122,7 +121,7 @@
 	}
 	m.unstoredEnds = nil
 	term := uint64(len(m.owners) + 1)
-	m.rt.Logf("%v term %d taken, earlier stopped %v", m.now.Sub(siteStart), term, earlierStopped)
+	m.rt.Logf("%v term %d taken, previous owner stopped %v", m.now.Sub(siteStart), term, earlierStopped)
 	c := New(Settings{Term: term, PreviousOwnerStopped: earlierStopped, Lease: 3500 * time.Millisecond, StopGrace: 900 * time.Millisecond, SpareWorkers: 1}, m.now, quietLog())
 	for _, r := range m.records {
 		c.Load(r, m.stored[r.ID])
@@ -141,20 +140,20 @@
 	m.commit(o, true)
 }
 
-// endTerm has the owner tell the next one what it knows, as far as the store answers.
+// endTerm has the owner store what it knows for the next one, if the store answers.
 func (m *model) endTerm() {
 	m.current().cell.EndTerm(m.now)
 	m.commit(m.current(), rapid.Bool().Draw(m.rt, "store answers"))
 }
 
-// current is the owner whose claim holds.
+// current returns the owner that holds the claim.
 func (m *model) current() *modelOwner { return m.owners[len(m.owners)-1] }
 
-// anyOwner is the current owner, or the one before it while that may still act.
+// anyOwner returns the current owner, or the previous one while that may still act.
 func (m *model) anyOwner() *modelOwner {
 	if n := len(m.owners); n > 1 {
 		before := m.owners[n-2]
-		if !before.stopped && m.now.Sub(m.current().since) < overtakenOwnerLimit && rapid.Bool().Draw(m.rt, "overtaken acts") {
+		if !before.stopped && m.now.Sub(m.current().since) < overtakenOwnerLimit && rapid.Bool().Draw(m.rt, "superseded acts") {
 			return before
 		}
 	}
@@ -170,7 +169,7 @@
 			w.expireLease()
 		}
 	case 1, 2, 3:
-		m.poll(o, m.workers[rapid.IntRange(0, len(m.workers)-1).Draw(m.rt, "worker")], rapid.IntRange(0, 5).Draw(m.rt, "lost look") == 0)
+		m.poll(o, m.workers[rapid.IntRange(0, len(m.workers)-1).Draw(m.rt, "worker")], rapid.IntRange(0, 5).Draw(m.rt, "lost poll") == 0)
 	case 4, 5:
 		m.plan(o, true)
 	case 6, 7:
@@ -196,7 +195,7 @@
 	case 8:
 		m.changeQuota()
 	case 0:
-		earlierStopped := rapid.Bool().Draw(m.rt, "earlier stopped")
+		earlierStopped := rapid.Bool().Draw(m.rt, "previous owner stopped")
 		if earlierStopped && rapid.Bool().Draw(m.rt, "handed over") {
 			m.endTerm()
 		}
@@ -216,7 +215,7 @@
 			m.restart(n)
 		}
 	case 3:
-		w := m.workers[rapid.IntRange(0, len(m.workers)-1).Draw(m.rt, "cut")]
+		w := m.workers[rapid.IntRange(0, len(m.workers)-1).Draw(m.rt, "replies lost")]
 		w.repliesLost = !w.repliesLost
 	case 4:
 		if n := len(m.owners); n > 1 && !m.owners[n-2].stopped {
@@ -238,12 +237,12 @@
 		return
 	}
 	report, err := w.poll(target.Incarnation, look)
-	m.rt.Logf("%v term %d: look at %s lost %v: %v %v", m.now.Sub(siteStart), o.cell.settings.Term, w.roster.ID, lost, report, err)
+	m.rt.Logf("%v term %d: poll of %s, lost %v: %v %v", m.now.Sub(siteStart), o.cell.settings.Term, w.roster.ID, lost, report, err)
 	if (lost || w.repliesLost) && w.alive {
 		err = runner.ErrNoAnswer
 	}
 	m.now = m.now.Add(2 * time.Millisecond)
-	if err == nil && !m.faultsEnded && rapid.IntRange(0, 15).Draw(m.rt, "restarts behind its report") == 0 {
+	if err == nil && !m.faultsEnded && rapid.IntRange(0, 15).Draw(m.rt, "restarts after its report") == 0 {
 		m.restart(slices.Index(m.workers, w))
 	}
 	if err != nil {
@@ -257,7 +256,7 @@
 	}
 }
 
-// lookUpJob answers an owner's question to the store about a job.
+// lookUpJob answers an owner's request to the store for a job.
 func (m *model) lookUpJob(o *modelOwner, id string) {
 	for _, r := range m.records {
 		if r.ID == id {
@@ -268,8 +267,8 @@
 	o.cell.MarkAbsent(id)
 }
 
-// commit stores progress if the owner's claim holds. Without an answer it may have
-// taken effect all the same.
+// commit stores progress if the owner holds the claim. A commit without an answer may have taken
+// effect all the same.
 func (m *model) commit(o *modelOwner, answers bool) {
 	commit := o.cell.NextCommit(10)
 	if commit == nil {
--- a/internal/cell/model_worker_test.go
+++ b/internal/cell/model_worker_test.go
@@ -9,25 +9,25 @@
 	"gentianstand/internal/runner"
 )
 
-// modelWorker plays one life of a worker exactly as the platform describes it.
+// modelWorker simulates one incarnation of a worker as the platform specifies it.
 type modelWorker struct {
 	model  *model
 	roster roster.Worker
 	alive  bool
 	// startedAt is when its clock showed 0.
 	startedAt time.Time
-	// repliesLost says that what it answers gets lost.
+	// repliesLost is set while its answers are lost.
 	repliesLost bool
 	token       uint64
 	leaseEnd    time.Duration
 	runs        map[string]*modelRun
 	highest     map[string]uint64
 	ends        []runner.End
-	// reportedEnds is how many of the ends an answer has named.
+	// reportedEnds is the number of ends that a delivered report has listed.
 	reportedEnds int
 	sequence     uint64
-	// expiredThrough is the last end before the lease was over. The platform does
-	// not count such ends as acknowledged: the task may have been started again.
+	// expiredThrough is the sequence number of the last end before the lease expired. The platform
+	// does not count such ends as acknowledged: the task may have been started again.
 	expiredThrough uint64
 }
 
@@ -36,12 +36,12 @@
 	stop bool
 }
 
-// clock is the worker's own clock, 2% slow.
+// clock returns the time on the worker's own clock, which is 2% slow.
 func (w *modelWorker) clock() time.Duration {
 	return time.Duration(float64(w.model.now.Sub(w.startedAt)) * (1 - maxClockDrift)).Truncate(time.Millisecond)
 }
 
-// expireLease ends everything when the lease is over.
+// expireLease ends all runs when the lease has expired.
 func (w *modelWorker) expireLease() {
 	if w.clock() < w.leaseEnd {
 		return
@@ -59,7 +59,7 @@
 	w.model.runEnded(w, task)
 }
 
-// poll answers a poll that was meant for one incarnation.
+// poll answers a poll that is addressed to one incarnation.
 func (w *modelWorker) poll(born runner.Incarnation, look runner.Poll) (runner.Report, error) {
 	w.expireLease()
 	if !w.alive {
--- a/internal/cell/near_test.go
+++ b/internal/cell/near_test.go
@@ -8,7 +8,8 @@
 	"gentianstand/internal/runner"
 )
 
-// twoRacks has worker near on the rack with the data, and worker far.
+// twoRacks returns a site with worker near on the rack with the data, and worker far on another
+// rack.
 func twoRacks(t *testing.T) *site {
 	t.Helper()
 	near, far := usualWorker("near"), usualWorker("far")
@@ -20,7 +21,7 @@
 	return s
 }
 
-// fill takes all room on the near worker.
+// fill starts a task that takes all capacity of the near worker.
 func (s *site) fill() StartOrder {
 	s.t.Helper()
 	full := wide(1)
@@ -34,7 +35,8 @@
 	return StartOrder{}
 }
 
-// Failure: a fifth of the tasks with their data on one rack take three times as long.
+// Guards against tasks that take 3 times as long because they run far from their data, as a fifth
+// of the tasks with data on one rack did.
 func TestStageWaitsForCapacityNearItsData(t *testing.T) {
 	s := twoRacks(t)
 	first := s.fill()
@@ -47,14 +49,14 @@
 	s.finish(first, runner.Done)
 	for _, o := range s.reportAndPlan("near", "far") {
 		if o.Worker.ID != "near" {
-			t.Errorf("started on %s", o.Worker.ID)
+			t.Errorf("started on %s, want near", o.Worker.ID)
 		}
 		return
 	}
-	t.Error("not started when there was room near its data")
+	t.Error("not started when there was free capacity near its data")
 }
 
-// Failure: many jobs want one rack, and wait while the rest of the site is idle.
+// Guards against jobs that all wait for one rack while the other workers are idle.
 func TestStageRunsFarFromItsDataAfterAWhile(t *testing.T) {
 	s := twoRacks(t)
 	s.fill()
@@ -70,15 +72,15 @@
 			return
 		}
 	}
-	t.Error("not started within what running far away costs")
+	t.Error("not started within the time that running far from the data costs")
 }
 
-// Failure: a stage waits for a rack that can never take it.
+// Guards against a stage that waits for a rack on which it can never run.
 func TestStageDoesNotWaitForARackThatCannotTakeIt(t *testing.T) {
 	for name, change := range map[string]func(*roster.Worker){
 		"too small":       func(w *roster.Worker) { w.Capacity.MilliCPU = 500 },
 		"without a label": func(w *roster.Worker) { w.Labels = nil },
-		"not there":       func(w *roster.Worker) { w.Rack = "r3" },
+		"not on the rack": func(w *roster.Worker) { w.Rack = "r3" },
 	} {
 		near, far := usualWorker("near"), usualWorker("far")
 		far.Rack = "r2"
@@ -95,7 +97,7 @@
 	}
 }
 
-// Failure: a stage has no ticket for any worker near its data.
+// Guards against a stage that gets no ticket for any worker near its data.
 func TestWorkersNearTheDataAreAskedAboutFirst(t *testing.T) {
 	workers := manyWorkers(24)
 	for i := range workers {
@@ -114,7 +116,7 @@
 	s.plan()
 	for i, id := range s.questions()[0].Workers[:3] {
 		if s.cell.workers[id].Rack != "r1" {
-			t.Errorf("asked about %s as number %d, which is far from the data", id, i+1)
+			t.Errorf("advice was requested about %s, which is far from the data, at position %d", id, i+1)
 		}
 	}
 }
--- a/internal/cell/overload_test.go
+++ b/internal/cell/overload_test.go
@@ -8,16 +8,16 @@
 	"gentianstand/internal/job"
 )
 
-// overload replays a load of lookups and letters that is some times what workers can do
-// for a while, with or without admission.
+// overload simulates a load of lookups and letters that for a while is a multiple of the workers'
+// capacity, with or without admission control.
 type overload struct {
 	*load
 	book   *admission.Controller
 	refuse bool
-	// accepted are the jobs that were taken in, refused how many were not.
+	// accepted holds the times of accepted jobs by id; refused counts refused jobs by queue.
 	accepted map[string]time.Time
 	refused  map[string]int
-	// usefulWork counts, by the second in which they ended, the tasks of jobs that were of use.
+	// usefulWork sums up, by the second in which they ended, the work of jobs that ended in time.
 	usefulWork map[int]int
 	seen       map[string]bool
 }
@@ -27,7 +27,7 @@
 		accepted: map[string]time.Time{}, refused: map[string]int{}, usefulWork: map[int]int{}, seen: map[string]bool{}}
 }
 
-// offer hands a job in if it is admitted.
+// offer submits a job if it is admitted.
 func (o *overload) offer(queue string, priority int, step job.Step) {
 	r := &job.Record{Service: "desk", Priority: priority, Stretch: 2, Target: 500 * time.Millisecond, Steps: []job.Step{step}}
 	if _, refuse := o.book.ShouldRefuse(r, o.now); refuse && o.refuse {
@@ -38,11 +38,11 @@
 	o.book.Update(o.cell.Backlogs(o.now), o.now)
 }
 
-// runAtLoad lets time pass under some times the load that fills the workers: lookups of 3
-// cores for half a second and letters of 12 cores for six seconds.
+// runAtLoad advances the time under a multiple of the load that fills the workers: lookups of 12
+// cores in all for half a second, and letters of 32 cores in all for 6 s.
 func (o *overload) runAtLoad(d time.Duration, times float64) {
 	o.run(d, func() {
-		// 24 workers of 16 cores: 384 cores. Lookups ask for a quarter, letters for the rest.
+		// 24 workers of 16 cores have 384 cores. Lookups need a quarter of them, letters the rest.
 		if o.rnd.Float64() < times*0.25*384/(2*6*0.5)*loadTick.Seconds() {
 			o.offer("lookup", 0, lookup(6))
 		}
@@ -62,7 +62,7 @@
 	})
 }
 
-// goodput returns the mean work a second that ended in a time in which it was of use.
+// goodput returns the mean work per second that ended in time.
 func (o *overload) goodput(from, to time.Time) float64 {
 	sum, seconds := 0, 0
 	for s := int(from.Sub(siteStart) / time.Second); s < int(to.Sub(siteStart)/time.Second); s++ {
@@ -72,8 +72,7 @@
 	return float64(sum) / float64(seconds)
 }
 
-// Failure: callers' jobs are accepted, and end minutes later or when nobody waits any
-// more.
+// Guards against accepting jobs that end minutes later, or when no caller waits for them any more.
 func TestLoadBeyondCapacityIsRefusedAndTheRestIsInTime(t *testing.T) {
 	for _, times := range []float64{2, 5} {
 		o := newOverload(t, true)
@@ -83,18 +82,18 @@
 		o.runAtLoad(40*time.Second, times)
 		over := o.goodput(began.Add(10*time.Second), o.now)
 		if over < 0.8*calm {
-			t.Errorf("%v times the load: work in time falls to %.2f of what it was", times, over/calm)
+			t.Errorf("%v times the load: work that ends in time falls to a share of %.2f of what it was", times, over/calm)
 		}
 		if o.refused["letters"] == 0 {
 			t.Errorf("%v times the load: nothing was refused", times)
 		}
 		if times*0.25 < 1 && o.refused["lookup"] > 0 {
-			t.Errorf("%v times the load: %d lookups were refused, which fit", times, o.refused["lookup"])
+			t.Errorf("%v times the load: %d lookups were refused although they fit", times, o.refused["lookup"])
 		}
 		normal := o.now
 		o.runAtLoad(45*time.Second, 0.5)
 		if n := o.open(normal); n > 0 {
-			t.Errorf("%v times the load: %d jobs of that time are not done 45 s after it", times, n)
+			t.Errorf("%v times the load: %d jobs accepted during the overload are not completed 45 s after it", times, n)
 		}
 		var after []string
 		for id, at := range o.accepted {
@@ -103,12 +102,12 @@
 			}
 		}
 		if got := percentile(o.waits(after), 0.95); got > 500*time.Millisecond {
-			t.Errorf("%v times the load: 5 s after it 95 of 100 lookups still wait up to %v", times, got)
+			t.Errorf("%v times the load: 95%% of the lookups still wait up to %v 5 s after the overload", times, got)
 		}
 	}
 }
 
-// open returns how many jobs that were accepted before a time are not done.
+// open returns how many jobs that were accepted before a time are not completed.
 func (o *overload) open(before time.Time) int {
 	n := 0
 	for id, at := range o.accepted {
@@ -119,8 +118,7 @@
 	return n
 }
 
-// Load as above. Without a limit the accepted work waits for minutes; this is what the
-// limit is for.
+// The same load without a limit: the accepted work waits for minutes.
 func TestLoadBeyondCapacityQueuesUpWithoutALimit(t *testing.T) {
 	o := newOverload(t, false)
 	o.runAtLoad(20*time.Second, 0.9)
@@ -131,11 +129,12 @@
 		longest = max(longest, b.Wait)
 	}
 	if longest < time.Minute {
-		t.Errorf("the longest of %v is %v", backlogs, longest)
+		t.Errorf("the longest wait of %v is %v, want a minute at least", backlogs, longest)
 	}
 }
 
-// Failure: an instance refuses jobs although workers are idle.
+// Guards against refusing jobs while workers are idle: work that fits on no worker must not count
+// as backlog.
 func TestImpossibleWorkIsNoBacklog(t *testing.T) {
 	l := newLoad(t, 8)
 	huge := lookup(50)
@@ -145,7 +144,7 @@
 	}
 	l.run(time.Second, nil)
 	if got := l.cell.Backlogs(l.now); len(got) > 0 {
-		t.Errorf("%v beside idle workers", got)
+		t.Errorf("backlogs %v while workers are idle", got)
 	}
 	for range 16 {
 		l.submit("letters", 2, letters(2))
@@ -153,7 +152,7 @@
 	l.run(time.Second, nil)
 	for _, b := range l.cell.Backlogs(l.now) {
 		if b.Wait > 7*time.Second {
-			t.Errorf("%v, of which nothing but 32 letters on 8 workers counts", b)
+			t.Errorf("backlog %v, want no more than the wait of 32 letters on 8 workers", b)
 		}
 	}
 }
--- a/internal/cell/owners_in_a_row_test.go
+++ b/internal/cell/owners_in_a_row_test.go
@@ -9,7 +9,8 @@
 	"gentianstand/internal/runner"
 )
 
-// advanceUnresponsive lets time pass while a worker answers no look, and the others do.
+// advanceUnresponsive advances the time while a worker answers no poll and the others do. It
+// returns the starts.
 func (s *site) advanceUnresponsive(id string, d time.Duration, others ...string) map[string]StartOrder {
 	started := map[string]StartOrder{}
 	for end := s.now.Add(d); s.now.Before(end); {
@@ -44,7 +45,8 @@
 	s.cell.WorkersLoaded()
 }
 
-// Failure: a task runs twice after two take-overs beside a worker that is cut off.
+// Guards against a task that runs twice after two take-overs while a worker is unreachable: an
+// owner that got no report from a worker must not store that nothing runs there.
 func TestOwnerWithoutAReportFromAWorkerStoresNoRunsOfIt(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	s.report("a")
@@ -63,11 +65,11 @@
 	}
 	s.takeOver(r, "a", "b")
 	if again, ok := s.advanceUnresponsive("a", lease.Sub(s.now), "b")[task]; ok {
-		t.Errorf("run %d was started on %s while run %d may go on on a", again.Start.Run, again.Worker.ID, first.Start.Run)
+		t.Errorf("run %d was started on %s while run %d may continue on a", again.Start.Run, again.Worker.ID, first.Start.Run)
 	}
 }
 
-// handOver has an owner end its term and the next one load a job and the known workers.
+// handOver has an owner end its term, and the next one load a job and the known workers.
 func (s *site) handOver(r *job.Record, workers ...string) {
 	s.cell.EndTerm(s.now)
 	s.commit()
@@ -75,11 +77,11 @@
 	s.takeOver(r, workers...)
 }
 
-// startLongRunningOn has the first owner start a lasting task on a worker.
+// startLongRunningOn has the first owner start a long-running task on a worker.
 func (s *site) startLongRunningOn(id string) (r *job.Record, task string) {
-	lasting := step(1)
-	lasting.LongRunning = true
-	r = s.record(1, lasting)
+	longRunning := step(1)
+	longRunning.LongRunning = true
+	r = s.record(1, longRunning)
 	s.report(id)
 	s.cell.Add(r, true)
 	task = r.ID + ".0.0.0"
@@ -89,8 +91,8 @@
 	return r, task
 }
 
-// timeToStart returns how long it takes until a task is started while a worker is silent
-// and owners hand the cell over, the first time after some time and then again and again.
+// timeToStart returns how long it takes until a task is started while a worker is unresponsive and
+// the cell is handed over, the first time after first and then after each interval of again.
 func (s *site) timeToStart(task, silent string, first, again time.Duration, r *job.Record) time.Duration {
 	began := s.now
 	next := began.Add(first)
@@ -106,10 +108,11 @@
 	return s.now.Sub(began)
 }
 
-// Failure: a lasting task of a crashed worker stays away as long as owners hand the cell over.
+// Guards against a long-running task of a crashed worker that stays down as long as the cell is
+// handed over.
 func TestLeaseOfAnUnresponsiveWorkerIsNotExtendedByHandOvers(t *testing.T) {
 	const losses = 500 * time.Millisecond
-	for name, first := range map[string]time.Duration{"heard before": time.Second, "never heard": 0} {
+	for name, first := range map[string]time.Duration{"reported before": time.Second, "never reported": 0} {
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 			r, task := s.startLongRunningOn("a")
@@ -121,14 +124,14 @@
 				t.Errorf("started after %v, want %v at most", took, limit)
 			}
 			if took < lease {
-				t.Errorf("started after %v, within the lease of %v on a slow clock", took, lease)
+				t.Errorf("started after %v, before the lease of %v expired on a slow clock", took, lease)
 			}
 		})
 	}
 }
 
-// Failure: a task runs twice, as an owner that was lost had extended a lease of which the one
-// before it had told the end.
+// Guards against a task that runs twice: an owner has stored when a lease expires, the next one has
+// extended the lease and was lost.
 func TestStoredLeaseEndCountsOnlyFromTheLastOwner(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	r, task := s.startLongRunningOn("a")
@@ -139,17 +142,17 @@
 	lease := s.now.Add(s.cell.settings.Lease)
 	s.takeOver(r, "a", "b")
 	if again, ok := s.advanceUnresponsive("a", lease.Sub(s.now), "b")[task]; ok {
-		t.Errorf("run %d was started on %s within the lease on a", again.Start.Run, again.Worker.ID)
+		t.Errorf("run %d was started on %s before the lease of a expired", again.Start.Run, again.Worker.ID)
 	}
 }
 
-// Failure: a lasting task under which workers were lost stays away as long as owners follow
-// one another.
+// Guards against a long-running task that stays down as long as owners change, because each of them
+// restarts the crash backoff.
 func TestCrashBackoffIsNotRestartedByANewOwner(t *testing.T) {
 	s := newSite(t, 1, usualWorker("b"))
-	lasting := step(1)
-	lasting.LongRunning = true
-	r := s.record(1, lasting)
+	longRunning := step(1)
+	longRunning.LongRunning = true
+	r := s.record(1, longRunning)
 	s.cell.Add(r, true)
 	j := s.cell.jobs[r.ID]
 	crashes := &j.stages[0].tasks[0].crashes
@@ -192,13 +195,13 @@
 	return read
 }
 
-// Failure: a lasting task stays away for an hour after a take-over, as the earlier owner's
-// time of day was an hour ahead.
+// Guards against a long-running task that is in backoff for an hour after a take-over because the
+// previous owner's time of day was an hour ahead.
 func TestCrashBackoffIsBoundedWhenClocksJump(t *testing.T) {
 	for name, c := range map[string]struct{ ahead, want time.Duration }{
 		"an hour ahead":  {time.Hour, shortBackoff},
 		"an hour behind": {-time.Hour, 0},
-		"not kept":       {0, shortBackoff},
+		"not stored":     {0, shortBackoff},
 	} {
 		millis := int64(0)
 		if c.ahead != 0 {
@@ -206,10 +209,10 @@
 		}
 		h := crashHistory{unresponsive: []uint64{1, 2}, lostAt: lostAtFrom(millis, siteStart)}
 		if h.backsOff(siteStart.Add(c.want)) {
-			t.Errorf("%s: pauses after %v", name, c.want)
+			t.Errorf("%s: in backoff after %v", name, c.want)
 		}
 		if c.want > 0 && !h.backsOff(siteStart.Add(c.want-time.Millisecond)) {
-			t.Errorf("%s: does not pause for %v", name, c.want)
+			t.Errorf("%s: not in backoff for %v", name, c.want)
 		}
 	}
 }
--- a/internal/cell/pacing_test.go
+++ b/internal/cell/pacing_test.go
@@ -7,9 +7,9 @@
 	"gentianstand/internal/runner"
 )
 
-// startServingAndBestEffort starts a serving task with a tail target of 100 ms and a task that
-// fills beside it on one worker, and returns their starts.
-func startServingAndBestEffort(t *testing.T, s *site) (serving, filling StartOrder) {
+// startServingAndBestEffort starts a latency-sensitive task with a tail target of 100 ms and a
+// best-effort task on one worker, and returns their starts.
+func startServingAndBestEffort(t *testing.T, s *site) (serving, bestEffort StartOrder) {
 	t.Helper()
 	s.report("a")
 	serve, fill := step(1), step(1)
@@ -23,14 +23,14 @@
 	return starts["0000000000000001.0.0.0"], starts["0000000000000001.0.1.0"]
 }
 
-// reportTail has the serving task report the reportTail of its response times, and returns the
-// pace that is ordered then, or -1.
-func (s *site) reportTail(serving, filling StartOrder, ms float64) int {
+// reportTail has the latency-sensitive task report the tail of its response times. It returns the
+// throttle percentage that is ordered then, or -1.
+func (s *site) reportTail(serving, bestEffort StartOrder, ms float64) int {
 	s.t.Helper()
 	s.advance(throttleInterval)
 	s.runs["a"] = []runner.RunState{
 		{Task: serving.Start.Task, Run: serving.Start.Run, Percent: 100, Gauge: ms},
-		{Task: filling.Start.Task, Run: filling.Start.Run, Percent: 10},
+		{Task: bestEffort.Start.Task, Run: bestEffort.Start.Run, Percent: 10},
 	}
 	s.report("a")
 	s.plan()
@@ -43,35 +43,36 @@
 	return -1
 }
 
-// Failure: a service misses its response times for four seconds on end.
+// Guards against a service that misses its response times for 4 s without interruption: the
+// best-effort task must be throttled before the target is missed, and stopped at the target.
 func TestBestEffortTaskIsThrottledBeforeTheTargetIsMissed(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
-	serving, filling := startServingAndBestEffort(t, s)
-	if pace := s.reportTail(serving, filling, 40); pace != -1 {
-		t.Errorf("paced to %d at 40%% of the target", pace)
+	serving, bestEffort := startServingAndBestEffort(t, s)
+	if pace := s.reportTail(serving, bestEffort, 40); pace != -1 {
+		t.Errorf("throttled to %d at 40%% of the target", pace)
 	}
-	if pace := s.reportTail(serving, filling, 85); pace != 50 {
-		t.Errorf("paced to %d at 85%% of the target, want half", pace)
+	if pace := s.reportTail(serving, bestEffort, 85); pace != 50 {
+		t.Errorf("throttled to %d at 85%% of the target, want 50", pace)
 	}
-	if pace := s.reportTail(serving, filling, 120); pace != 0 {
-		t.Errorf("paced to %d above the target, want 0", pace)
+	if pace := s.reportTail(serving, bestEffort, 120); pace != 0 {
+		t.Errorf("throttled to %d above the target, want 0", pace)
 	}
 }
 
-// Failure: filling work stands still for good, and is late.
+// Guards against best-effort work that stays stopped and becomes late.
 func TestBestEffortTaskContinuesWhenTheTailRecovers(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
-	serving, filling := startServingAndBestEffort(t, s)
-	s.reportTail(serving, filling, 120)
+	serving, bestEffort := startServingAndBestEffort(t, s)
+	s.reportTail(serving, bestEffort, 120)
 	for want := speedUpStep; want <= 60; want += speedUpStep {
-		if pace := s.reportTail(serving, filling, 30); pace != want {
-			t.Fatalf("paced to %d, want %d", pace, want)
+		if pace := s.reportTail(serving, bestEffort, 30); pace != want {
+			t.Fatalf("throttled to %d, want %d", pace, want)
 		}
 	}
 	s.finish(serving, runner.Failed)
 	s.advance(throttleInterval)
 	s.report("a")
-	// The serving task is not started again beside the filling one.
+	// The latency-sensitive task must not be restarted beside the best-effort one.
 	s.cell.SetEvacuating([]string{"a"})
 	s.plan()
 	for _, o := range s.orders {
@@ -79,21 +80,22 @@
 			return
 		}
 	}
-	t.Error("still paced where no serving task is left")
+	t.Error("still throttled although no latency-sensitive task is left")
 }
 
-// Failure: a filling task is taken as paced although the worker never heard of it.
+// Guards against treating a best-effort task as throttled although the order did not reach its
+// worker.
 func TestUnansweredThrottleOrderIsResent(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
-	serving, filling := startServingAndBestEffort(t, s)
-	s.reportTail(serving, filling, 85)
+	serving, bestEffort := startServingAndBestEffort(t, s)
+	s.reportTail(serving, bestEffort, 85)
 	for _, o := range s.orders {
 		if pace, ok := o.(ThrottleOrder); ok {
 			s.cell.ThrottleAnswered(pace, runner.ErrNoAnswer, s.now)
 		}
 	}
-	if pace := s.reportTail(serving, filling, 85); pace < 0 || pace > 50 {
-		t.Errorf("paced to %d after an order without an answer", pace)
+	if pace := s.reportTail(serving, bestEffort, 85); pace < 0 || pace > 50 {
+		t.Errorf("throttled to %d after an order without an answer, want 0 to 50", pace)
 	}
 }
 
@@ -107,7 +109,7 @@
 		{0, 0.5, speedUpStep}, {95, 0.1, 100}, {-1, 0.1, 0},
 	} {
 		if got := nextSpeed(test.pace, test.worst); got != test.want {
-			t.Errorf("pace %d at %.1f of the target: %d, want %d", test.pace, test.worst, got, test.want)
+			t.Errorf("at %d and %.1f of the target: throttled to %d, want %d", test.pace, test.worst, got, test.want)
 		}
 	}
 }
--- a/internal/cell/parking_test.go
+++ b/internal/cell/parking_test.go
@@ -9,7 +9,7 @@
 	"gentianstand/internal/roster"
 )
 
-// idleSite has idle workers, of which all that are looked at have reported.
+// idleSite returns a site of idle workers. All that are polled have reported.
 func idleSite(t *testing.T, workers, spare int) *site {
 	var all []roster.Worker
 	for n := range workers {
@@ -23,7 +23,7 @@
 	return s
 }
 
-// reportAll has every worker report that the owner looks at.
+// reportAll has every polled worker report.
 func (s *site) reportAll() {
 	for _, id := range s.cell.WorkersToPoll() {
 		s.report(id)
@@ -37,7 +37,7 @@
 	return st
 }
 
-// startAll plans until nothing more is started, and returns how many tasks were.
+// startAll plans until no more tasks start, and returns how many did.
 func (s *site) startAll() int {
 	n := 0
 	for range 5 {
@@ -51,14 +51,14 @@
 	return n
 }
 
-// Load: 20 workers, 2 needed. Looks at the others cost processor for nothing.
+// Load: 20 workers, of which 2 are needed. Polling the others only costs processor time.
 func TestIdleWorkersAreParked(t *testing.T) {
 	s := idleSite(t, 20, 4)
 	if n := s.startAll(); n != 0 {
-		t.Fatalf("%d starts of nothing", n)
+		t.Fatalf("%d starts without a job", n)
 	}
 	if got := len(s.cell.WorkersToPoll()); got != 4 {
-		t.Errorf("%d idle workers are looked at, want 4", got)
+		t.Errorf("%d idle workers are polled, want 4", got)
 	}
 	s.cell.Add(s.record(1, wide(2)), true)
 	if n := s.startAll(); n != 2 {
@@ -66,7 +66,7 @@
 	}
 }
 
-// Load: a step wider than the workers that are kept ready.
+// Load: a step that needs more workers than are kept ready.
 func TestParkedWorkersWakeForAWideStep(t *testing.T) {
 	s := idleSite(t, 20, 4)
 	s.startAll()
@@ -76,7 +76,8 @@
 	}
 }
 
-// Failure: letters stand still beside thousands of idle workers.
+// Guards against letters that wait although thousands of workers are idle: free capacity within the
+// urgent reserve is of no use to them, so that parked workers must wake.
 func TestUrgentReserveIsNoFreeCapacityForOthers(t *testing.T) {
 	s := idleSite(t, 20, 1)
 	small := s.record(1, step(15))
@@ -86,12 +87,12 @@
 	letters.Priority = 2
 	s.cell.Add(letters, true)
 	if n := s.startAll(); n != 4 {
-		t.Errorf("%d letters are started, want 4", n)
+		t.Errorf("%d letters were started, want 4", n)
 	}
 }
 
-// Failure: tasks run far from their data, three times as long, although the machines
-// beside the data are idle.
+// Guards against tasks that run far from their data, 3 times as long, although workers near the
+// data are idle.
 func TestParkedWorkersWakeNearTheData(t *testing.T) {
 	s := idleSite(t, 20, 2)
 	s.startAll()
@@ -101,7 +102,7 @@
 	for range 5 {
 		for _, o := range s.plan() {
 			if rack := s.cell.workers[o.Worker.ID].Rack; rack != "r3" {
-				t.Errorf("%s is started in rack %s", o.Start.Task, rack)
+				t.Errorf("%s was started in rack %s, want r3", o.Start.Task, rack)
 			}
 		}
 		s.commit()
@@ -109,8 +110,8 @@
 	}
 }
 
-// Failure: a new owner places nothing for seconds on a site of thousands of workers,
-// and leases run out meanwhile.
+// Guards against a new owner of thousands of workers that places nothing for seconds, in which
+// leases expire.
 func TestNewOwnerPollsOnlyWorkersInUse(t *testing.T) {
 	before := idleSite(t, 20, 2)
 	for range 4 {
@@ -130,16 +131,16 @@
 		s.cell.LoadWorkers(chunk.Workers, s.now)
 	}
 	if got := len(s.cell.WorkersToPoll()); got > 4 {
-		t.Errorf("%d workers are looked at, want the two in store and the two that are kept ready", got)
+		t.Errorf("%d workers are polled, want the 2 that are stored and the 2 that are kept ready", got)
 	}
 	s.reportAll()
 	s.plan()
 	if s.cell.recovering {
-		t.Error("not recovered although all workers in use were heard")
+		t.Error("not recovered although all workers in use have reported")
 	}
 }
 
-// Failure: workers are woken and parked again and again.
+// Guards against workers that are woken and parked again and again.
 func TestAWorkerIsParkedOnlyAfterAWhile(t *testing.T) {
 	s := idleSite(t, 6, 1)
 	s.cell.Add(s.record(1, wide(5)), true)
@@ -162,11 +163,12 @@
 		s.startAll()
 	}
 	if got := len(s.cell.WorkersToPoll()); got != 1 {
-		t.Errorf("%d workers are awake after a long time, want 1", got)
+		t.Errorf("%d workers are awake after 4 more parking periods, want 1", got)
 	}
 }
 
-// Failure: a task runs twice after a take-over.
+// Guards against a task that runs twice after a take-over: a worker that is parked and woken again
+// is stored as parked.
 func TestAWokenWorkerGetsNothingBeforeItIsStored(t *testing.T) {
 	s := idleSite(t, 2, 1)
 	for _, w := range s.cell.workers {
--- a/internal/cell/questions_test.go
+++ b/internal/cell/questions_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Failure: work stands still beside workers that are four fifths free.
+// Guards against work that waits although workers are four fifths free: requests about full workers
+// occupy all slots of the adviser.
 func TestQuestionsAboutFullWorkersLeaveSlotsToOthers(t *testing.T) {
 	other := usualWorker("b")
 	other.Service = "other"
@@ -32,14 +33,14 @@
 		asked[q.Stage.Job] = true
 	}
 	if !asked[free.ID] {
-		t.Errorf("the stage with room has no lane: %v", asked)
+		t.Errorf("no slot for the stage with free capacity: requests %v", asked)
 	}
 	if len(asked) != 3 {
-		t.Errorf("%d questions, want one about room and half of the four lanes for others", len(asked))
+		t.Errorf("%d requests, want 1 for the stage with free capacity and 2 in half of the 4 slots for others", len(asked))
 	}
 	s.slots = AdviceSlots{Any: 1}
 	s.plan()
 	if again := s.questions(); len(again) != 0 {
-		t.Errorf("more questions about full workers while two of four lanes have them: %v", again)
+		t.Errorf("more requests about full workers while these occupy 2 of 4 slots: %v", again)
 	}
 }
--- a/internal/cell/quota_owners_test.go
+++ b/internal/cell/quota_owners_test.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// Failure: a lasting task of a workspace that uses its quota stays away as long as owners hand
-// the cell over beside a worker that does not answer.
+// Guards against a long-running task of a workspace at its quota that stays down as long as the
+// cell is handed over while its worker is unresponsive: each new owner counts the worker's unknown
+// runs against the quota again.
 func TestHandOversDoNotProlongTheQuotaUseOfAnUnresponsiveWorker(t *testing.T) {
 	const again = 2 * time.Second
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	s.configure(1, "north", cores(1))
-	lasting := step(1)
-	lasting.LongRunning = true
-	r := s.recordOf("north", 1, lasting)
+	longRunning := step(1)
+	longRunning.LongRunning = true
+	r := s.recordOf("north", 1, longRunning)
 	s.report("a")
 	s.cell.Add(r, true)
 	task := r.ID + ".0.0.0"
--- a/internal/cell/quotas_test.go
+++ b/internal/cell/quotas_test.go
@@ -11,15 +11,15 @@
 	"gentianstand/internal/runner"
 )
 
-// cores returns a quota.
+// cores returns a quota of n cores.
 func cores(n int64) resource.Amount { return resource.Amount{MilliCPU: n * 1000} }
 
-// configure puts a configuration with the quota of one workspace into force.
+// configure puts a configuration into force in which one workspace has a quota.
 func (s *site) configure(version uint64, workspace string, limit resource.Amount) {
 	s.cell.Configure(catalog.New(catalog.Content{Version: version, Workspaces: []catalog.Workspace{{Name: workspace, Cap: limit}}}))
 }
 
-// recordOf is record for a workspace.
+// recordOf returns a job of a workspace.
 func (s *site) recordOf(workspace string, n int, steps ...job.Step) *job.Record {
 	r := s.record(n, steps...)
 	r.Workspace, r.CatalogVersion = workspace, 1
@@ -36,10 +36,10 @@
 }
 
 func TestStartsStayWithinTheQuota(t *testing.T) {
-	lasting := step(5)
-	lasting.LongRunning = true
-	filling := step(5)
-	filling.BestEffort = true
+	longRunning := step(5)
+	longRunning.LongRunning = true
+	bestEffort := step(5)
+	bestEffort.BestEffort = true
 	gang, wideGang := step(3), step(4)
 	gang.Gang, wideGang.Gang = true, true
 	two := step(2)
@@ -53,8 +53,8 @@
 		{"as many", []job.Step{step(3)}, 3},
 		{"more", []job.Step{step(5)}, 3},
 		{"two steps", []job.Step{step(2), step(2)}, 3},
-		{"tasks that last", []job.Step{lasting}, 3},
-		{"tasks that fill", []job.Step{filling}, 3},
+		{"long-running tasks", []job.Step{longRunning}, 3},
+		{"best-effort tasks", []job.Step{bestEffort}, 3},
 		{"gang", []job.Step{gang}, 3},
 		{"gang that exceeds it", []job.Step{wideGang}, 0},
 		{"gang beside tasks that leave too little", []job.Step{step(9), two}, 3},
@@ -67,14 +67,14 @@
 	}
 }
 
-// Failure: a workspace gets more than its quota after it was lowered, or stays below it
-// after it was raised.
+// Guards against a workspace that exceeds its quota after it was lowered, or stays below it after
+// it was raised.
 func TestQuotaThatChanges(t *testing.T) {
 	s := quotaSite(t, usualWorker("w1"))
 	s.cell.Add(s.recordOf("north", 1, step(9)), true)
 	first := s.plan()
 	if len(first) != 3 {
-		t.Fatalf("%d starts under a quota of 3", len(first))
+		t.Fatalf("%d starts under a quota of 3, want 3", len(first))
 	}
 	s.configure(2, "north", cores(1))
 	if starts := s.plan(); len(starts) != 0 || len(s.orders) != 0 {
@@ -90,18 +90,18 @@
 	}
 	s.report("w1")
 	if starts := s.plan(); len(starts) != 3 {
-		t.Errorf("%d starts after 3 ends", len(starts))
+		t.Errorf("%d starts after 3 ends, want 3", len(starts))
 	}
 }
 
-// Failure: tasks of a new workspace start before its quota is known.
+// Guards against tasks of a new workspace that start before its quota is known.
 func TestJobWaitsForTheConfigurationThatAcceptedIt(t *testing.T) {
 	s := quotaSite(t, usualWorker("w1"))
 	r := s.recordOf("south", 1, step(9))
 	r.CatalogVersion = 2
 	s.cell.Add(r, true)
 	if starts := s.plan(); len(starts) != 0 {
-		t.Fatalf("%d starts without a known quota", len(starts))
+		t.Fatalf("%d starts while the quota is unknown, want none", len(starts))
 	}
 	s.configure(2, "south", cores(4))
 	if starts := s.plan(); len(starts) != 4 {
@@ -109,8 +109,8 @@
 	}
 }
 
-// Failure: a workspace at its quota has others' work stopped, or workers kept free, for
-// tasks that must not start.
+// Guards against stopping work of others, or reserving workers, for tasks that must not start
+// because their workspace is at its quota.
 func TestStageOverItsQuotaCostsNobodyElse(t *testing.T) {
 	s := newSiteWith(t, Settings{Term: 1, Lease: 3500 * time.Millisecond, StopGrace: 900 * time.Millisecond, PreviousOwnerStopped: true}, usualWorker("w1"), usualWorker("w2"))
 	s.configure(1, "north", cores(3))
@@ -145,7 +145,7 @@
 	}
 	waits := s.cell.QuotaWaits(s.now)
 	if len(waits) != 1 || waits[0].Workspace != "north" || waits[0].Tasks != 6 || waits[0].Used.MilliCPU != 3000 || waits[0].Version != 1 {
-		t.Errorf("waits %+v", waits)
+		t.Errorf("quota waits %+v, want 6 tasks of north", waits)
 	}
 	s.advance(longWaitAfter)
 	reasons := map[WaitReason]int{}
@@ -157,8 +157,8 @@
 	}
 }
 
-// Failure: after a take-over a workspace gets its quota twice, as runs go on where the new
-// owner has not heard yet.
+// Guards against a workspace that gets its quota twice after a take-over, because runs continue on
+// workers that have not reported to the new owner yet.
 func TestTakeOverCountsUnreportedRuns(t *testing.T) {
 	s := newSite(t, 2, usualWorker("w1"), usualWorker("w2"))
 	s.configure(1, "north", cores(3))
@@ -168,11 +168,11 @@
 	s.report("w1")
 	s.cell.Add(s.recordOf("north", 2, step(3)), true)
 	if starts := s.plan(); len(starts) != 0 {
-		t.Errorf("%d starts while three runs may go on unseen", len(starts))
+		t.Errorf("%d starts while 3 unreported runs may continue, want none", len(starts))
 	}
 	s.advance(watchPeriod)
 	s.report("w2")
 	if starts := s.plan(); len(starts) != 3 {
-		t.Errorf("%d starts after all workers were heard, want 3", len(starts))
+		t.Errorf("%d starts after all workers have reported, want 3", len(starts))
 	}
 }
--- a/internal/cell/recover_test.go
+++ b/internal/cell/recover_test.go
@@ -8,8 +8,8 @@
 	"gentianstand/internal/runner"
 )
 
-// Failure: a task was started a fourth time although its queue allows three failed
-// runs.
+// Guards against a fourth start of a task whose queue allows 3 failed runs, when the failures are
+// reported out of order.
 func TestFailuresReportedOutOfOrderAllCount(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"), usualWorker("b"))
 	r := s.record(1, step(1))
@@ -35,7 +35,8 @@
 	}
 }
 
-// Failure: a task failed once and counted twice.
+// Guards against counting a failure twice: the previous owner has stored it, and the worker reports
+// it again.
 func TestFailureStoredByThePreviousOwnerCountsOnce(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	r := s.record(1, step(1))
@@ -56,7 +57,8 @@
 	}
 }
 
-// Failure: a task ran on two workers at once after a take-over.
+// Guards against a task that runs on two workers at once after a take-over, because a worker that
+// has not reported yet still runs it.
 func TestTasksOfOlderJobsWaitForUnresponsiveWorkers(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"), usualWorker("b"))
 	older := s.record(1, step(1))
@@ -68,12 +70,12 @@
 	newer := s.record(2, step(1))
 	s.cell.Add(newer, true)
 	if _, ok := s.plan()[newer.ID+".0.0.0"]; !ok {
-		t.Fatal("a job of this owner's own time was held back, too")
+		t.Fatal("a job accepted in this owner's term was held back, too")
 	}
 	s.advance(s.cell.earlierLeaseLimit() - 100*time.Millisecond)
 	s.report("a")
 	if _, ok := s.plan()[older.ID+".0.0.0"]; ok {
-		t.Fatal("a task of an older job was started before the silent worker's lease must have ended")
+		t.Fatal("a task of an older job was started before the unresponsive worker's lease must have expired")
 	}
 	s.advance(200 * time.Millisecond)
 	s.report("a")
@@ -82,8 +84,8 @@
 	}
 }
 
-// Failure: after a take-over beside a lost worker, all jobs stood still until the
-// longest possible lease had passed, although most had tasks at work.
+// Guards against a take-over with a lost worker after which all jobs wait for the longest possible
+// lease although most of them have running tasks.
 func TestStageAfterAVisibleRunIsNotHeldBack(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"), usualWorker("b"))
 	second := step(1)
@@ -100,7 +102,8 @@
 	}
 }
 
-// Failure: a task that was done ran again just after a take-over.
+// Guards against a task that runs again just after a take-over although it is done: the superseded
+// owner started it for a job that the new owner does not know.
 func TestEndOfAJobStartedByTheSupersededOwnerIsKept(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"), usualWorker("b"))
 	r := s.record(1, step(1))
@@ -116,12 +119,12 @@
 	}
 	s.cell.Add(r, false)
 	if len(s.plan()) != 0 {
-		t.Fatal("the job was begun while the overtaken owner may have done so")
+		t.Fatal("the job was started while the superseded owner may have started it")
 	}
 	s.report("a")
 	s.report("b")
 	if again, ok := s.plan()[task]; ok {
-		t.Fatalf("run %d of a task that was done", again.Start.Run)
+		t.Fatalf("run %d was started of a task that was done", again.Start.Run)
 	}
 	s.commit()
 	if state, _ := s.cell.State(r.ID); state != job.Completed {
@@ -129,7 +132,8 @@
 	}
 }
 
-// Failure: a run of no job went on for ever, or its worker's ends were stuck.
+// Guards against a run that continues without end, or ends that are never acknowledged, when their
+// job does not exist.
 func TestRunsOfAbsentJobsAreStopped(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"))
 	id := "00000000000000ff"
@@ -140,16 +144,16 @@
 	s.report("a")
 	s.plan()
 	if len(s.orders) != 1 || s.orders[0].(StopOrder).Stop.Run != 4 {
-		t.Errorf("orders %v, want one stop", s.orders)
+		t.Errorf("orders %v, want 1 stop", s.orders)
 	}
 	s.commit()
 	if _, look, _ := s.cell.NextPoll("a", s.now); look.Acknowledged != 1 {
-		t.Errorf("acknowledged %d, want 1", look.Acknowledged)
+		t.Errorf("ends are acknowledged up to %d, want 1", look.Acknowledged)
 	}
 }
 
-// Failure: a task ran on two workers at once, and one worker got more than it has, just
-// after a take-over.
+// Guards against a task that runs on two workers at once, and a worker over its capacity, just
+// after a take-over: a reported run belongs to a job that is not loaded yet.
 func TestRunOfAMissingJobIsAccountedBeforePlacement(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"), usualWorker("b"))
 	r := s.record(1, step(1))
@@ -159,19 +163,19 @@
 	s.report("b")
 	s.cell.Add(r, true)
 	if starts := s.plan(); len(starts) != 0 {
-		t.Fatalf("started %v beside the run on a", starts)
+		t.Fatalf("started %v while the run on a continues", starts)
 	}
 	s.report("a")
 	if starts := s.plan(); len(starts) != 0 {
-		t.Fatalf("started %v beside the adopted run", starts)
+		t.Fatalf("started %v while the adopted run continues", starts)
 	}
 	if used := s.cell.workers["a"].used.MilliCPU; used != 1000 {
-		t.Errorf("a has %d booked, want 1000", used)
+		t.Errorf("%d thousandths of a core of a are accounted, want 1000", used)
 	}
 }
 
-// Failure: tasks of a lost worker are started 5.3 s after a crash of the owner, although
-// the owner's new process has shown itself after 0.6 s.
+// Guards against tasks of a lost worker that are restarted only 5.3 s after a crash of the owner
+// although the owner's new process was observed after 0.6 s.
 func TestRecoveryWaitsForThePreviousOwnerOnlyUntilItHasStopped(t *testing.T) {
 	waited := func(stoppedAfter time.Duration) time.Duration {
 		s := newSite(t, 2, usualWorker("a"))
@@ -188,17 +192,17 @@
 				return s.now.Sub(began)
 			}
 		}
-		t.Fatal("never started")
+		t.Fatal("the task was never started")
 		return 0
 	}
 	unknown, soon, late := waited(0), waited(300*time.Millisecond), waited(3*time.Second)
 	if gain := unknown - soon; gain < time.Second || gain > overtakenOwnerLimit {
-		t.Errorf("waited %v, and %v where the earlier owner is known to have stopped", unknown, soon)
+		t.Errorf("waited %v, and %v with the previous owner that is known to have stopped", unknown, soon)
 	}
 	if soon < 3500*time.Millisecond {
 		t.Errorf("waited %v, less than a lease", soon)
 	}
 	if late != unknown {
-		t.Errorf("waited %v, and %v where it was learned late", unknown, late)
+		t.Errorf("waited %v, and %v with the previous owner whose stop became known late", unknown, late)
 	}
 }
--- a/internal/cell/reservation_test.go
+++ b/internal/cell/reservation_test.go
@@ -7,7 +7,8 @@
 	"gentianstand/internal/job"
 )
 
-// transcode needs nearly a whole worker, thumbnail an eighth of one.
+// transcode returns a step that needs nearly a whole worker, thumbnails one whose tasks need an
+// eighth of a worker each.
 func transcode() job.Step {
 	s := step(1)
 	s.Need.MilliCPU, s.Estimate = 15000, 4500*time.Millisecond
@@ -20,12 +21,11 @@
 	return s
 }
 
-// TestLoadLargeTasksBesideAStreamOfSmallOnes: load: small tasks that need nine tenths of
-// 12 workers come without end, and of a more urgent queue one task each two seconds that
-// needs a whole worker. Limit: 95 of 100 large tasks start within 3 s, which is the
-// longest small task and one turn more, and 95 of 100 small jobs within 4 s. Without
-// reservations the small ones keep all workers from ever being empty, and 95 of 100
-// large ones waited up to 34 s (1.6 s with them).
+// Load: a continuous stream of small tasks that need nine tenths of 12 workers, and every 2 s a
+// task of a more urgent queue that needs a whole worker. Limit: 95% of the large tasks start within
+// 3 s, which is the run time of the longest small task and one more round, and 95% of the small
+// jobs within 4 s. Without reservations the small tasks keep every worker from becoming empty, and
+// 95% of the large tasks waited up to 34 s (1.6 s with reservations).
 func TestLoadLargeTasksBesideAStreamOfSmallOnes(t *testing.T) {
 	l := newLoad(t, 12)
 	var large, small []string
@@ -40,15 +40,15 @@
 		}
 	})
 	if got := percentile(l.waits(large), 0.95); got > 3*time.Second {
-		t.Errorf("95 of 100 large tasks waited up to %v", got)
+		t.Errorf("95%% of the large tasks waited up to %v", got)
 	}
 	if got := percentile(l.waits(small), 0.95); got > 4*time.Second {
-		t.Errorf("95 of 100 jobs of small tasks waited up to %v", got)
+		t.Errorf("95%% of the jobs of small tasks waited up to %v", got)
 	}
 }
 
-// reserveBehind has worker "a" run a step, and a large task of a more urgent queue wait
-// for it. It returns the job of the latter.
+// reserveBehind has worker a run a step while a large task of a more urgent queue waits for the
+// worker. It returns the job of the large task.
 func (s *site) reserveBehind(running job.Step) *job.Record {
 	s.report("a")
 	s.cell.Add(s.record(1, running), true)
@@ -62,7 +62,7 @@
 	return waiting
 }
 
-// Failure: work stands still beside a free worker.
+// Guards against work that waits although a worker is free: a reservation must end with its task.
 func TestReservationsEndWithTheirTask(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	waiting := s.reserveBehind(thumbnails(4))
@@ -73,15 +73,16 @@
 	later.Priority = 2
 	s.cell.Add(later, true)
 	if starts := s.plan(); len(starts) > 0 {
-		t.Fatalf("a task passed in front of the reservation: %v", starts)
+		t.Fatalf("a task was started on the reserved worker: %v", starts)
 	}
 	s.cell.Cancel(waiting.ID, s.now)
 	if starts := s.plan(); len(starts) != 1 {
-		t.Errorf("%d starts after the large task was cancelled", len(starts))
+		t.Errorf("%d starts after the large task was cancelled, want 1", len(starts))
 	}
 }
 
-// Failure: a reserved worker stands idle while short work waits.
+// Guards against a reserved worker that is idle while short tasks wait, which would end before the
+// reservation begins.
 func TestShortTasksBackfillAReservedWorker(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	long := thumbnails(1)
@@ -97,7 +98,7 @@
 		r.Priority, r.Queue = 2, step.Estimate.String()
 		s.cell.Add(r, true)
 		if starts := s.plan(); len(starts) != test.want {
-			t.Errorf("%d starts of a task of %v", len(starts), test.estimate)
+			t.Errorf("%d starts of a task of %v, want %d", len(starts), test.estimate, test.want)
 		}
 	}
 }
--- a/internal/cell/restart_crash_test.go
+++ b/internal/cell/restart_crash_test.go
@@ -7,10 +7,10 @@
 	"gentianstand/internal/job"
 )
 
-// Guards against poison tasks that are started without a limit: a worker that restarts under
-// its id counts as one that has lived on.
+// Guards against poison tasks that are started without limit because a worker that restarts under
+// its id counts as one that did not crash.
 func TestPoisonTaskFailsWhenWorkersRestartUnderTheirIDs(t *testing.T) {
-	steps := map[string]job.Step{"may run twice": mayRunTwice(12), "once": once(12), "lasting": longRunningStep(6)}
+	steps := map[string]job.Step{"may run twice": mayRunTwice(12), "once": once(12), "long-running": longRunningStep(6)}
 	for name, s := range steps {
 		for _, back := range []time.Duration{20 * time.Millisecond, 600 * time.Millisecond, 3 * time.Second} {
 			t.Run(name+" "+back.String(), func(t *testing.T) {
@@ -29,8 +29,8 @@
 	}
 }
 
-// Guards against the same beside a lost owner: what is stored of a worker that was silent is
-// said of one incarnation.
+// Guards against the same when the owner is lost, too: what is stored of an unresponsive worker
+// refers to one incarnation.
 func TestPoisonTaskFailsUnderTheNextOwnerOfRestartedWorkers(t *testing.T) {
 	w := newCrashWorld(t, 24)
 	w.sameIDs, w.restartAfter = true, 600*time.Millisecond
--- a/internal/cell/restart_site_test.go
+++ b/internal/cell/restart_site_test.go
@@ -9,7 +9,7 @@
 	"gentianstand/internal/runner"
 )
 
-// restart has a worker start again under its id, and forget everything.
+// restart restarts a worker under its id; it forgets all runs and ends.
 func (s *site) restart(id string) roster.Worker {
 	s.advance(time.Second)
 	s.runs[id], s.ends[id] = nil, nil
@@ -19,19 +19,19 @@
 	return next
 }
 
-// register has a worker write its entry in the roster.
+// register has a worker write its roster entry.
 func (s *site) register(w roster.Worker) {
 	s.cell.UpdateRoster(roster.Change{Workers: []roster.Worker{w}}, s.now)
 }
 
-// startsOfNewJob plans for a new job of some tasks and returns how many were started.
+// startsOfNewJob plans with a new job of some tasks and returns the number of starts.
 func (s *site) startsOfNewJob(n, tasks int) int {
 	s.cell.Add(s.record(n, step(tasks)), true)
 	return len(s.plan())
 }
 
-// Guards against two owners that both use a worker which has forgotten their tokens: only
-// the one that can store that it is known may.
+// Guards against two owners that both use a worker which has forgotten their fencing tokens: only
+// the owner that can store the incarnation may use it.
 func TestRestartedWorkerIsUsedOnlyAfterItIsStored(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
@@ -47,15 +47,15 @@
 	s.report("a")
 	s.cell.Committed(before)
 	if n := s.startsOfNewJob(2, 1); n > 0 {
-		t.Errorf("%d starts before the store names the incarnation", n)
+		t.Errorf("%d starts before the incarnation is stored, want none", n)
 	}
 	s.commit()
 	if n := s.startsOfNewJob(3, 1); n != 2 {
-		t.Errorf("%d starts when the store names it, want 2", n)
+		t.Errorf("%d starts after the incarnation was stored, want 2", n)
 	}
 }
 
-// Guards against runs on a worker that has less room, or another kind, since it restarted.
+// Guards against runs on a worker that has less capacity, or other properties, since it restarted.
 func TestRestartedWorkerIsUsedOnlyAfterItsOwnRosterEntry(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
@@ -64,7 +64,7 @@
 	s.report("a")
 	s.commit()
 	if n := s.startsOfNewJob(1, 8); n > 0 {
-		t.Errorf("%d starts before its entry has come", n)
+		t.Errorf("%d starts before the worker's roster entry was read, want none", n)
 	}
 	s.register(next)
 	if n := len(s.plan()); n != 3 {
@@ -72,7 +72,7 @@
 	}
 }
 
-// Guards against a worker that is never used again because the life before was draining.
+// Guards against a worker that is never used again because its earlier incarnation was draining.
 func TestRestartedWorkerDoesNotDrain(t *testing.T) {
 	leaving := usualWorker("a")
 	leaving.Draining = true
@@ -103,8 +103,8 @@
 	}
 }
 
-// Guards against dropping what runs on a worker whose time of day was set back, because an
-// entry of the life before is read late.
+// Guards against dropping the runs of a worker whose time of day was set back because a roster
+// entry of the earlier incarnation is read late.
 func TestLateEntryOfAnEarlierIncarnationIsIgnored(t *testing.T) {
 	before := usualWorker("a")
 	s := newSite(t, 1, before)
@@ -121,12 +121,12 @@
 	}
 	s.register(before)
 	if load := s.cell.WorkerLoad("a"); load.Runs != 2 {
-		t.Errorf("%d runs are booked, want 2", load.Runs)
+		t.Errorf("%d runs are accounted, want 2", load.Runs)
 	}
 }
 
-// Guards against runs that are taken for lost on a worker which reported in the very moment
-// of its start, when its clock shows 0.
+// Guards against runs that count as lost on a worker that reported at the moment of its start, when
+// its clock shows 0.
 func TestWorkerWithAZeroClockKeepsItsLease(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.advance(s.cell.earlierLeaseLimit())
@@ -138,14 +138,14 @@
 	s.advance(maxReportAge + 100*time.Millisecond)
 	s.plan()
 	if load := s.cell.WorkerLoad("a"); load.Runs != 2 {
-		t.Errorf("%d runs are booked within the lease, want 2", load.Runs)
+		t.Errorf("%d runs are accounted before the lease expires, want 2", load.Runs)
 	}
 }
 
-// Guards against a new owner that waits for runs of a life that has ended: they are stored
-// of a worker that was silent, and it has restarted since.
+// Guards against a new owner that waits for runs of an ended incarnation: they are stored for an
+// unresponsive worker that has restarted since.
 func TestNewOwnerDropsStoredRunsOfAnEarlierIncarnation(t *testing.T) {
-	for name, listed := range map[string]bool{"roster tells": true, "worker tells": false} {
+	for name, listed := range map[string]bool{"from the roster": true, "from the worker": false} {
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t, 2)
 			record := s.record(1, step(1))
@@ -172,8 +172,8 @@
 	}
 }
 
-// Guards against a crash that is forgotten with its owner: the next one knows the restarted
-// worker from the roster.
+// Guards against a crash that is lost with the owner: the next owner knows the restarted worker
+// from the roster.
 func TestNewOwnerCountsTheCrashOfAnEarlierIncarnation(t *testing.T) {
 	s := newSite(t, 2)
 	record := s.record(1, step(1))
@@ -184,11 +184,11 @@
 	s.cell.LoadWorkers([]KnownWorker{{ID: "a", Incarnation: before.Incarnation, Address: before.Address, Cordoned: true,
 		Suspects: []KnownRun{{Task: task.String(), Run: 1}}}}, s.now)
 	if crashed := s.cell.taskByID(task).crashes.crashed; len(crashed) != 1 {
-		t.Errorf("crashes %v, want that of run 1", crashed)
+		t.Errorf("crashes %v, want the one of run 1", crashed)
 	}
 }
 
-// Guards against tickets of a life that has ended: the worker would refuse them.
+// Guards against tickets of an ended incarnation, which the worker would refuse.
 func TestTicketsEndWithTheIncarnation(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
@@ -201,14 +201,14 @@
 	s.report("a")
 	s.commit()
 	if starts := s.plan(); len(starts) > 0 {
-		t.Errorf("%d starts with tickets of the life before", len(starts))
+		t.Errorf("%d starts with tickets of the earlier incarnation, want none", len(starts))
 	}
 	s.register(s.restart("a"))
 	s.advise("a")
 	s.report("a")
 	s.commit()
 	if starts := s.plan(); len(starts) > 0 {
-		t.Errorf("%d starts with tickets that were asked for the life before", len(starts))
+		t.Errorf("%d starts with tickets that were requested for the earlier incarnation, want none", len(starts))
 	}
 	s.advise("a")
 	if starts := s.plan(); len(starts) != 2 {
--- a/internal/cell/restart_test.go
+++ b/internal/cell/restart_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// checkCompletedOnce checks that all jobs were completed and no task ran again after its success was
-// acknowledged.
+// checkCompletedOnce checks that all jobs were completed and that no task ran again after its
+// success was acknowledged.
 func (l *load) checkCompletedOnce(jobs []string) {
 	l.t.Helper()
 	if len(l.startedAgain) > 0 {
-		l.t.Errorf("%d tasks were started after their success was acknowledged, as %s", len(l.startedAgain), l.startedAgain[0])
+		l.t.Errorf("%d tasks were started after their success was acknowledged, for example %s", len(l.startedAgain), l.startedAgain[0])
 	}
 	for _, id := range jobs {
 		if _, done := l.completed[id]; !done {
@@ -19,8 +19,7 @@
 	}
 }
 
-// restartInTurn lets all workers start again under their ids, one every 200 ms, while jobs
-// come.
+// restartInTurn restarts all workers under their ids, one every 200 ms, while jobs arrive.
 func (l *load) restartInTurn(down time.Duration) []string {
 	var jobs []string
 	ids := l.workerIDs()
@@ -35,8 +34,8 @@
 	return jobs
 }
 
-// Guards against acknowledging ends that were never heard: a restarted worker numbers its
-// ends from 1 again.
+// Guards against acknowledging ends that were never reported: a restarted worker numbers its ends
+// from 1 again.
 func TestEndsOnRestartedWorkersAreReportedBeforeTheyAreAcknowledged(t *testing.T) {
 	for _, down := range []time.Duration{0, 60 * time.Millisecond, 400 * time.Millisecond} {
 		t.Run(down.String(), func(t *testing.T) {
--- a/internal/cell/restart_upkeep_test.go
+++ b/internal/cell/restart_upkeep_test.go
@@ -2,15 +2,15 @@
 
 import "testing"
 
-// returnFromMaintenance has a worker register and report under the id that it had.
+// returnFromMaintenance has a worker register and report under its old id.
 func (s *site) returnFromMaintenance(id string) {
 	s.register(s.restart(id))
 	s.commit()
 	s.report(id)
 }
 
-// Guards against dropping what runs on a worker that is back from its upkeep under its id: an
-// order that was repeated is answered late.
+// Guards against dropping the runs of a worker that has returned from maintenance under its id: the
+// answer to a repeated order arrives late.
 func TestLateAnswerToAMaintenanceOrderEndsOnlyTheEarlierIncarnation(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
@@ -22,11 +22,11 @@
 	}
 	s.cell.WorkerTerminated("a", orderedAt, s.now)
 	if load := s.cell.WorkerLoad("a"); load.Runs != 2 {
-		t.Errorf("%d runs are booked, want 2", load.Runs)
+		t.Errorf("%d runs are accounted, want 2", load.Runs)
 	}
 }
 
-// Guards against a worker that is never used again after its upkeep.
+// Guards against a worker that is never used again after its maintenance.
 func TestWorkerIsUsedAgainAfterMaintenance(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
--- a/internal/cell/shares_test.go
+++ b/internal/cell/shares_test.go
@@ -8,9 +8,9 @@
 	"gentianstand/internal/job"
 )
 
-// calmShareInTime replays a workspace that sends twelve times its share beside one that stays
-// within its own, more than fits together, and returns the share of the other's jobs that
-// meet the objective.
+// calmShareInTime simulates a workspace that submits 12 times its share beside one that stays
+// within its own; together they exceed the capacity. It returns the share of the other workspace's
+// jobs that meet their objective.
 func calmShareInTime(t *testing.T, without MechanismSet) float64 {
 	l := newLoad(t, 24)
 	l.cell.settings.Disabled = without
@@ -37,17 +37,17 @@
 	return float64(inTime) / float64(len(calm))
 }
 
-// Failure: a workspace that sends many times its share makes the jobs of others late.
+// Guards against a workspace that submits many times its share and makes the jobs of others late.
 func TestLoadHotWorkspaceBesideAQuietOne(t *testing.T) {
 	if got := calmShareInTime(t, MechanismSet{}); got < 0.9 {
-		t.Errorf("%.2f of the other workspace's jobs are in time", got)
+		t.Errorf("a share of %.2f of the other workspace's jobs is in time, want 0.9 at least", got)
 	}
 	if got := calmShareInTime(t, MechanismSet{FairShares: {}}); got > 0.5 {
-		t.Errorf("without fair shares %.2f are: the load is too small to tell anything", got)
+		t.Errorf("without fair shares a share of %.2f is in time: the load is too small to show the effect", got)
 	}
 }
 
-// Failure: a workspace cannot use what nobody else wants.
+// Guards against a workspace that cannot use capacity which no other workspace needs.
 func TestLoneWorkspaceUsesEverything(t *testing.T) {
 	l := newLoad(t, 4)
 	l.cell.Configure(catalog.New(catalog.Content{Version: 1, Workspaces: []catalog.Workspace{{Name: "hot", Weight: 1}}}))
@@ -56,11 +56,11 @@
 	}
 	l.run(time.Second, nil)
 	if free := l.cell.Stats(l.now).FreeShare; free > urgentReserve+0.1 {
-		t.Errorf("%.2f of the processors are free beside waiting work", free)
+		t.Errorf("a share of %.2f of the processors is free while work waits", free)
 	}
 }
 
-// Failure: after a take-over all jobs of a hot workspace count as within its share.
+// Guards against a take-over after which all jobs of a hot workspace count as within its share.
 func TestNewOwnerMetersInTheOrderOfAcceptance(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"))
 	s.cell.Configure(catalog.New(catalog.Content{Version: 1, Workspaces: []catalog.Workspace{{Name: "north", Weight: 1}}}))
@@ -72,7 +72,7 @@
 	s.plan()
 	for id, j := range s.cell.jobs {
 		if first := id == "0000000000000001"; j.overShare == first {
-			t.Errorf("job %s beyond the share: %v", id, j.overShare)
+			t.Errorf("job %s is beyond the share: %v, want %v", id, j.overShare, !first)
 		}
 	}
 }
--- a/internal/cell/shrink_test.go
+++ b/internal/cell/shrink_test.go
@@ -9,10 +9,10 @@
 	"gentianstand/internal/roster"
 )
 
-// changingCapacity is a load on workers whose rooms shrink and grow while they run.
+// changingCapacity is a load on workers whose capacity shrinks and grows while they run.
 type changingCapacity struct {
 	*load
-	// initial are the rooms as they were at first.
+	// initial holds the capacities at the start.
 	initial map[string]resource.Amount
 }
 
@@ -24,7 +24,7 @@
 	return s
 }
 
-// changeCapacity gives one worker another room, between none of some kind and all.
+// changeCapacity gives a random worker another capacity, from none to all of each resource.
 func (s *changingCapacity) changeCapacity() {
 	ids := s.workerIDs()
 	w := s.workers[ids[s.rnd.Intn(len(ids))]]
@@ -33,8 +33,8 @@
 	s.cell.UpdateRoster(roster.Change{Workers: []roster.Worker{w.roster}}, s.now)
 }
 
-// checkCapacity fails the test if a run that began now is more than its worker has room for. What
-// is being stopped counts.
+// checkCapacity fails the test if a run that started now exceeds the capacity of its worker. Runs
+// that are being stopped count.
 func (s *changingCapacity) checkCapacity() {
 	s.t.Helper()
 	for id, w := range s.workers {
@@ -49,12 +49,12 @@
 			began = began || r.began.Equal(s.now)
 		}
 		if began && !used.Fits(w.roster.Capacity) {
-			s.t.Fatalf("%v: a start brings worker %s to %v of %v", s.now.Sub(siteStart), id, used, w.roster.Capacity)
+			s.t.Fatalf("%v: a start raises the use of worker %s to %v of %v", s.now.Sub(siteStart), id, used, w.roster.Capacity)
 		}
 	}
 }
 
-// Failure: a start brings a worker over the room that it has at that moment.
+// Guards against a start that exceeds the capacity which the worker has at that moment.
 func TestStartsFitShrinkingCapacity(t *testing.T) {
 	s := newChangingCapacity(t)
 	s.maxStopTime = 900 * time.Millisecond
@@ -80,11 +80,12 @@
 		s.step()
 	}
 	if left := len(s.cell.active); left > 0 {
-		t.Errorf("%d jobs are not done", left)
+		t.Errorf("%d jobs have not ended", left)
 	}
 }
 
-// Failure: a worker that lost the store gets tasks for a room that it has no more.
+// Guards against starting tasks on a worker that has lost the store, for a capacity that it may no
+// longer have.
 func TestWorkerWhoseEntryExpiresAloneGetsNoNewTasks(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	for range 6 {
@@ -97,13 +98,13 @@
 	s.cell.Add(s.record(1, step(20)), true)
 	for task, order := range s.plan() {
 		if order.Worker.ID == "b" {
-			t.Errorf("%s was started on the worker whose entry has lapsed", task)
+			t.Errorf("%s was started on the worker whose roster entry has expired", task)
 		}
 	}
 }
 
-// All entries lapse while the store is away. Their workers answer their owner, are back in
-// the list within two seconds, and are used meanwhile.
+// All roster entries expire during a store outage. The workers still answer their owner, are back
+// in the roster within 2 s, and stay in use meanwhile.
 func TestWorkersWhoseEntriesExpireInAStoreOutageStayInUse(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	s.cell.UpdateRoster(roster.Change{Workers: []roster.Worker{usualWorker("a"), usualWorker("b")}}, s.now)
