--- a/internal/cell/site_test.go
+++ b/internal/cell/site_test.go
@@ -15,22 +15,22 @@
 	"gentianstand/internal/runner"
 )
 
-// site drives a cell by hand: it plays the workers, the adviser, the store and
-// the clock, each only when a test says so.
+// site drives a cell step by step. It simulates the workers, the adviser, the store and the clock,
+// each only when a test calls it.
 type site struct {
 	t     *testing.T
 	cell  *Cell
 	now   time.Time
 	clock map[string]time.Duration
-	// incarnations are the incarnations of workers that do not have their first one.
+	// incarnations holds the incarnations of restarted workers, by worker.
 	incarnations map[string]runner.Incarnation
 	ends         map[string][]runner.End
 	runs         map[string][]runner.RunState
-	// chunks are the known workers as they are stored.
+	// chunks holds the known workers as stored.
 	chunks map[int][]KnownWorker
-	// slots is what Plan is told.
+	// slots is the number of advice slots passed to Plan.
 	slots AdviceSlots
-	// orders are those of the last plan.
+	// orders holds the orders of the last planning pass.
 	orders []Order
 }
 
@@ -55,31 +55,31 @@
 	return log
 }
 
-// usualWorker has 16 cores and 32 GiB.
+// usualWorker returns a worker with 16 cores and 32 GiB.
 func usualWorker(id string) roster.Worker {
 	return roster.Worker{ID: id, Incarnation: runner.Incarnation(siteStart.UnixMilli()), Address: id + ":1", Service: "desk", Capacity: resource.Amount{MilliCPU: 16000, MemoryMiB: 32768}, Labels: []string{"a", "r1"}, Rack: "r1"}
 }
 
-// record returns a job with steps on the usual queue.
+// record returns a job of the usual queue with the given steps.
 func (s *site) record(n int, steps ...job.Step) *job.Record {
 	return &job.Record{ID: fmt.Sprintf("%016x", n), Queue: "q", Service: "desk", MaxAttempts: 3, Stretch: 2,
 		Target: time.Second, AcceptedAt: s.now, Steps: steps}
 }
 
-// step returns a step of tasks with one core each.
+// step returns a step whose tasks need one core each.
 func step(count int) job.Step {
 	return job.Step{Count: count, Need: resource.Amount{MilliCPU: 1000, MemoryMiB: 100}, Estimate: time.Second}
 }
 
 func (s *site) advance(d time.Duration) { s.now = s.now.Add(d) }
 
-// report has a worker answer a look with what the test put into runs and ends.
+// report has a worker answer a poll with the contents of runs and ends.
 func (s *site) report(id string) {
 	s.t.Helper()
 	sentAt := s.now
 	_, look, ok := s.cell.NextPoll(id, sentAt)
 	if !ok {
-		s.t.Fatalf("worker %s is not known", id)
+		s.t.Fatalf("worker %s is unknown", id)
 	}
 	var left []runner.End
 	for _, e := range s.ends[id] {
@@ -93,7 +93,7 @@
 	s.cell.Reported(id, runner.Report{Incarnation: s.incarnations[id], Clock: clock, Running: s.runs[id], Ended: left}, sentAt, s.now)
 }
 
-// plan plans and returns the start orders by task name.
+// plan runs a planning pass and returns the start orders by task name.
 func (s *site) plan() map[string]StartOrder {
 	s.orders = s.cell.Plan(s.now, s.slots)
 	starts := map[string]StartOrder{}
@@ -127,7 +127,7 @@
 	s.ends[worker] = append(s.ends[worker], runner.End{Sequence: uint64(len(s.ends[worker]) + 1), Task: task, Run: run, Kind: how})
 }
 
-// commit stores everything that is dirty, and keeps the known workers for the next owner.
+// commit stores all changed progress and keeps the known workers for the next owner.
 func (s *site) commit() {
 	for commit := s.cell.NextCommit(40); commit != nil; commit = s.cell.NextCommit(40) {
 		for _, chunk := range commit.Chunks {
@@ -137,12 +137,12 @@
 	}
 }
 
-// advise answers every question of the last plan with tickets for the workers.
-func (s *site) advise(good ...string) {
+// advise answers every request for advice of the last pass with tickets for the given workers.
+func (s *site) advise(allowed ...string) {
 	for _, o := range s.orders {
 		if ask, ok := o.(AdviceOrder); ok {
 			var tickets []advice.Ticket
-			for _, id := range good {
+			for _, id := range allowed {
 				tickets = append(tickets, advice.Ticket{Worker: id, Text: "ticket-" + id})
 			}
 			s.cell.AdviceAnswered(ask.Stage, ask.Workers, tickets, nil, s.now)
--- a/internal/cell/state_test.go
+++ b/internal/cell/state_test.go
@@ -2,7 +2,7 @@
 
 import "gentianstand/internal/job"
 
-// State is Status for tests that ask for the state alone.
+// State returns the state part of Status.
 func (c *Cell) State(id string) (job.State, bool) {
 	status, ok := c.Status(id)
 	return status.State, ok
--- a/internal/cell/watch_test.go
+++ b/internal/cell/watch_test.go
@@ -7,8 +7,8 @@
 	"gentianstand/internal/runner"
 )
 
-// twoRuns starts a step of two tasks, one on each of two workers, whose estimate
-// is a tenth of what the tasks take, and returns their starts.
+// twoRuns starts a step of two tasks, one on each of two workers, and returns their starts. Their
+// estimate is a tenth of the real run time.
 func twoRuns(t *testing.T, s *site) []StartOrder {
 	t.Helper()
 	s.report("a")
@@ -28,12 +28,12 @@
 	return starts
 }
 
-// progress has the run of a start report a percentage.
+// progress has a run report a percentage.
 func (s *site) progress(o StartOrder, percent int) {
 	s.runs[o.Worker.ID] = []runner.RunState{{Task: o.Start.Task, Run: o.Start.Run, Percent: percent}}
 }
 
-// stops returns the runs that the last plan stopped, by worker.
+// stops returns the workers on which the last planning pass stopped runs.
 func (s *site) stops() map[string]bool {
 	stopped := map[string]bool{}
 	for _, o := range s.orders {
@@ -44,7 +44,7 @@
 	return stopped
 }
 
-// Failure: one start in thirteen was stopped as slow on sound workers.
+// Guards against stopping runs as slow on healthy workers, as one start in 13 was.
 func TestRunAsFastAsItsSiblingsIsNotSlow(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	starts := twoRuns(t, s)
@@ -56,12 +56,12 @@
 		s.report("b")
 		s.plan()
 		if stopped := s.stops(); len(stopped) > 0 {
-			t.Fatalf("stopped on %v at %d%%", stopped, percent)
+			t.Fatalf("runs stopped on %v at %d%%", stopped, percent)
 		}
 	}
 }
 
-// Failure: a job was late because one of its tasks ran on a slow worker.
+// Guards against a job that is late because one of its tasks runs on a slow worker.
 func TestRunMuchSlowerThanItsSiblingIsMoved(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	starts := twoRuns(t, s)
@@ -74,7 +74,7 @@
 		s.plan()
 		if stopped := s.stops(); stopped[starts[1].Worker.ID] {
 			if stopped[starts[0].Worker.ID] {
-				t.Fatal("the fast one was stopped, too")
+				t.Fatal("the fast run was stopped, too")
 			}
 			return
 		}
@@ -82,7 +82,7 @@
 	t.Error("the slow run was not moved")
 }
 
-// Failure: a task stood still for the rest of the day.
+// Guards against a task that makes no progress for the rest of the day.
 func TestStalledRunIsMoved(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	starts := twoRuns(t, s)
@@ -100,7 +100,7 @@
 	t.Error("runs without progress were not stopped")
 }
 
-// Failure: on days on which workers hang, short urgent tasks are 2 s late.
+// Guards against short urgent tasks that are 2 s late when workers hang.
 func TestRunThatNeverBeginsIsMovedSoon(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	starts := twoRuns(t, s)
@@ -118,7 +118,7 @@
 	t.Error("runs without any progress were not stopped within 1.25 s")
 }
 
-// Failure: sound runs are stopped as if they hung.
+// Guards against stopping healthy runs as if they hung.
 func TestRunThatHasBegunIsGivenTime(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	starts := twoRuns(t, s)
@@ -130,12 +130,12 @@
 		s.report("b")
 		s.plan()
 		if stopped := s.stops(); len(stopped) > 0 {
-			t.Fatalf("stopped on %v", stopped)
+			t.Fatalf("runs stopped on %v", stopped)
 		}
 	}
 }
 
-// slowJobs has tasks of several jobs go at a sixth of their speed on worker a.
+// slowJobs has tasks of several jobs run at a sixth of their speed on worker a.
 func slowJobs(t *testing.T, s *site, jobs int) []StartOrder {
 	t.Helper()
 	s.report("a")
@@ -158,18 +158,18 @@
 	return starts
 }
 
-// Failure: urgent tasks are late for as long as a worker is slow.
+// Guards against urgent tasks that are late as long as a worker is slow.
 func TestWorkerOnWhichTasksOfThreeJobsAreSlowIsAvoided(t *testing.T) {
 	for jobs, avoided := range map[int]bool{avoidAfterFailures - 1: false, avoidAfterFailures: true} {
 		s := newSite(t, 1, usualWorker("a"))
 		slowJobs(t, s, jobs)
 		if got := s.cell.workers["a"].health.avoided(s.now); got != avoided {
-			t.Errorf("slow tasks of %d jobs: avoided %v", jobs, got)
+			t.Errorf("slow tasks of %d jobs: avoided %v, want %v", jobs, got, avoided)
 		}
 	}
 }
 
-// Failure: a slow worker is never avoided.
+// Guards against a slow worker that is never avoided because late ends count as successes.
 func TestLateEndOnASlowWorkerIsNoSuccess(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	starts := slowJobs(t, s, avoidAfterFailures-1)
