--- a/internal/cell/fair_shares_test.go
+++ b/internal/cell/fair_shares_test.go
@@ -72,7 +72,7 @@
 	s.plan()
 	for id, j := range s.cell.jobs {
 		if first := id == "0000000000000001"; j.overShare == first {
-			t.Errorf("job %s is beyond the share: %v, want %v", id, j.overShare, !first)
+			t.Errorf("job %s: beyond the share is %v, want the opposite", id, j.overShare)
 		}
 	}
 }
--- a/internal/cell/long_wait_test.go
+++ b/internal/cell/long_wait_test.go
@@ -44,7 +44,7 @@
 		s.advance(longWaitAfter)
 		waits := s.cell.LongWaits(s.now)
 		if len(waits) != 1 || waits[0].Reason != test.want || waits[0].Waited != longWaitAfter {
-			t.Errorf("%s: %+v, want reason %v", test.name, waits, test.want)
+			t.Errorf("%s: unexpected long waits %+v", test.name, waits)
 		}
 	}
 }
--- a/internal/cell/reservation_test.go
+++ b/internal/cell/reservation_test.go
@@ -98,7 +98,7 @@
 		r.Priority, r.Queue = 2, step.Estimate.String()
 		s.cell.Add(r, true)
 		if starts := s.plan(); len(starts) != test.want {
-			t.Errorf("%d starts of a task of %v, want %d", len(starts), test.estimate, test.want)
+			t.Errorf("unexpected number of starts, %d, of a task of %v", len(starts), test.estimate)
 		}
 	}
 }
--- a/internal/cell/watch_test.go
+++ b/internal/cell/watch_test.go
@@ -164,7 +164,7 @@
 		s := newSite(t, 1, usualWorker("a"))
 		slowJobs(t, s, jobs)
 		if got := s.cell.workers["a"].health.avoided(s.now); got != avoided {
-			t.Errorf("slow tasks of %d jobs: avoided %v, want %v", jobs, got, avoided)
+			t.Errorf("slow tasks of %d jobs: avoided is %v, want the opposite", jobs, got)
 		}
 	}
 }
