--- a/test/cell/cell_test.go
+++ b/test/cell/cell_test.go
@@ -56,14 +56,14 @@
 
 // cell is a whole system over fakes.
 type cell struct {
-	seed    uint64
-	log     io.Writer
-	store   *standplatform.Store
-	faulty  *standplatform.Faulty
-	record  *standworker.Record
-	workers map[string]*standworker.Worker
-	current *config.Current
-	lives   int
+	seed         uint64
+	log          io.Writer
+	store        *standplatform.Store
+	faulty       *standplatform.Faulty
+	record       *standworker.Record
+	workers      map[string]*standworker.Worker
+	current      *config.Current
+	incarnations int
 
 	mu      sync.Mutex
 	members []*member
@@ -145,8 +145,8 @@
 	}
 }
 
-// heal ends all faults and replaces dead members.
-func (c *cell) heal() {
+// endFaults ends all faults and replaces dead members.
+func (c *cell) endFaults() {
 	c.faulty.Set(standplatform.Fault{})
 	for _, w := range c.workers {
 		w.SetFault(standworker.Fault{})
@@ -156,7 +156,7 @@
 			c.replace(n)
 		}
 	}
-	c.each(func(_ int, m *member) { m.gate.heal() })
+	c.each(func(_ int, m *member) { m.link.restore() })
 }
 
 func (c *cell) stop() {
--- a/test/cell/fakes_test.go
+++ b/test/cell/fakes_test.go
@@ -14,25 +14,25 @@
 	"gentianstand/internal/worker"
 )
 
-// patience is how long a caller waits for any answer.
-const patience = time.Second
+// callTimeout is how long a caller waits for any answer.
+const callTimeout = time.Second
 
 // table is the platform's table as one member reaches it.
 type table struct {
-	gate   *gate
+	link   *link
 	faulty *standplatform.Faulty
 }
 
 func (t table) Get(ctx context.Context, key string) (platform.Row, error) {
-	return toTable(ctx, t, func(ctx context.Context) (platform.Row, error) { return t.faulty.Get(ctx, key) })
+	return callTable(ctx, t, func(ctx context.Context) (platform.Row, error) { return t.faulty.Get(ctx, key) })
 }
 
 func (t table) Scan(ctx context.Context, prefix, after string, limit int) ([]platform.Row, error) {
-	return toTable(ctx, t, func(ctx context.Context) ([]platform.Row, error) { return t.faulty.Scan(ctx, prefix, after, limit) })
+	return callTable(ctx, t, func(ctx context.Context) ([]platform.Row, error) { return t.faulty.Scan(ctx, prefix, after, limit) })
 }
 
 func (t table) Commit(ctx context.Context, tx platform.Tx) error {
-	_, err := toTable(ctx, t, func(ctx context.Context) (struct{}, error) { return struct{}{}, t.faulty.Commit(ctx, tx) })
+	_, err := callTable(ctx, t, func(ctx context.Context) (struct{}, error) { return struct{}{}, t.faulty.Commit(ctx, tx) })
 	return err
 }
 
@@ -44,15 +44,15 @@
 	return t.faulty.GetObject(ctx, key)
 }
 
-func toTable[T any](ctx context.Context, t table, f func(context.Context) (T, error)) (T, error) {
-	v, err := within(ctx, patience, func() (T, error) {
+func callTable[T any](ctx context.Context, t table, f func(context.Context) (T, error)) (T, error) {
+	v, err := withTimeout(ctx, callTimeout, func() (T, error) {
 		var none T
-		if err := t.gate.pass(ctx, "table"); err != nil {
+		if err := t.link.deliver(ctx, "table"); err != nil {
 			return none, platform.ErrUnavailable
 		}
 		return f(context.Background())
 	})
-	if err == errCut {
+	if err == errUnreachable {
 		err = platform.ErrUnavailable
 	}
 	return v, err
@@ -60,28 +60,28 @@
 
 // agent is a worker as one member reaches it.
 type agent struct {
-	gate   *gate
+	link   *link
 	id     string
 	worker *standworker.Worker
 }
 
 func (a agent) Sync(ctx context.Context, req worker.SyncRequest) (worker.SyncReply, error) {
-	return toWorker(ctx, a, func() (worker.SyncReply, error) { return a.worker.Sync(ctx, req) })
+	return callWorker(ctx, a, func() (worker.SyncReply, error) { return a.worker.Sync(ctx, req) })
 }
 
 func (a agent) Ask(ctx context.Context, ids []string) ([]worker.RequestState, error) {
-	return toWorker(ctx, a, func() ([]worker.RequestState, error) { return a.worker.Ask(ctx, ids) })
+	return callWorker(ctx, a, func() ([]worker.RequestState, error) { return a.worker.Ask(ctx, ids) })
 }
 
-func toWorker[T any](ctx context.Context, a agent, call func() (T, error)) (T, error) {
-	v, err := within(ctx, patience, func() (T, error) {
+func callWorker[T any](ctx context.Context, a agent, call func() (T, error)) (T, error) {
+	v, err := withTimeout(ctx, callTimeout, func() (T, error) {
 		var none T
-		if err := a.gate.pass(ctx, a.id); err != nil {
+		if err := a.link.deliver(ctx, a.id); err != nil {
 			return none, err
 		}
 		return call()
 	})
-	if err == errCut {
+	if err == errUnreachable {
 		err = worker.ErrUnreachable
 	}
 	return v, err
@@ -94,25 +94,25 @@
 	me   *member
 }
 
-func (p peers) reach(instance string) (*member, error) {
+func (p peers) lookUp(instance string) (*member, error) {
 	m := p.cell.member(instance)
 	if m == nil {
-		return nil, errCut
+		return nil, errUnreachable
 	}
 	return m, nil
 }
 
-func toPeer[T any](ctx context.Context, p peers, instance string, f func(*member) (T, error)) (T, error) {
-	return within(ctx, patience, func() (T, error) {
+func callPeer[T any](ctx context.Context, p peers, instance string, f func(*member) (T, error)) (T, error) {
+	return withTimeout(ctx, callTimeout, func() (T, error) {
 		var none T
-		if err := p.me.gate.pass(ctx, instance); err != nil {
+		if err := p.me.link.deliver(ctx, instance); err != nil {
 			return none, err
 		}
-		m, err := p.reach(instance)
+		m, err := p.lookUp(instance)
 		if err != nil {
 			return none, err
 		}
-		if err := m.gate.pass(ctx, "in"); err != nil {
+		if err := m.link.deliver(ctx, "in"); err != nil {
 			return none, err
 		}
 		return f(m)
@@ -120,15 +120,15 @@
 }
 
 func (p peers) Vouch(ctx context.Context, elector, subject live.Process) (bool, error) {
-	return toPeer(ctx, p, elector.Instance, func(m *member) (bool, error) {
+	return callPeer(ctx, p, elector.Instance, func(m *member) (bool, error) {
 		return m.process == elector && m.elector.Vouch(subject, time.Now()), nil
 	})
 }
 
 func (p peers) Fence(ctx context.Context, elector, subject live.Process) error {
-	_, err := toPeer(ctx, p, elector.Instance, func(m *member) (struct{}, error) {
+	_, err := callPeer(ctx, p, elector.Instance, func(m *member) (struct{}, error) {
 		if m.process != elector {
-			return struct{}{}, errCut
+			return struct{}{}, errUnreachable
 		}
 		m.elector.Fence(subject, time.Now())
 		return struct{}{}, nil
@@ -137,7 +137,7 @@
 }
 
 func (p peers) Give(ctx context.Context, shard live.Shard) error {
-	_, err := toPeer(ctx, p, shard.Owner.Instance, func(m *member) (struct{}, error) {
+	_, err := callPeer(ctx, p, shard.Owner.Instance, func(m *member) (struct{}, error) {
 		m.keeper.Given(shard)
 		return struct{}{}, nil
 	})
@@ -145,7 +145,7 @@
 }
 
 func (p peers) Assign(ctx context.Context, instance string, order fleet.Order) error {
-	_, err := toPeer(ctx, p, instance, func(m *member) (struct{}, error) {
+	_, err := callPeer(ctx, p, instance, func(m *member) (struct{}, error) {
 		return struct{}{}, m.owner.Assign(order)
 	})
 	return err
@@ -156,8 +156,8 @@
 	if planner == "" {
 		return 0, fault.New(fault.NotOwner, "no planner is known")
 	}
-	return toPeer(ctx, p, planner, func(m *member) (uint64, error) {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+	return callPeer(ctx, p, planner, func(m *member) (uint64, error) {
+		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 		defer cancel()
 		return m.planner.Report(ctx, p.me.process.Instance, full, reports)
 	})
--- a/test/cell/focused_test.go
+++ b/test/cell/focused_test.go
@@ -12,8 +12,8 @@
 	standworker "gentianstand/internal/standin/worker"
 )
 
-// holder returns the number of the member that owns a shard.
-func (c *cell) holder(t *testing.T, shard string) int {
+// ownerOf returns the number of the member that owns a shard.
+func (c *cell) ownerOf(t *testing.T, shard string) int {
 	t.Helper()
 	owner := c.members[0].keeper.View().Shards[shard].Owner.Instance
 	for n, m := range c.members {
@@ -25,27 +25,27 @@
 	return 0
 }
 
-// splitOff cuts a member off from the table and the other members, and all
+// isolate cuts a member off from the table and the other members, and all
 // others off from the workers of a rack: only the member still reaches those.
-func (c *cell) splitOff(n int, rack []string) {
+func (c *cell) isolate(n int, rack []string) {
 	c.each(func(i int, m *member) {
 		if i != n {
-			m.gate.setCut(fmt.Sprintf("entry-%d", n), true)
+			m.link.setCut(fmt.Sprintf("entry-%d", n), true)
 			for _, id := range rack {
-				m.gate.setCut(id, true)
+				m.link.setCut(id, true)
 			}
 			return
 		}
 		for other := range members {
 			if other != n {
-				m.gate.setCut(fmt.Sprintf("entry-%d", other), true)
+				m.link.setCut(fmt.Sprintf("entry-%d", other), true)
 			}
 		}
-		m.gate.setCut("table", true)
+		m.link.setCut("table", true)
 	})
 }
 
-func check(t *testing.T, c *cell) {
+func checkInvariants(t *testing.T, c *cell) {
 	t.Helper()
 	c.replicas() // a look at each worker dates what was due there
 	if broken := standworker.Violations(c.record.Events()); len(broken) > 0 {
@@ -56,22 +56,22 @@
 	}
 }
 
-// afterCut lets inflict cut off the owner of rack-0, and checks the promises
+// checkIsolation lets inflict cut off the owner of rack-0, and checks the promises
 // two minutes into the cut and once everything works again.
-func afterCut(t *testing.T, seed uint64, inflict func(c *cell, owner int)) {
+func checkIsolation(t *testing.T, seed uint64, inject func(c *cell, owner int)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(seed, &lockedLog{})
 		defer c.stop()
 		time.Sleep(5 * time.Second)
-		inflict(c, c.holder(t, "rack-0"))
+		inject(c, c.ownerOf(t, "rack-0"))
 		time.Sleep(2 * time.Minute)
-		check(t, c)
-		c.heal()
-		if problems := c.awaitEnd(3 * time.Minute); len(problems) > 0 {
+		checkInvariants(t, c)
+		c.endFaults()
+		if problems := c.awaitCompletion(3 * time.Minute); len(problems) > 0 {
 			t.Errorf("after the cut: %v", problems)
 		}
-		check(t, c)
+		checkInvariants(t, c)
 	})
 }
 
@@ -79,27 +79,27 @@
 
 // Failure: tasks run in two places for as long as a cut lasts.
 func TestIsolatedOwnerStops(t *testing.T) {
-	afterCut(t, 1, func(c *cell, owner int) { c.splitOff(owner, rack0) })
+	checkIsolation(t, 1, func(c *cell, owner int) { c.isolate(owner, rack0) })
 }
 
 // Failure: tasks run in two places after an outage that a cut follows.
-func TestCutOwnerIsNotVouchedFor(t *testing.T) {
-	afterCut(t, 5, func(c *cell, owner int) {
-		c.splitOff(owner, rack0)
+func TestIsolatedOwnerIsNotConfirmed(t *testing.T) {
+	checkIsolation(t, 5, func(c *cell, owner int) {
+		c.isolate(owner, rack0)
 		c.each(func(_ int, m *member) {
 			for other := range members {
-				m.gate.setCut(fmt.Sprintf("entry-%d", other), false)
+				m.link.setCut(fmt.Sprintf("entry-%d", other), false)
 			}
 		})
 	})
 }
 
 // Failure: tasks run in two places after an outage that a cut follows.
-func TestOwnerInOutageThenCut(t *testing.T) {
-	afterCut(t, 2, func(c *cell, owner int) {
+func TestOwnerIsolatedAfterTableOutage(t *testing.T) {
+	checkIsolation(t, 2, func(c *cell, owner int) {
 		c.faulty.Set(standplatform.Fault{TableDown: true})
 		time.Sleep(20 * time.Second)
-		c.splitOff(owner, rack0)
+		c.isolate(owner, rack0)
 		c.faulty.Set(standplatform.Fault{})
 	})
 }
@@ -127,10 +127,10 @@
 			t.Errorf("%d of 24 accepted letters were done in the outage", letters)
 		}
 		c.faulty.Set(standplatform.Fault{})
-		if problems := c.awaitEnd(3 * time.Minute); len(problems) > 0 {
+		if problems := c.awaitCompletion(3 * time.Minute); len(problems) > 0 {
 			t.Errorf("after the outage: %v", problems)
 		}
-		check(t, c)
+		checkInvariants(t, c)
 		for task, n := range startCounts(c.record.Events()) {
 			if n != 1 {
 				t.Errorf("%s was started %d times", task, n)
@@ -149,27 +149,27 @@
 	return counts
 }
 
-// TestTakeOverIsSwift: after the death of a member its shards have new owners,
+// TestTakeOverWithinFiveSeconds: after the death of a member its shards have new owners,
 // its workers are claimed and planning goes on within five seconds. Messages
 // take a millisecond each here: a read that is held up postpones a take-over.
-func TestTakeOverIsSwift(t *testing.T) {
+func TestTakeOverWithinFiveSeconds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(4, &lockedLog{})
 		defer c.stop()
-		c.each(func(_ int, m *member) { m.gate.setSteady() })
+		c.each(func(_ int, m *member) { m.link.setFixedDelay() })
 		time.Sleep(5 * time.Second)
-		n := c.holder(t, live.PlannerShard)
-		died := time.Now()
+		n := c.ownerOf(t, live.PlannerShard)
+		killedAt := time.Now()
 		c.kill(n)
 		survivor := c.members[(n+1)%members]
-		for time.Since(died) < 30*time.Second {
+		for time.Since(killedAt) < 30*time.Second {
 			owner := survivor.keeper.View().Shards[live.PlannerShard].Owner.Instance
 			if owner != fmt.Sprintf("entry-%d", n) && owner != "" {
 				break
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		if took := time.Since(died); took > 5*time.Second {
+		if took := time.Since(killedAt); took > 5*time.Second {
 			t.Errorf("planned again only after %s", took)
 		}
 	})
@@ -181,7 +181,7 @@
 		c := newCell(6, &lockedLog{})
 		defer c.stop()
 		time.Sleep(5 * time.Second)
-		n := c.holder(t, live.PlannerShard)
+		n := c.ownerOf(t, live.PlannerShard)
 		old := c.members[n]
 		next := c.newMember(n)
 		c.members[n] = next
@@ -193,10 +193,10 @@
 		if !next.session.Valid(time.Now()) {
 			t.Error("the new process has no session")
 		}
-		if problems := c.awaitEnd(3 * time.Minute); len(problems) > 0 {
+		if problems := c.awaitCompletion(3 * time.Minute); len(problems) > 0 {
 			t.Errorf("unfinished: %v", problems)
 		}
-		check(t, c)
+		checkInvariants(t, c)
 		old.kill()
 	})
 }
--- a/test/cell/gate_test.go
+++ b/test/cell/gate_test.go
@@ -10,28 +10,28 @@
 	"time"
 )
 
-var errCut = errors.New("no connection")
+var errUnreachable = errors.New("no connection")
 
-// gate is what every message of one member passes: it can be frozen, cut off
+// link is what every message of one member passes: it can be frozen, cut off
 // from some targets, or dead, and delays messages at random.
-type gate struct {
+type link struct {
 	mu     sync.Mutex
 	random *rand.Rand
 	frozen chan struct{}
 	dead   chan struct{}
 	cuts   map[string]bool
-	// steady takes the random out of delays, for tests that measure.
-	steady bool
+	// fixedDelay takes the random out of delays, for tests that measure.
+	fixedDelay bool
 }
 
-func newGate(seed uint64) *gate {
-	return &gate{random: rand.New(rand.NewPCG(seed, 1)), dead: make(chan struct{}), cuts: map[string]bool{}}
+func newLink(seed uint64) *link {
+	return &link{random: rand.New(rand.NewPCG(seed, 1)), dead: make(chan struct{}), cuts: map[string]bool{}}
 }
 
-// pass waits as long as a message to target takes; an error means that it is
+// deliver waits as long as a message to target takes; an error means that it is
 // not delivered. A message of a frozen member is delivered when it thaws, as
 // late as that is, unless the member dies before.
-func (g *gate) pass(ctx context.Context, target string) error {
+func (g *link) deliver(ctx context.Context, target string) error {
 	g.mu.Lock()
 	frozen, cut, delay := g.frozen, g.cuts[target], g.delay()
 	g.mu.Unlock()
@@ -39,23 +39,23 @@
 		select {
 		case <-frozen:
 		case <-g.dead:
-			return errCut
+			return errUnreachable
 		}
 	}
 	if cut {
-		return errCut
+		return errUnreachable
 	}
 	select {
 	case <-g.dead:
-		return errCut
+		return errUnreachable
 	case <-time.After(delay):
 	}
 	return nil
 }
 
 // delay is a millisecond or two, and now and then far more than any timeout.
-func (g *gate) delay() time.Duration {
-	if g.steady {
+func (g *link) delay() time.Duration {
+	if g.fixedDelay {
 		return time.Millisecond
 	}
 	if g.random.IntN(100) == 0 {
@@ -64,13 +64,13 @@
 	return time.Duration(500+g.random.IntN(2000)) * time.Microsecond
 }
 
-func (g *gate) setSteady() {
+func (g *link) setFixedDelay() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.steady = true
+	g.fixedDelay = true
 }
 
-func (g *gate) freeze() {
+func (g *link) freeze() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.frozen == nil {
@@ -78,7 +78,7 @@
 	}
 }
 
-func (g *gate) thaw() {
+func (g *link) thaw() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.frozen != nil {
@@ -87,24 +87,24 @@
 	}
 }
 
-func (g *gate) kill() { close(g.dead) }
+func (g *link) kill() { close(g.dead) }
 
-func (g *gate) setCut(target string, cut bool) {
+func (g *link) setCut(target string, cut bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.cuts[target] = cut
 }
 
-func (g *gate) heal() {
+func (g *link) restore() {
 	g.thaw()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.cuts = map[string]bool{}
 }
 
-// within runs f, which may be delivered late, but returns to the caller when
+// withTimeout runs f, which may be delivered late, but returns to the caller when
 // its patience ends: a message is not taken back by giving up on its answer.
-func within[T any](ctx context.Context, patience time.Duration, f func() (T, error)) (T, error) {
+func withTimeout[T any](ctx context.Context, timeout time.Duration, f func() (T, error)) (T, error) {
 	type result struct {
 		value T
 		err   error
@@ -114,7 +114,7 @@
 		v, err := f()
 		done <- result{v, err}
 	}()
-	timer := time.NewTimer(patience)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case r := <-done:
@@ -123,5 +123,5 @@
 	case <-ctx.Done():
 	}
 	var none T
-	return none, errCut
+	return none, errUnreachable
 }
--- a/test/cell/member_test.go
+++ b/test/cell/member_test.go
@@ -24,7 +24,7 @@
 type member struct {
 	cell    *cell
 	process live.Process
-	gate    *gate
+	link    *link
 	session *membership.Session
 	elector *membership.Elector
 	keeper  *ownership.Keeper
@@ -36,25 +36,25 @@
 }
 
 func (c *cell) newMember(n int) *member {
-	c.lives++
+	c.incarnations++
 	id := fmt.Sprintf("entry-%d", n)
 	m := &member{
-		cell: c, process: live.Process{Instance: id, Incarnation: fmt.Sprint(c.lives)},
-		gate: newGate(c.seed + uint64(c.lives)), current: c.current,
+		cell: c, process: live.Process{Instance: id, Incarnation: fmt.Sprint(c.incarnations)},
+		link: newLink(c.seed + uint64(c.incarnations)), current: c.current,
 	}
 	log := logrus.New()
 	log.SetOutput(c.log)
 	log.SetLevel(logrus.DebugLevel)
 	entry := log.WithField("member", m.process.String())
 	timing := membership.DefaultTiming()
-	tbl := table{gate: m.gate, faulty: c.faulty.For(id)}
+	tbl := table{link: m.link, faulty: c.faulty.For(id)}
 	others := peers{cell: c, me: m}
 	set := metrics.NewSet()
 	m.session = membership.NewSession(timing, time.Now())
 	m.elector = membership.NewElector(timing, m.session)
 	router := routing.NewRouter()
 	dial := func(address string) worker.Agent {
-		return agent{gate: m.gate, id: address, worker: c.workers[address]}
+		return agent{link: m.link, id: address, worker: c.workers[address]}
 	}
 	m.owner = owner.New(id, timing, m.session, dial, router, others, set, entry)
 	around := planner.Surroundings{
@@ -77,7 +77,7 @@
 
 // kill ends the process; nothing it has not sent yet is sent.
 func (m *member) kill() {
-	m.gate.kill()
+	m.link.kill()
 	m.quit()
 	m.loops.Wait()
 	m.owner.SetHeld(nil)
--- a/test/cell/mixed_test.go
+++ b/test/cell/mixed_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-func (c *cell) inflict(f failure) {
+func (c *cell) inject(f failure) {
 	w := c.workers[fmt.Sprintf("worker-%d", f.worker)]
 	with := func(do func(*member)) {
 		c.each(func(n int, m *member) {
@@ -67,17 +67,17 @@
 	case "replace":
 		c.replace(f.member)
 	case "freeze":
-		with(func(m *member) { m.gate.freeze() })
+		with(func(m *member) { m.link.freeze() })
 	case "thaw":
-		with(func(m *member) { m.gate.thaw() })
+		with(func(m *member) { m.link.thaw() })
 	case "cut_table":
-		with(func(m *member) { m.gate.setCut("table", true) })
+		with(func(m *member) { m.link.setCut("table", true) })
 	case "cut_peer":
-		with(func(m *member) { m.gate.setCut(fmt.Sprintf("entry-%d", f.target), true) })
+		with(func(m *member) { m.link.setCut(fmt.Sprintf("entry-%d", f.target), true) })
 	case "cut_worker":
-		with(func(m *member) { m.gate.setCut(fmt.Sprintf("worker-%d", f.worker), true) })
+		with(func(m *member) { m.link.setCut(fmt.Sprintf("worker-%d", f.worker), true) })
 	case "heal_member":
-		with(func(m *member) { m.gate.heal() })
+		with(func(m *member) { m.link.restore() })
 	case "table_down":
 		c.faulty.Set(standplatform.Fault{TableDown: true})
 	case "table_up":
@@ -107,7 +107,7 @@
 		sequence := rapid.SliceOfN(rapid.Custom(drawFailure), 3, 14).Draw(rt, "sequence")
 		var log lockedLog
 		var problems []string
-		synctest.Test(t, func(*testing.T) { problems = play(seed, sequence, &log) })
+		synctest.Test(t, func(*testing.T) { problems = runSequence(seed, sequence, &log) })
 		if len(problems) > 0 {
 			if path := os.Getenv("CELL_LOG"); path != "" {
 				_ = os.WriteFile(path, log.bytes(), 0o600)
@@ -117,27 +117,27 @@
 	})
 }
 
-// play runs one sequence and returns what went wrong.
-func play(seed uint64, sequence []failure, log *lockedLog) []string {
+// runSequence runs one sequence and returns what went wrong.
+func runSequence(seed uint64, sequence []failure, log *lockedLog) []string {
 	c := newCell(seed, log)
 	defer c.stop()
 	time.Sleep(4 * time.Second)
 	for _, f := range sequence {
 		log.note("inflict %+v", f)
-		c.inflict(f)
+		c.inject(f)
 		time.Sleep(f.pause)
 	}
 	log.note("heal")
-	c.heal()
-	unfinished := c.awaitEnd(5 * time.Minute)
+	c.endFaults()
+	unfinished := c.awaitCompletion(5 * time.Minute)
 	problems := standworker.Violations(c.record.Events())
 	problems = append(problems, repeatedStarts(c.record.Events())...)
 	return append(problems, unfinished...)
 }
 
-// awaitEnd waits until every batch and job has ended and the service runs.
-func (c *cell) awaitEnd(patience time.Duration) []string {
-	deadline := time.Now().Add(patience)
+// awaitCompletion waits until every batch and job has ended and the service runs.
+func (c *cell) awaitCompletion(timeout time.Duration) []string {
+	deadline := time.Now().Add(timeout)
 	for {
 		problems := c.unfinished()
 		if len(problems) == 0 || time.Now().After(deadline) {
--- a/test/soak/caller_test.go
+++ b/test/soak/caller_test.go
@@ -32,8 +32,8 @@
 	fails     bool
 }
 
-// endsWell reports whether the job may be in a final state.
-func (s submission) endsWell(j *standin.Judge, state string) bool {
+// isExpectedState reports whether the job may be in a final state.
+func (s submission) isExpectedState(j *standin.Judge, state string) bool {
 	switch state {
 	case "completed":
 		return !s.fails
@@ -64,7 +64,7 @@
 		queue := []string{"plain", "advised"}[rnd.Intn(2)]
 		body, fails := jobBody(rnd)
 		seed := rnd.Int63()
-		workspace := []string{"north", cappedWorkspace}[n%2]
+		workspace := []string{"north", quotaWorkspace}[n%2]
 		wg.Go(func() {
 			c.submit(submission{id: id, queue: queue, workspace: workspace, fails: fails}, body, rand.New(rand.NewSource(seed)))
 		})
@@ -97,7 +97,7 @@
 		if key.workspace != s.workspace {
 			key = c.world.workspaces.valid(s.workspace)
 		}
-		status, _ := c.ask(http.MethodPost, s, key, body, rnd)
+		status, _ := c.call(http.MethodPost, s, key, body, rnd)
 		if status == http.StatusOK {
 			s.outcome = accepted
 			break
@@ -121,11 +121,11 @@
 	c.submit(submission{id: id, queue: "plain", workspace: "north", fails: true}, fmt.Sprintf(`{"spec":"crash","steps":[{"count":1,"cpu":%d,"mem_mb":10,"estimate_ms":200}]}`, taskCPU), rnd)
 }
 
-// ask returns the status, or 0 for no answer, and the state that the answer names.
-func (c *callers) ask(method string, s submission, key *apiKey, body string, rnd *rand.Rand) (int, string) {
+// call returns the status, or 0 for no answer, and the state that the answer names.
+func (c *callers) call(method string, s submission, key *apiKey, body string, rnd *rand.Rand) (int, string) {
 	sent := time.Now()
 	status, state := c.send(method, s, key, body, rnd)
-	c.world.workspaces.judge(key, sent, status)
+	c.world.workspaces.checkAnswer(key, sent, status)
 	return status, state
 }
 
@@ -163,7 +163,7 @@
 		if j.outcome != accepted {
 			continue
 		}
-		if status, state := c.ask(http.MethodGet, j, c.world.workspaces.valid(j.workspace), "", rnd); !j.endsWell(c.world.judge, state) {
+		if status, state := c.call(http.MethodGet, j, c.world.workspaces.valid(j.workspace), "", rnd); !j.isExpectedState(c.world.judge, state) {
 			left = append(left, fmt.Sprintf("%s: %d %q, fails %v", j.id, status, state, j.fails))
 		}
 	}
--- a/test/soak/faults_test.go
+++ b/test/soak/faults_test.go
@@ -10,8 +10,8 @@
 
 // fault disturbs something and puts it right again before it returns.
 type fault struct {
-	name string
-	play func(w *world, rnd *rand.Rand)
+	name   string
+	inject func(w *world, rnd *rand.Rand)
 }
 
 var faults = []fault{
@@ -137,16 +137,16 @@
 // restartShare is the same for restarts of workers.
 const restartShare = 6
 
-// play injects some of the faults until ctx ends, several at a time, and returns their
+// injectFaults injects some of the faults until ctx ends, several at a time, and returns their
 // names in order.
-func play(ctx context.Context, w *world, rnd *rand.Rand, faults []fault) []string {
+func injectFaults(ctx context.Context, w *world, rnd *rand.Rand, faults []fault) []string {
 	var wg sync.WaitGroup
 	var names []string
 	for ctx.Err() == nil {
 		f := faults[rnd.Intn(len(faults))]
 		names = append(names, f.name)
 		seed := rnd.Int63()
-		wg.Go(func() { f.play(w, rand.New(rand.NewSource(seed))) })
+		wg.Go(func() { f.inject(w, rand.New(rand.NewSource(seed))) })
 		pause(rnd, 100, 1200)
 	}
 	wg.Wait()
--- a/test/soak/lasting_test.go
+++ b/test/soak/lasting_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// lastingTasks is how many tasks run from before the first fault to the end of a soak.
-const lastingTasks = 2
+// longRunningTasks is how many tasks run from before the first fault to the end of a soak.
+const longRunningTasks = 2
 
-// submitLasting submits a job whose tasks last, until it is accepted.
-func (c *callers) submitLasting(rnd *rand.Rand) submission {
+// submitLongRunning submits a job whose tasks last, until it is accepted.
+func (c *callers) submitLongRunning(rnd *rand.Rand) submission {
 	s := submission{id: fmt.Sprintf("%08x%08x", rnd.Uint32(), rnd.Uint32()), queue: "advised", workspace: "north"}
 	c.world.judge.Submitted(s.id, s.workspace, false)
-	body := fmt.Sprintf(`{"spec":"forever","steps":[{"count":%d,"cpu":%d,"mem_mb":10,"long_running":true}]}`, lastingTasks, taskCPU)
+	body := fmt.Sprintf(`{"spec":"forever","steps":[{"count":%d,"cpu":%d,"mem_mb":10,"long_running":true}]}`, longRunningTasks, taskCPU)
 	for range 50 {
-		if status, _ := c.ask(http.MethodPost, s, c.world.workspaces.valid(s.workspace), body, rnd); status == http.StatusOK {
+		if status, _ := c.call(http.MethodPost, s, c.world.workspaces.valid(s.workspace), body, rnd); status == http.StatusOK {
 			return s
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -25,16 +25,16 @@
 	return s
 }
 
-// lasts reports whether all tasks of a lasting job run. A job under which workers crashed may
+// longRunningTasksRun reports whether all tasks of a lasting job run. A job under which workers crashed may
 // have been given up.
-func (c *callers) lasts(s submission, rnd *rand.Rand) bool {
+func (c *callers) longRunningTasksRun(s submission, rnd *rand.Rand) bool {
 	if c.world.judge.CrashedUnder(s.id) {
-		_, state := c.ask(http.MethodGet, s, c.world.workspaces.valid(s.workspace), "", rnd)
+		_, state := c.call(http.MethodGet, s, c.world.workspaces.valid(s.workspace), "", rnd)
 		if state == "failed" {
 			return true
 		}
 	}
-	for index := range lastingTasks {
+	for index := range longRunningTasks {
 		if !c.world.judge.Runs(fmt.Sprintf("%s.0.0.%d", s.id, index)) {
 			return false
 		}
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -108,8 +108,8 @@
 	})
 	c := newCallers(w)
 	w.callers = c
-	lastingRnd := rand.New(rand.NewSource(-seed))
-	lasting := c.submitLasting(lastingRnd)
+	longRunningRnd := rand.New(rand.NewSource(-seed))
+	longRunning := c.submitLongRunning(longRunningRnd)
 	ctx, cancel := context.WithTimeout(context.Background(), length)
 	defer cancel()
 	callersDone := make(chan struct{})
@@ -118,18 +118,18 @@
 		defer close(callersDone)
 		c.run(ctx, rand.New(rand.NewSource(callerSeed)))
 	}()
-	played := play(ctx, w, rnd, faults)
+	injected := injectFaults(ctx, w, rnd, faults)
 	<-callersDone
 	var left []string
 	waitFor(t, "all accepted jobs have ended", func() bool {
 		left = c.unfinished(rnd)
 		return len(left) == 0
 	})
-	waitFor(t, "the lasting tasks run", func() bool { return c.lasts(lasting, lastingRnd) })
+	waitFor(t, "the lasting tasks run", func() bool { return c.longRunningTasksRun(longRunning, longRunningRnd) })
 	for _, line := range w.judge.Broken() {
 		t.Error(line)
 	}
-	t.Logf("seed %d: %d jobs, %d starts, faults %q", seed, len(c.jobs), w.judge.Starts(), played)
+	t.Logf("seed %d: %d jobs, %d starts, faults %q", seed, len(c.jobs), w.judge.Starts(), injected)
 	if t.Failed() {
 		for _, line := range left {
 			t.Log(line)
--- a/test/soak/workspaces_test.go
+++ b/test/soak/workspaces_test.go
@@ -12,12 +12,12 @@
 const (
 	// revokeMillis is the time after which a removed key must not work.
 	revokeMillis = 3000
-	// knownAfter is when a key that was added must not be refused for good any more. An
+	// keyKnownAfter is when a key that was added must not be refused for good any more. An
 	// instance that cannot tell refuses for now.
-	knownAfter = time.Second
+	keyKnownAfter = time.Second
 	// quotaKnownAfter is when an owner must not start anything under an older quota.
 	quotaKnownAfter = 10 * time.Second
-	cappedWorkspace = "south"
+	quotaWorkspace  = "south"
 )
 
 // quota is one that was put into force at a time, in tasks.
@@ -46,12 +46,12 @@
 
 func newWorkspaces(w *world) *workspaces {
 	s := &workspaces{world: w}
-	for _, name := range []string{"north", cappedWorkspace} {
+	for _, name := range []string{"north", quotaWorkspace} {
 		s.addKey(name)
 	}
 	s.quotas = append(s.quotas, quota{time.Now(), 0})
 	s.store()
-	w.judge.Quota = s.allowed
+	w.judge.Quota = s.taskLimit
 	return s
 }
 
@@ -63,7 +63,7 @@
 func (s *workspaces) store() {
 	s.version++
 	var tenants []any
-	for _, name := range []string{"north", cappedWorkspace} {
+	for _, name := range []string{"north", quotaWorkspace} {
 		valid := []string{}
 		for _, k := range s.keys {
 			if k.workspace == name && !k.removed {
@@ -71,7 +71,7 @@
 			}
 		}
 		most := 0
-		if name == cappedWorkspace {
+		if name == quotaWorkspace {
 			most = s.quotas[len(s.quotas)-1].tasks * taskCPU
 		}
 		tenants = append(tenants, map[string]any{"name": name, "api_keys": valid, "weight": 4, "cap": map[string]int{"cpu": most}})
@@ -107,12 +107,12 @@
 	s.store()
 }
 
-// allowed returns how many tasks a workspace may have running, by the highest quota that may
+// taskLimit returns how many tasks a workspace may have running, by the highest quota that may
 // be in force, with a tenth and one task more; ok is false if there is no limit.
-func (s *workspaces) allowed(workspace string) (most int, ok bool) {
+func (s *workspaces) taskLimit(workspace string) (most int, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if workspace != cappedWorkspace {
+	if workspace != quotaWorkspace {
 		return 0, false
 	}
 	for i, q := range s.quotas {
@@ -155,8 +155,8 @@
 	return s.newest(workspace)
 }
 
-// judge checks the answer to a call with a key that was sent at a time.
-func (s *workspaces) judge(k *apiKey, sent time.Time, status int) {
+// checkAnswer checks the answer to a call with a key that was sent at a time.
+func (s *workspaces) checkAnswer(k *apiKey, sent time.Time, status int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
@@ -164,7 +164,7 @@
 		s.world.judge.Blame("ROUTE: a key that no configuration held is served")
 	case status == http.StatusOK && k.removed && sent.Sub(k.until) > revokeMillis*time.Millisecond:
 		s.world.judge.Blame("CONFIG: %s is served, sent %v after it was taken away", k.text, sent.Sub(k.until))
-	case status == http.StatusUnauthorized && !k.from.IsZero() && !k.removed && sent.Sub(k.from) > knownAfter:
+	case status == http.StatusUnauthorized && !k.from.IsZero() && !k.removed && sent.Sub(k.from) > keyKnownAfter:
 		s.world.judge.Blame("CONFIG: %s is refused for good, sent %v after it was added", k.text, sent.Sub(k.from))
 	}
 }
--- a/test/soak/world_test.go
+++ b/test/soak/world_test.go
@@ -20,8 +20,8 @@
 	workerCPU   = 8000
 	taskCPU     = 1000
 	callersHost = "desk.example"
-	// workerAway is how long a worker that a task crashed is away.
-	workerAway = time.Second
+	// workerDowntime is how long a worker that a task crashed is away.
+	workerDowntime = time.Second
 	// smallWorkerCPU is the room of every third incarnation.
 	smallWorkerCPU = 5000
 )
@@ -37,16 +37,16 @@
 	procs      []*process
 	storeAt    []*standin.Proxy
 
-	// tells says that workers tell their incarnations apart.
-	tells bool
+	// distinctIncarnations says that workers tell their incarnations apart.
+	distinctIncarnations bool
 	// restarts has processes started one at a time.
 	restarts sync.Mutex
 
-	mu       sync.Mutex
-	agents   []*standin.Worker
-	servers  []*httptest.Server
-	workerAt []*standin.Proxy
-	lives    int
+	mu           sync.Mutex
+	agents       []*standin.Worker
+	servers      []*httptest.Server
+	workerAt     []*standin.Proxy
+	incarnations int
 }
 
 // address returns the loopback address of an instance. Each world of each test process
@@ -68,9 +68,9 @@
 }
 
 // newWorld starts the stand-ins and the processes.
-func newWorld(t *testing.T, binary string, number int, tells bool) *world {
+func newWorld(t *testing.T, binary string, number int, distinctIncarnations bool) *world {
 	t.Helper()
-	w := &world{t: t, tells: tells, judge: standin.NewJudge(taskCPU), store: standin.NewStore()}
+	w := &world{t: t, distinctIncarnations: distinctIncarnations, judge: standin.NewJudge(taskCPU), store: standin.NewStore()}
 	storeServer := httptest.NewServer(w.store)
 	t.Cleanup(storeServer.Close)
 	adviser := httptest.NewServer(http.HandlerFunc(advise))
@@ -131,48 +131,48 @@
 
 // replaceWorker ends a worker's life and begins another at the same address. life, if not
 // nil, is the one that is meant.
-func (w *world) replaceWorker(i int, life *standin.Worker) {
+func (w *world) replaceWorker(i int, expected *standin.Worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	old, ended := w.endLife(i, life)
+	old, ended := w.endIncarnation(i, expected)
 	if !ended {
 		return
 	}
 	if old != nil {
 		w.store.Remove("servers", old.ID)
 	}
-	agent := w.newLife(i, fmt.Sprintf("worker-%d-%d", i, w.lives), workerCPU)
-	w.store.Put("servers", agent.ID, w.entry(i, agent))
+	agent := w.newIncarnation(i, fmt.Sprintf("worker-%d-%d", i, w.incarnations), workerCPU)
+	w.store.Put("servers", agent.ID, w.rosterEntry(i, agent))
 }
 
-// endLife ends a worker's life, if it is the one that is meant; w.mu is held. It returns nil
+// endIncarnation ends a worker's life, if it is the one that is meant; w.mu is held. It returns nil
 // for the life before the first one.
-func (w *world) endLife(i int, life *standin.Worker) (old *standin.Worker, ended bool) {
+func (w *world) endIncarnation(i int, expected *standin.Worker) (old *standin.Worker, ended bool) {
 	old = w.agents[i]
-	if life != nil && old != life {
+	if expected != nil && old != expected {
 		return nil, false
 	}
 	if old != nil {
 		old.Kill()
 	}
-	w.lives++
+	w.incarnations++
 	return old, true
 }
 
 // restartWorker ends a worker's life and begins another under its id. Its entry changes when
 // the next heartbeat is written.
-func (w *world) restartWorker(i int, heartbeat time.Duration, life *standin.Worker) {
+func (w *world) restartWorker(i int, heartbeat time.Duration, expected *standin.Worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	old, ended := w.endLife(i, life)
+	old, ended := w.endIncarnation(i, expected)
 	if !ended {
 		return
 	}
 	cpu := int64(workerCPU)
-	if w.lives%3 == 0 {
+	if w.incarnations%3 == 0 {
 		cpu = smallWorkerCPU
 	}
-	agent := w.newLife(i, old.ID, cpu)
+	agent := w.newIncarnation(i, old.ID, cpu)
 	time.AfterFunc(heartbeat, func() { w.register(i, agent) })
 }
 
@@ -181,39 +181,39 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.agents[i] == agent {
-		w.store.Put("servers", agent.ID, w.entry(i, agent))
+		w.store.Put("servers", agent.ID, w.rosterEntry(i, agent))
 	}
 }
 
-// newLife puts an agent at a worker's address. Connections to the one before end.
-func (w *world) newLife(i int, id string, cpu int64) *standin.Worker {
+// newIncarnation puts an agent at a worker's address. Connections to the one before end.
+func (w *world) newIncarnation(i int, id string, cpu int64) *standin.Worker {
 	agent := standin.NewWorker(id, cpu, w.judge)
-	if w.tells {
+	if w.distinctIncarnations {
 		agent.Born = time.Now().UnixMilli()
 	}
-	agent.Crashed = func() { time.AfterFunc(workerAway, func() { w.comeBack(i, agent) }) }
+	agent.Crashed = func() { time.AfterFunc(workerDowntime, func() { w.restartAfterCrash(i, agent) }) }
 	w.agents[i] = agent
 	w.workerAt[i].Reset()
 	return agent
 }
 
-// comeBack begins the life after a crash, under the id before or another one by turns.
-func (w *world) comeBack(i int, crashed *standin.Worker) {
-	if w.tells && w.lifeCount()%2 == 0 {
-		w.restartWorker(i, workerAway, crashed)
+// restartAfterCrash begins the life after a crash, under the id before or another one by turns.
+func (w *world) restartAfterCrash(i int, crashed *standin.Worker) {
+	if w.distinctIncarnations && w.incarnationCount()%2 == 0 {
+		w.restartWorker(i, workerDowntime, crashed)
 		return
 	}
 	w.replaceWorker(i, crashed)
 }
 
-func (w *world) lifeCount() int {
+func (w *world) incarnationCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.lives
+	return w.incarnations
 }
 
-// entry returns a worker's entry in the roster.
-func (w *world) entry(i int, agent *standin.Worker) map[string]any {
+// rosterEntry returns a worker's rosterEntry in the roster.
+func (w *world) rosterEntry(i int, agent *standin.Worker) map[string]any {
 	entry := map[string]any{
 		"service": "desk", "address": w.workerAt[i].Address(), "zone": "zone-0", "state": "ready",
 		"capacity": map[string]int64{"cpu": agent.CPU, "mem_mb": 32768, "gpu": 0}, "labels": []string{"a", "r1"},
