--- a/internal/cell/ask_held_test.go
+++ b/internal/cell/ask_held_test.go
@@ -9,16 +9,16 @@
 	"gentianstand/internal/runner"
 )
 
-// adviser answers each question after the time that it takes, with tickets for all workers.
-type adviser struct {
+// fakeAdviser answers each request after its estimated duration, with tickets for all workers.
+type fakeAdviser struct {
 	site    *site
 	pending []AdviceOrder
 	due     []time.Time
 	asked   int
 }
 
-// serve takes the questions of the last plan and answers those that are due.
-func (a *adviser) serve() {
+// answerDue accepts the requests of the last planning pass and answers those that are due.
+func (a *fakeAdviser) answerDue() {
 	for _, q := range a.site.questions() {
 		a.asked++
 		a.pending = append(a.pending, q)
@@ -34,48 +34,48 @@
 	}
 }
 
-// Failure: after a take-over beside a lost worker a task waits for its leases and then for
-// the adviser, too.
-func TestTicketsAreThereWhenATaskIsNotHeldBackAnyMore(t *testing.T) {
+// Guards against a task that waits for the adviser only after it has waited for a lease: after a
+// take-over with a lost worker, its tickets must be ready when the lease has expired.
+func TestTicketsAreReadyWhenATaskIsReleased(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"), usualWorker("b"))
-	lasting := step(1)
-	lasting.LongRunning = true
-	r := s.record(1, lasting)
+	longRunning := step(1)
+	longRunning.LongRunning = true
+	r := s.record(1, longRunning)
 	r.Advice = &job.AdviceCost{PerCall: 560 * time.Millisecond, PerWorker: 8 * time.Millisecond, TicketTTL: 2 * time.Second}
 	s.cell.Load(r, nil)
 	began, limit := s.now, s.cell.earlierLeaseLimit()
-	asks := &adviser{site: s}
+	asks := &fakeAdviser{site: s}
 	for len(s.plan()) == 0 {
 		if s.now.Sub(began) > 2*limit {
-			t.Fatal("never started")
+			t.Fatal("the task was never started")
 		}
-		asks.serve()
-		s.pass(10 * time.Millisecond)
+		asks.answerDue()
+		s.advance(10 * time.Millisecond)
 		s.report("b")
 	}
 	took := s.now.Sub(began)
 	if took < limit {
-		t.Errorf("started after %v, while the lease on a may last until %v", took, limit)
+		t.Errorf("started after %v, while the lease of a may last until %v", took, limit)
 	}
 	if late := took - limit; late > 100*time.Millisecond {
-		t.Errorf("started %v after the lease on a was over", late)
+		t.Errorf("started %v after the lease of a had expired", late)
 	}
 	if asks.asked != 1 {
-		t.Errorf("asked %d times, want once", asks.asked)
+		t.Errorf("%d requests for advice, want 1", asks.asked)
 	}
 }
 
-// silentUntilStarted lets time pass beside a silent worker a until the next start, and
-// returns how long that took.
-func (a *adviser) silentUntilStarted() time.Duration {
+// timeToStart advances the time, with worker a unresponsive, until the next start and returns how
+// long that took.
+func (a *fakeAdviser) timeToStart() time.Duration {
 	s := a.site
 	began := s.now
 	for len(s.plan()) == 0 {
 		if s.now.Sub(began) > 20*time.Second {
-			s.t.Fatal("never started")
+			s.t.Fatal("the task was never started")
 		}
-		a.serve()
-		s.pass(10 * time.Millisecond)
+		a.answerDue()
+		s.advance(10 * time.Millisecond)
 		s.cell.NextPoll("a", s.now)
 		s.cell.PollFailed("a", runner.ErrNoAnswer, s.now)
 		s.report("b")
@@ -83,79 +83,81 @@
 	return s.now.Sub(began)
 }
 
-// lastingOnA starts the lasting task of an advised job on worker a, the only one that reports.
-func (s *site) lastingOnA() (*adviser, *job.Record) {
-	r := s.record(1, lasting(1, 0))
+// startLongRunningOnA starts the long-running task of a job that needs advice on worker a, the only
+// one that reports.
+func (s *site) startLongRunningOnA() (*fakeAdviser, *job.Record) {
+	r := s.record(1, longRunning(1, 0))
 	r.Advice = &job.AdviceCost{PerCall: 560 * time.Millisecond, PerWorker: 8 * time.Millisecond, TicketTTL: 2 * time.Second}
-	asks := &adviser{site: s}
+	asks := &fakeAdviser{site: s}
 	s.report("a")
 	s.cell.Add(r, true)
 	for len(s.cell.workers["a"].attempts) == 0 {
 		for _, o := range s.plan() {
 			s.confirm(o)
 		}
-		asks.serve()
-		s.pass(10 * time.Millisecond)
+		asks.answerDue()
+		s.advance(10 * time.Millisecond)
 		s.report("a")
 	}
 	return asks, r
 }
 
-// Failure: a lasting task of a crashed worker waits for the lease there and then for the
-// adviser, too.
-func TestTicketsAreThereWhenTheLeaseOfASilentWorkerIsOver(t *testing.T) {
+// Guards against a long-running task of a crashed worker that waits for the adviser only after it
+// has waited for the worker's lease to expire.
+func TestTicketsAreReadyWhenTheLeaseOfAnUnresponsiveWorkerExpires(t *testing.T) {
 	const slack = 150 * time.Millisecond
 	for name, takenOver := range map[string]bool{"same owner": false, "next owner": true} {
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
-			asks, r := s.lastingOnA()
+			asks, r := s.startLongRunningOnA()
 			over := s.cell.workers["a"].leaseOverAt()
 			if takenOver {
-				s.silentFor("a", time.Second, "b")
+				s.advanceUnresponsive("a", time.Second, "b")
 				s.takeOver(r, "a", "b")
 				over = s.now.Add(s.cell.earlierLeaseLimit())
 			}
 			asks.asked = 0
 			limit := over.Sub(s.now)
-			took := asks.silentUntilStarted()
+			took := asks.timeToStart()
 			if took < limit {
-				t.Errorf("started after %v, while the lease on a may last for %v", took, limit)
+				t.Errorf("started after %v, while the lease of a may last for %v", took, limit)
 			}
 			if late := took - limit; late > slack {
-				t.Errorf("started %v after the lease on a was over", late)
+				t.Errorf("started %v after the lease of a had expired", late)
 			}
 			if asks.asked != 1 {
-				t.Errorf("asked %d times, want once", asks.asked)
+				t.Errorf("%d requests for advice, want 1", asks.asked)
 			}
 		})
 	}
 }
 
-// Failure: the adviser is asked for tickets that nothing can use yet.
-func TestNoTicketsAreAskedForATaskThatPauses(t *testing.T) {
+// Guards against requests for tickets that cannot be used yet: the task is in backoff because
+// workers were lost under it.
+func TestNoTicketsAreRequestedDuringABackoff(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
-	asks, r := s.lastingOnA()
+	asks, r := s.startLongRunningOnA()
 	crashes := &s.cell.jobs[r.ID].stages[0].tasks[0].crashes
 	crashes.unresponsive = []uint64{90, 91, 92}
 	crashes.lostAt = s.now
 	asks.asked = 0
-	for end := s.cell.workers["a"].leaseOverAt(); s.now.Before(end); s.pass(10 * time.Millisecond) {
+	for end := s.cell.workers["a"].leaseOverAt(); s.now.Before(end); s.advance(10 * time.Millisecond) {
 		s.cell.PollFailed("a", runner.ErrNoAnswer, s.now)
 		s.report("b")
 		s.plan()
-		asks.serve()
+		asks.answerDue()
 	}
 	if asks.asked > 0 {
-		t.Errorf("asked %d times", asks.asked)
+		t.Errorf("%d requests for advice, want none", asks.asked)
 	}
 }
 
-// Failure: a lasting task of a crashed worker is asked about only when other work leaves a
-// lane of the adviser.
-func TestLastingTaskOfASilentWorkerIsAskedAboutBeforeOtherWork(t *testing.T) {
+// Guards against a long-running task of a crashed worker that gets advice only when other work
+// leaves a slot of the adviser free.
+func TestLongRunningTaskOfAnUnresponsiveWorkerIsAskedAboutFirst(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	s.report("a")
-	r := advised(s.record(1, lasting(1, 0)), 560*time.Millisecond)
+	r := advised(s.record(1, longRunning(1, 0)), 560*time.Millisecond)
 	r.Priority = 1
 	s.cell.Add(r, true)
 	s.plan()
@@ -163,7 +165,7 @@
 	for _, o := range s.plan() {
 		s.confirm(o)
 	}
-	for over := s.cell.workers["a"].leaseOverAt().Add(-300 * time.Millisecond); s.now.Before(over); s.pass(100 * time.Millisecond) {
+	for over := s.cell.workers["a"].leaseOverAt().Add(-300 * time.Millisecond); s.now.Before(over); s.advance(100 * time.Millisecond) {
 		s.cell.PollFailed("a", runner.ErrNoAnswer, s.now)
 		s.report("b")
 	}
@@ -172,6 +174,6 @@
 	s.slots = AdviceSlots{Any: 1}
 	s.plan()
 	if asked := s.questions(); len(asked) != 1 || asked[0].Stage.Job != r.ID {
-		t.Errorf("asked about %v, want the lasting task of a", asked)
+		t.Errorf("requests for advice %v, want one for the long-running task of a", asked)
 	}
 }
--- a/internal/cell/evacuate_test.go
+++ b/internal/cell/evacuate_test.go
@@ -8,15 +8,16 @@
 	"gentianstand/internal/roster"
 )
 
-// lasting returns a step of lasting tasks, one on a worker, of which some may be away.
-func lasting(count, mayMiss int) job.Step {
+// longRunning returns a step of long-running tasks, at most one per worker, of which mayMiss may be
+// down.
+func longRunning(count, mayMiss int) job.Step {
 	s := step(count)
 	s.LongRunning, s.MaxUnavailable, s.MaxPerWorker = true, mayMiss, 1
 	return s
 }
 
-// started starts all tasks of a job.
-func (s *site) started(r *job.Record) map[string]StartOrder {
+// startTasks starts all tasks of a job.
+func (s *site) startTasks(r *job.Record) map[string]StartOrder {
 	s.t.Helper()
 	s.cell.Add(r, true)
 	starts := s.plan()
@@ -26,32 +27,34 @@
 	return starts
 }
 
-// look has workers report and the cell plan, as the owner does every few moments.
-func (s *site) look(workers ...string) map[string]StartOrder {
+// reportAndPlan advances the time by 100 ms, has workers report and runs a planning pass, as an
+// owner does all the time.
+func (s *site) reportAndPlan(workers ...string) map[string]StartOrder {
 	s.t.Helper()
-	s.pass(100 * time.Millisecond)
+	s.advance(100 * time.Millisecond)
 	for _, id := range workers {
 		s.report(id)
 	}
 	return s.plan()
 }
 
-// Failure: an upkeep ends tasks that were started just before.
-func TestWorkerThatIsEmptiedGetsNothingNew(t *testing.T) {
+// Guards against maintenance that ends tasks which were started on an evacuated worker just before.
+func TestEvacuatedWorkerGetsNoNewTasks(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
 	s.cell.SetEvacuating([]string{"a"})
 	s.cell.Add(s.record(1, step(2)), true)
-	if starts := s.look("a"); len(starts) > 0 {
-		t.Errorf("started on a worker that is emptied: %v", starts)
+	if starts := s.reportAndPlan("a"); len(starts) > 0 {
+		t.Errorf("started on a worker that is being evacuated: %v", starts)
 	}
 	s.cell.SetEvacuating(nil)
-	if starts := s.look("a"); len(starts) != 2 {
-		t.Errorf("%d starts after the upkeep was taken back, want 2", len(starts))
+	if starts := s.reportAndPlan("a"); len(starts) != 2 {
+		t.Errorf("%d starts after the evacuation was cancelled, want 2", len(starts))
 	}
 }
 
-// Failure: an upkeep throws work away, or waits for a long run.
+// Guards against maintenance that loses work or waits for a long run: only long runs with a
+// checkpoint are moved.
 func TestOnlyLongRunsWithACheckpointAreMoved(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
@@ -59,10 +62,10 @@
 	saves.Estimate, saves.Checkpoint = 10*time.Second, true
 	cannot.Estimate = 10 * time.Second
 	short.Checkpoint = true
-	s.started(s.record(1, saves, cannot, short))
-	s.look("a")
+	s.startTasks(s.record(1, saves, cannot, short))
+	s.reportAndPlan("a")
 	s.cell.SetEvacuating([]string{"a"})
-	s.look("a")
+	s.reportAndPlan("a")
 	var stopped []string
 	for _, o := range s.orders {
 		if stop, ok := o.(StopOrder); ok {
@@ -73,48 +76,49 @@
 		t.Errorf("stopped %v, want %s alone", stopped, want)
 	}
 	if load := s.cell.WorkerLoad("a"); load.Runs != 3 || load.Protected {
-		t.Errorf("load %+v, want three runs, none protected", load)
+		t.Errorf("load %+v, want 3 runs, none protected", load)
 	}
 }
 
-// Failure: a service of several lasting tasks is gone for seconds during a wave.
-func TestLastingTasksAreMovedWithinTheirBudget(t *testing.T) {
+// Guards against a service of several long-running tasks that is down for seconds during a
+// maintenance wave: only as many as its budget allows may be moved at a time.
+func TestLongRunningTasksAreMovedWithinTheirBudget(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"), usualWorker("c"))
 	s.report("a")
 	s.report("b")
-	starts := s.started(s.record(1, lasting(2, 1)))
+	starts := s.startTasks(s.record(1, longRunning(2, 1)))
 	for _, o := range starts {
 		s.progress(o, workingPercent)
 	}
 	s.report("c")
-	s.look("a", "b", "c")
+	s.reportAndPlan("a", "b", "c")
 	s.cell.SetEvacuating([]string{"a", "b"})
-	s.look("a", "b", "c")
+	s.reportAndPlan("a", "b", "c")
 	stopped := s.stops()
 	if len(stopped) != 1 {
-		t.Fatalf("stopped on %v, want one of two", stopped)
+		t.Fatalf("runs stopped on %v, want on one of two workers", stopped)
 	}
 	for id, other := range map[string]string{"a": "b", "b": "a"} {
 		if stopped[id] && !s.cell.WorkerLoad(other).Protected {
-			t.Errorf("the task on %s may be ended while the one of %s is away", other, id)
+			t.Errorf("the task on %s may be ended while the one of %s is down", other, id)
 		}
 	}
-	s.movedTo(starts, stopped, "c")
-	s.look("a", "b", "c")
+	s.restartOn(starts, stopped, "c")
+	s.reportAndPlan("a", "b", "c")
 	if again := s.stops(); len(again) != 1 || again["c"] {
-		t.Errorf("stopped on %v after the first one is at work again, want the other one", again)
+		t.Errorf("runs stopped on %v after the first task runs again, want the other one", again)
 	}
 }
 
-// movedTo ends the stopped runs and has their tasks at work on a worker.
-func (s *site) movedTo(starts map[string]StartOrder, stopped map[string]bool, worker string) {
+// restartOn ends the stopped runs and has their tasks run on a worker.
+func (s *site) restartOn(starts map[string]StartOrder, stopped map[string]bool, worker string) {
 	s.t.Helper()
 	for _, o := range starts {
 		if stopped[o.Worker.ID] {
 			s.finish(o, "stopped")
 		}
 	}
-	for _, o := range s.look("a", "b", "c") {
+	for _, o := range s.reportAndPlan("a", "b", "c") {
 		if o.Worker.ID != worker {
 			s.t.Fatalf("moved to %s, want %s", o.Worker.ID, worker)
 		}
@@ -123,15 +127,16 @@
 	}
 }
 
-// Failure: an upkeep ends tasks that nobody knew of.
-func TestWorkerThatWasNotHeardIsNotEmpty(t *testing.T) {
+// Guards against maintenance that ends tasks on a worker which has not reported yet.
+func TestWorkerThatHasNotReportedIsNotEmpty(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"), usualWorker("b"))
 	if load := s.cell.WorkerLoad("a"); load.Runs == 0 || !load.Protected {
-		t.Errorf("load %+v of a worker that was not heard", load)
+		t.Errorf("load %+v of a worker that has not reported, want protected runs", load)
 	}
 }
 
-// Failure: a take-over in the middle of a wave takes 5.3 s.
+// Guards against a take-over that takes 5.3 s in the middle of a maintenance wave because an old
+// heartbeat brings an ended worker back.
 func TestEndedWorkerDoesNotComeBackByAnOldHeartbeat(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
@@ -140,25 +145,25 @@
 	s.cell.UpdateRoster(old, s.now)
 	s.cell.SetRoster(old.Workers, s.now)
 	if ids := s.cell.WorkersToPoll(); len(ids) > 0 {
-		t.Errorf("workers %v after the end of their lives", ids)
+		t.Errorf("workers %v are known after they ended", ids)
 	}
 	s.cell.UpdateRoster(roster.Change{Removed: []string{"a"}}, s.now)
 	if len(s.cell.endedIncarnations) > 0 {
-		t.Error("it is remembered after the roster has dropped it")
+		t.Error("the ended worker is remembered after it left the roster")
 	}
 }
 
 func TestParkedWorkerEndsLikeOthers(t *testing.T) {
 	s := idleSite(t, 6, 2)
-	s.pass(parkAfter + parkPeriod)
-	s.hear()
+	s.advance(parkAfter + parkPeriod)
+	s.reportAll()
 	s.plan()
-	s.pass(parkAfter + parkPeriod)
-	s.hear()
+	s.advance(parkAfter + parkPeriod)
+	s.reportAll()
 	s.plan()
 	before := s.cell.Stats(s.now)
 	if before.Parked == 0 {
-		t.Fatal("nothing is parked")
+		t.Fatal("no worker is parked")
 	}
 	for id, w := range s.cell.workers {
 		if w.parked {
@@ -167,6 +172,6 @@
 		}
 	}
 	if after := s.cell.Stats(s.now); after.Workers != before.Workers-1 || after.Parked != before.Parked-1 {
-		t.Errorf("%d workers of which %d are parked, before %d and %d", after.Workers, after.Parked, before.Workers, before.Parked)
+		t.Errorf("%d workers of which %d are parked; before the end %d and %d", after.Workers, after.Parked, before.Workers, before.Parked)
 	}
 }
--- a/internal/cell/lasting_failure_test.go
+++ b/internal/cell/long_running_late_failure_test.go
@@ -7,8 +7,9 @@
 	"gentianstand/internal/job"
 )
 
-// Failure: jobs waited for 6 s beside a sound worker on which lasting tasks had failed.
-func TestLastingTasksThatFailAfterALongTimeSayNothingOfTheirWorker(t *testing.T) {
+// Guards against jobs that wait for 6 s for a healthy worker because long-running tasks have failed
+// on it after a long time.
+func TestLateFailuresOfLongRunningTasksDoNotCountAgainstTheWorker(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		atWork time.Duration
@@ -17,7 +18,7 @@
 		{"after a long time", 10 * time.Second, 1},
 		{"soon", 300 * time.Millisecond, 0},
 	} {
-		w := newLastingWorld(t, avoidAfterFailures)
+		w := newLongRunningWorld(t, avoidAfterFailures)
 		w.run(test.atWork)
 		for n := range avoidAfterFailures {
 			w.fail(w.record(n, job.Step{}).ID)
@@ -32,7 +33,7 @@
 			}
 		}
 		if starts != test.want {
-			t.Errorf("lasting tasks fail %s: %d starts of another job, want %d", test.name, starts, test.want)
+			t.Errorf("long-running tasks fail %s: %d starts of another job, want %d", test.name, starts, test.want)
 		}
 	}
 }
--- a/internal/cell/lasting_crash_test.go
+++ b/internal/cell/long_running_lost_workers_test.go
@@ -7,11 +7,11 @@
 	"gentianstand/internal/runner"
 )
 
-// Failure: a lasting task stayed away for ten seconds because it was not known whether the
-// workers that were lost under it had crashed.
-func TestLostWorkersDoNotKeepALastingTaskAwayForLong(t *testing.T) {
-	s := newHeardSite(t, manyWorkers(6)...)
-	r := s.lastingRecord(1, 2000)
+// Guards against a long-running task that is down for 10 s because it is unknown whether the
+// workers that were lost under it have crashed.
+func TestLostWorkersDoNotKeepALongRunningTaskDown(t *testing.T) {
+	s := newReportedSite(t, manyWorkers(6)...)
+	r := s.longRunningRecord(1, 2000)
 	s.cell.Add(r, true)
 	alive := map[string]bool{"a": true, "b": true, "c": true, "d": true, "e": true, "f": true}
 	answering := func() []string {
@@ -27,21 +27,21 @@
 	for lost := 1; lost <= 3; lost++ {
 		o, ok := starts[r.ID+".0.0.0"]
 		if !ok {
-			t.Fatalf("not started after %d lost workers", lost-1)
+			t.Fatalf("the task was not started after %d lost workers", lost-1)
 		}
 		s.cell.StartAnswered(o, runner.Answer{}, nil, s.now)
 		delete(alive, o.Worker.ID)
 		lostAt := s.now
 		for s.now.Sub(lostAt) < 20*time.Second {
 			s.cell.PollFailed(o.Worker.ID, runner.ErrNoAnswer, s.now)
-			starts = s.look(answering()...)
+			starts = s.reportAndPlan(answering()...)
 			s.commit()
 			if len(starts) > 0 {
 				break
 			}
 		}
-		if away := s.now.Sub(lostAt); away > longestAway {
-			t.Errorf("away for %v after %d lost workers", away, lost)
+		if down := s.now.Sub(lostAt); down > maxDowntime {
+			t.Errorf("the task was down for %v after %d lost workers", down, lost)
 		}
 	}
 }
--- a/internal/cell/model_orders_test.go
+++ b/internal/cell/model_orders_test.go
@@ -10,7 +10,8 @@
 	"gentianstand/internal/runner"
 )
 
-// plan carries the orders out; some get no answer, some arrive late or never.
+// plan delivers the orders of a planning pass. With faults some get no answer, and some arrive late
+// or never.
 func (m *model) plan(o *modelOwner, faults bool) {
 	m.configure(o)
 	orders := o.cell.Plan(m.now, AdviceSlots{})
@@ -24,7 +25,7 @@
 		switch order := order.(type) {
 		case StartOrder:
 			m.deliver(fate, order.Worker, func(w *modelWorker) error { return w.start(order.Start) },
-				func(err error) { o.cell.StartAnswered(order, runner.Answer{}, m.repeated(err), m.now) })
+				func(err error) { o.cell.StartAnswered(order, runner.Answer{}, m.retryOutcome(err), m.now) })
 		case StopOrder:
 			m.deliver(fate, order.Worker, func(w *modelWorker) error { return w.stop(order.Stop) },
 				func(err error) { o.cell.StopAnswered(order, runner.Answer{}, err, m.now) })
@@ -32,10 +33,10 @@
 	}
 }
 
-// repeated is how a start ends after one more attempt, if the first one had no answer:
-// the worker may decline it and yet carry the first one out, before or after.
-func (m *model) repeated(err error) error {
-	if errors.Is(err, runner.ErrNoAnswer) && rapid.Bool().Draw(m.rt, "repeat declined") {
+// retryOutcome returns the outcome of a start after one more attempt if the first one got no
+// answer. The worker may refuse the second attempt and still run the first one, before or after it.
+func (m *model) retryOutcome(err error) error {
+	if errors.Is(err, runner.ErrNoAnswer) && rapid.Bool().Draw(m.rt, "retry refused") {
 		return &runner.Refusal{Reason: runner.Unhealthy, Repeated: true}
 	}
 	return err
@@ -50,18 +51,18 @@
 			answer(runner.ErrIncarnationGone)
 			continue
 		}
-		if w.cut && fate < 4 {
+		if w.repliesLost && fate < 4 {
 			fate = 4
 		}
 		switch fate {
-		case 4: // carried out, no answer
-			_ = act(w) // nobody hears of it
+		case 4: // delivered, without an answer
+			_ = act(w) // the answer is lost
 			answer(runner.ErrNoAnswer)
-		case 5: // carried out late, no answer
-			m.late = append(m.late, func() { _ = act(w) }) // as above
-			m.orderLate()
+		case 5: // delivered late, without an answer
+			m.lateOrders = append(m.lateOrders, func() { _ = act(w) }) // the answer is lost
+			m.noteLateOrder()
 			answer(runner.ErrNoAnswer)
-		case 6: // never carried out
+		case 6: // never delivered
 			answer(runner.ErrNoAnswer)
 		default:
 			answer(act(w))
