--- a/internal/node/adapters.go
+++ b/internal/node/adapters.go
@@ -15,18 +15,18 @@
 	"gentianstand/internal/upkeep"
 )
 
-// Adapters is everything that speaks to callers, workers and the platform.
+// Adapters connect an instance to callers, workers and the platform.
 type Adapters struct {
 	Store   store.Store
 	Workers runner.Client
 	Adviser advice.Adviser
-	// Roster and Catalogs read from the store that they are given.
+	// Roster and Catalogs return sources that read from the given store.
 	Roster   func(store.Store, logrus.FieldLogger) roster.Source
 	Catalogs func(store.Store) catalog.Source
-	// Waves reads from the store that it is given; Fleet is nil where the platform
-	// has no machines to order about.
+	// Waves returns a source that reads from the given store. Fleet is nil on platforms
+	// without an interface for machine maintenance.
 	Waves func(store.Store, logrus.FieldLogger) upkeep.Source
 	Fleet upkeep.Fleet
-	// Callers is the handler of the callers' address.
+	// Callers returns the handler for the address that callers use.
 	Callers func(*intake.Intake, *access.Gate, logrus.FieldLogger) http.Handler
 }
--- a/internal/node/catalog_confirmer.go
+++ b/internal/node/catalog_confirmer.go
@@ -8,12 +8,12 @@
 	"gentianstand/internal/store"
 )
 
-// storeTimeout bounds the question to the store before another instance is asked; the store
-// answers in a few milliseconds when it is well.
+// storeTimeout bounds the read from the store before another instance is asked. A healthy store
+// answers in a few milliseconds.
 const storeTimeout = 250 * time.Millisecond
 
-// catalogConfirmer asks the store, or else another instance, for the newest configuration.
-// It implements access.Confirmer.
+// catalogConfirmer confirms the catalog in force with the store or, if that fails, with another
+// instance. It implements access.Confirmer.
 type catalogConfirmer struct {
 	reader *catalogReader
 	store  *store.Monitored
--- a/internal/node/catalog_follower.go
+++ b/internal/node/catalog_follower.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	// feedWait is how long a question for news may wait. A connection that went
-	// silent is noticed after this and half a second more, which leaves time within the
-	// three seconds in which instances whose connections were reset have to catch up.
-	// Shorter waits are more calls to the store, by every instance.
+	// feedWait is how long a read of the feed waits for a change. A dead connection is
+	// detected 0.5 seconds after that. This leaves enough of the 3 seconds in which
+	// instances whose connections were reset have to catch up. Shorter waits would mean
+	// more calls to the store from every instance.
 	feedWait = 2 * time.Second
-	// waitsPerViewAge is how many such questions fit into the time for which a view serves: one
-	// under way, one before it, and one that is lost.
+	// waitsPerViewAge is how many reads of the feed fit into the maximum age of a view: one
+	// in progress, one before it, and one that is lost.
 	waitsPerViewAge = 3
-	// retryInterval is the pause after a failure, and catalogProbe the wait of the
-	// questions until the next answer: callers are refused while the store is
-	// lost, so its return has to be noticed soon.
+	// retryInterval is the pause after a failed read, and probeWait the wait of the reads
+	// until one succeeds. Both are short, because callers are refused while the store is
+	// unreachable and its recovery has to be detected soon.
 	retryInterval = 200 * time.Millisecond
 	probeWait     = time.Millisecond
-	// peerPeriod is how often another instance is asked while the store is lost.
+	// peerPeriod is how often another instance is asked while the store is unreachable.
 	peerPeriod = time.Second
 )
 
 // catalogFollower keeps the catalog in force up to date.
 type catalogFollower struct {
 	reader *catalogReader
-	// peers is asked while the store is lost, or nil.
+	// peers confirms the view while the store is unreachable; nil if no API keys are needed.
 	peers   access.Confirmer
 	wait    time.Duration
 	log     logrus.FieldLogger
@@ -38,7 +38,8 @@
 	askedAt time.Time
 }
 
-// newCatalogFollower returns a follower that confirms the view often enough for a policy.
+// newCatalogFollower returns a follower that confirms the view often enough for the access
+// policy.
 func newCatalogFollower(r *catalogReader, peers access.Confirmer, p access.Policy, log logrus.FieldLogger) *catalogFollower {
 	f := &catalogFollower{reader: r, wait: feedWait, log: log}
 	if p.KeysNeeded {
@@ -50,7 +51,7 @@
 	return f
 }
 
-// run follows until ctx ends.
+// run follows the feed until ctx ends.
 func (f *catalogFollower) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := f.step(ctx); err != nil && ctx.Err() == nil {
@@ -73,7 +74,8 @@
 	return f.reader.read(ctx, f.wait)
 }
 
-// confirmWithPeer has the view confirmed by an instance that the store serves.
+// confirmWithPeer confirms the view with an instance that can reach the store, at most once per
+// peerPeriod.
 func (f *catalogFollower) confirmWithPeer(ctx context.Context) {
 	if f.peers == nil || time.Since(f.askedAt) < peerPeriod {
 		return
@@ -84,7 +86,7 @@
 	}
 }
 
-// logTransition logs when the store is lost and when it is back, not each failure.
+// logTransition logs the start and the end of an outage of the store, but not each failed read.
 func (f *catalogFollower) logTransition(err error) {
 	switch {
 	case err != nil && !f.failing:
--- a/internal/node/catalog_follower_test.go
+++ b/internal/node/catalog_follower_test.go
@@ -13,7 +13,7 @@
 	"gentianstand/internal/store"
 )
 
-// scripted is a source that answers from a list.
+// scripted is a source that returns its answers in order.
 type scripted struct {
 	answers []scriptedAnswer
 	asked   []string
@@ -49,8 +49,9 @@
 	return newCatalogFollower(newCatalogReader(source, &catalog.Current{}, log), nil, access.Policy{}, log), source, hook
 }
 
-// Failure: changes of the configuration are not seen any more.
-func TestFollowerReadsAnewWhenTheHistoryIsGone(t *testing.T) {
+// Guards against a follower that sees no more changes of the configuration after the store has
+// dropped the history that it needs.
+func TestFollowerReadsEverythingWhenTheHistoryIsGone(t *testing.T) {
 	f, source, _ := followerOf(scriptedAnswer{version: 1, at: 10}, scriptedAnswer{err: store.ErrHistoryGone}, scriptedAnswer{version: 2, at: 30})
 	for range 3 {
 		if err := f.step(t.Context()); err != nil {
@@ -62,8 +63,8 @@
 	}
 }
 
-// Failure: callers are refused for a second after the end of an outage.
-func TestFollowerAsksWithoutWaitingWhileTheStoreIsLost(t *testing.T) {
+// Guards against callers that are refused for a second after the end of an outage.
+func TestFollowerReadsWithoutWaitingDuringAnOutage(t *testing.T) {
 	f, source, hook := followerOf(scriptedAnswer{version: 1, at: 10}, scriptedAnswer{err: store.ErrUnavailable},
 		scriptedAnswer{err: store.ErrUnavailable}, scriptedAnswer{at: 11})
 	for range 4 {
@@ -77,11 +78,11 @@
 		events = append(events, e.Message)
 	}
 	if len(events) != 3 || events[1] != "store_lost" || events[2] != "store_back" {
-		t.Errorf("events %v, want one line for the loss and one for the return", events)
+		t.Errorf("events %v, want one for the start and one for the end of the outage", events)
 	}
 }
 
-// slowLinkSource is a source whose catalog takes a small link three seconds.
+// slowLinkSource is a source whose catalog takes 3 seconds on a slow link.
 type slowLinkSource struct{ scripted }
 
 func (n *slowLinkSource) Newest(ctx context.Context) (catalog.Update, error) {
@@ -93,7 +94,7 @@
 	}
 }
 
-// Failure: an instance on a small link never has a large configuration in force.
+// Guards against an instance on a slow link that never gets a large configuration into force.
 func TestLargeCatalogIsReadInOneAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, _ := logtest.NewNullLogger()
--- a/internal/node/catalog_peers.go
+++ b/internal/node/catalog_peers.go
@@ -12,18 +12,19 @@
 )
 
 const (
-	// maxServedAge is how old a view may be to be passed on: what is left of its time serves
-	// the instance that asked.
+	// maxServedAge is the maximum age of a view that is sent to another instance without a
+	// new read of the store. The other instance uses the view for the rest of its
+	// permitted age.
 	maxServedAge = 500 * time.Millisecond
-	// peerTimeout bounds one question to another instance, which may have to ask the store.
+	// peerTimeout bounds one call to another instance, which may have to read the store first.
 	peerTimeout = 400 * time.Millisecond
 )
 
-// errNoPeer says that the store serves no instance that this one reaches.
-var errNoPeer = errors.New("the store serves no instance that can be reached")
+// errNoPeer is returned when no reachable instance has access to the store.
+var errNoPeer = errors.New("no reachable instance has access to the store")
 
-// catalogPeers asks other instances for the newest configuration and answers them. It
-// implements access.Confirmer and cellpeer.Catalogs.
+// catalogPeers exchanges the newest configuration with other instances. It implements
+// access.Confirmer for this instance and cellpeer.Catalogs for the others.
 type catalogPeers struct {
 	reader  *catalogReader
 	finder  *cellpeer.StoreFinder
@@ -45,16 +46,17 @@
 	asked := p.reader.now()
 	reply, err := p.clients.To(peer.Address).NewestCatalog(ctx, &cellpb.NewestCatalogRequest{Version: known})
 	if err != nil {
-		return fmt.Errorf("instance %s: %w", peer.Name, err)
+		return fmt.Errorf("newest catalog of instance %s: %w", peer.Name, err)
 	}
 	if len(reply.Catalog) > 0 {
 		next, err := catalog.Decode(reply.Catalog)
 		if err != nil {
-			return fmt.Errorf("instance %s: %w", peer.Name, err)
+			return fmt.Errorf("newest catalog of instance %s: %w", peer.Name, err)
 		}
 		p.reader.install(next)
 	}
-	// The answer's age counts from before the question: the way takes time, too.
+	// The age in the reply counts from before the request was sent, because the transfer
+	// takes time, too.
 	p.reader.current.Confirm(asked.Add(-time.Duration(reply.AgeMicros) * time.Microsecond))
 	return nil
 }
@@ -69,7 +71,7 @@
 		view = p.reader.current.View()
 	}
 	if view.Catalog == nil {
-		return nil, 0, errors.New("there is no configuration")
+		return nil, 0, errors.New("no configuration is in force")
 	}
 	return view.Catalog, view.Age(p.reader.now()), nil
 }
--- a/internal/node/catalog_peers_test.go
+++ b/internal/node/catalog_peers_test.go
@@ -15,7 +15,7 @@
 	"gentianstand/internal/store"
 )
 
-// servedInstance is an instance that the store serves.
+// servedInstance is an instance that can reach the store.
 type servedInstance struct{ cellpeer.CellOwner }
 
 func (servedInstance) Ping(*cellpb.PingRequest) *cellpb.PingReply {
@@ -36,12 +36,12 @@
 	return store.Page{Version: 1}, nil
 }
 
-// Failure: an instance without the store refuses callers, or takes what another one tells
-// for newer than it is.
+// Guards against an instance without access to the store that refuses callers, or that considers
+// the configuration of another instance more recent than it is.
 func TestViewIsConfirmedByAnotherInstance(t *testing.T) {
 	log, _ := logtest.NewNullLogger()
-	// The clocks of the two instances have nothing to do with one another.
-	theirs := &slowSource{now: steady.Instant(time.Hour), news: catalog.Update{Position: 5, Catalog: catalog.New(catalog.Content{Version: 4,
+	// The clocks of the two instances are unrelated.
+	theirs := &slowSource{now: steady.Instant(time.Hour), update: catalog.Update{Position: 5, Catalog: catalog.New(catalog.Content{Version: 4,
 		Workspaces: []catalog.Workspace{{Name: "north", Keys: []catalog.KeyDigest{catalog.DigestOf("k")}}}})}}
 	peer := readerOf(theirs)
 	if err := peer.read(t.Context(), 0); err != nil {
@@ -69,7 +69,7 @@
 		t.Fatalf("catalog %+v", view.Catalog)
 	}
 	if name, known := view.Catalog.WorkspaceOf(catalog.DigestOf("k")); !known || name != "north" {
-		t.Errorf("the key opens queues for %q", name)
+		t.Errorf("the key belongs to workspace %q", name)
 	}
 	if age := view.Age(ours.now()); age < 400*time.Millisecond || age > 500*time.Millisecond {
 		t.Errorf("the view is %v old here, 400 ms there", age)
--- a/internal/node/catalog_reader.go
+++ b/internal/node/catalog_reader.go
@@ -13,12 +13,12 @@
 	"gentianstand/internal/store"
 )
 
-// fullReadTimeout bounds one read of the whole catalog; the store's client ends one in which
-// nothing comes.
+// fullReadTimeout bounds one read of the whole catalog. If no data arrives, the store's client
+// ends the read sooner.
 const fullReadTimeout = 5 * time.Second
 
-// catalogReader brings the catalog in force up to date from the store, and notes when it was
-// confirmed. It is safe for concurrent use.
+// catalogReader updates the catalog in force from the store and records when it was confirmed.
+// It is safe for concurrent use.
 type catalogReader struct {
 	source  catalog.Source
 	current *catalog.Current
@@ -26,7 +26,7 @@
 	now     func() steady.Instant
 
 	mu sync.Mutex
-	// position is where the feed resumes; known says that there is one.
+	// position is where the feed resumes. It is valid only if known is set.
 	position uint64
 	known    bool
 }
@@ -35,12 +35,13 @@
 	return &catalogReader{source: s, current: current, log: log, now: steady.Now}
 }
 
-// read asks for news, and waits for them for at most wait.
+// read reads the changes of the configuration, waiting for one for at most wait.
 func (r *catalogReader) read(ctx context.Context, wait time.Duration) error {
 	position, known := r.resume()
-	// A change that is made while the question is under way may be missing in the answer.
+	// The response may lack a change that is made while the read is in progress, so the
+	// view is confirmed as of the start of the read.
 	asked := r.now()
-	news, err := r.fetch(ctx, position, known, wait)
+	update, err := r.fetch(ctx, position, known, wait)
 	if errors.Is(err, store.ErrHistoryGone) {
 		r.resetPosition(position)
 		return nil
@@ -48,11 +49,11 @@
 	if err != nil {
 		return err
 	}
-	if news.Catalog != nil {
-		r.install(news.Catalog)
+	if update.Catalog != nil {
+		r.install(update.Catalog)
 	}
-	r.advanceTo(news.Position)
-	if !news.Partial {
+	r.advanceTo(update.Position)
+	if !update.Partial {
 		r.current.Confirm(asked)
 	}
 	return nil
@@ -67,7 +68,7 @@
 	return r.source.Newest(callCtx)
 }
 
-// install puts a catalog into force unless there is a newer one.
+// install puts a catalog into force unless the one in force is as new or newer.
 func (r *catalogReader) install(next *catalog.Catalog) {
 	if r.current.Advance(next) {
 		r.log.WithFields(logrus.Fields{"version": next.Version, "workspaces": len(next.Workspaces())}).Info("catalog_in_force")
@@ -86,7 +87,8 @@
 	r.position, r.known = max(r.position, position), true
 }
 
-// resetPosition has the next read be one of the whole catalog, unless another read has moved on.
+// resetPosition makes the next read fetch the whole catalog, unless another read has advanced
+// the position in the meantime.
 func (r *catalogReader) resetPosition(position uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/node/catalog_reader_test.go
+++ b/internal/node/catalog_reader_test.go
@@ -13,17 +13,17 @@
 	"gentianstand/internal/store"
 )
 
-// slowSource answers each question after a while on the clock of the test.
+// slowSource returns the same update on every read and advances the test's clock by took.
 type slowSource struct {
-	now  steady.Instant
-	took time.Duration
-	news catalog.Update
-	err  error
+	now    steady.Instant
+	took   time.Duration
+	update catalog.Update
+	err    error
 }
 
 func (s *slowSource) Newest(context.Context) (catalog.Update, error) {
 	s.now = s.now.Add(s.took)
-	return s.news, s.err
+	return s.update, s.err
 }
 
 func (s *slowSource) Since(ctx context.Context, _ uint64, _ time.Duration) (catalog.Update, error) {
@@ -37,9 +37,9 @@
 	return r
 }
 
-// Failure: a key that was removed while a read was under way works too long.
+// Guards against a key that remains valid too long when it is removed during a read.
 func TestViewIsConfirmedFromTheStartOfTheRead(t *testing.T) {
-	source := &slowSource{now: steady.Instant(time.Hour), took: 2 * time.Second, news: catalog.Update{Catalog: catalog.New(catalog.Content{Version: 1}), Position: 7}}
+	source := &slowSource{now: steady.Instant(time.Hour), took: 2 * time.Second, update: catalog.Update{Catalog: catalog.New(catalog.Content{Version: 1}), Position: 7}}
 	r := readerOf(source)
 	if err := r.read(t.Context(), 0); err != nil {
 		t.Fatal(err)
@@ -49,25 +49,26 @@
 	}
 }
 
-// Failure: keys work on although it is not known which configuration is the newest.
-func TestAnswersThatDoNotTellTheNewestConfirmNothing(t *testing.T) {
+// Guards against removed keys that remain valid because a view was confirmed by a response that
+// does not prove which configuration is the newest.
+func TestIncompleteAnswersDoNotConfirmTheView(t *testing.T) {
 	first := catalog.Update{Catalog: catalog.New(catalog.Content{Version: 1}), Position: 7}
 	for _, test := range []struct {
-		name string
-		news catalog.Update
-		err  error
+		name   string
+		update catalog.Update
+		err    error
 	}{
 		{"the store refuses", catalog.Update{}, store.ErrUnavailable},
 		{"no answer", catalog.Update{}, store.ErrUnknown},
 		{"history gone", catalog.Update{}, store.ErrHistoryGone},
 		{"a part of the changes", catalog.Update{Position: 9, Partial: true}, nil},
 	} {
-		source := &slowSource{now: steady.Instant(time.Hour), news: first}
+		source := &slowSource{now: steady.Instant(time.Hour), update: first}
 		r := readerOf(source)
 		if err := r.read(t.Context(), 0); err != nil {
 			t.Fatal(err)
 		}
-		source.now, source.news, source.err = source.now.Add(time.Second), test.news, test.err
+		source.now, source.update, source.err = source.now.Add(time.Second), test.update, test.err
 		if err := r.read(t.Context(), 0); (err != nil) != (test.err != nil && test.err != store.ErrHistoryGone) {
 			t.Errorf("%s: error %v", test.name, err)
 		}
@@ -77,14 +78,14 @@
 	}
 }
 
-// Failure: on each instance whose feed stood still once, callers are refused.
+// Guards against callers that are refused on every instance whose feed stalled once.
 func TestViewIsConfirmedOftenEnoughForKeys(t *testing.T) {
 	policy := access.Policy{KeysNeeded: true, RevokedWithin: 5 * time.Second}
 	f := newCatalogFollower(readerOf(&slowSource{}), nil, policy, nil)
 	if f.wait > policy.MaxViewAge()/3 || f.wait <= 0 {
-		t.Errorf("news are waited for %v, views serve for %v", f.wait, policy.MaxViewAge())
+		t.Errorf("the feed waits for %v, the maximum age of a view is %v", f.wait, policy.MaxViewAge())
 	}
 	if f := newCatalogFollower(readerOf(&slowSource{}), nil, access.Policy{}, nil); f.wait != feedWait {
-		t.Errorf("without keys news are waited for %v", f.wait)
+		t.Errorf("without keys the feed waits for %v, want %v", f.wait, feedWait)
 	}
 }
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -1,5 +1,4 @@
-// Package node puts an instance together that works on a platform where
-// instances own nothing: callers' requests, the choice of the cell's owner, the
-// owner itself, the catalog of queues, readiness and metrics. What speaks to the
-// outside comes in as Outside.
+// Package node assembles an instance for platforms where instances have no durable state of
+// their own: request handling, election of the cell's owner, the owner itself, the catalog of
+// queues, readiness and metrics. The clients of external systems are injected as Adapters.
 package node
--- a/internal/node/instance_row_test.go
+++ b/internal/node/instance_row_test.go
@@ -9,7 +9,7 @@
 	"gentianstand/internal/store"
 )
 
-// instanceRow is the row of an instance in the directory.
+// instanceRow returns the directory row of an instance.
 func instanceRow(t *testing.T, name, address string) store.Row {
 	t.Helper()
 	value, err := cbor.Marshal(cellpeer.Instance{Name: name, Address: address})
--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -10,17 +10,17 @@
 	"gentianstand/internal/instance"
 )
 
-// maxQueuedLines bounds the lines that wait to be written.
+// maxQueuedLines bounds the number of lines that wait to be written.
 const maxQueuedLines = 2048
 
-// NewLog returns a log that never blocks: lines wait in a bounded queue, and
-// when it is full they are dropped and counted, because a slow reader of the
-// output must not slow decisions.
+// NewLog returns a logger that never blocks. Lines wait in a bounded queue; when it is full,
+// they are dropped and counted, because a slow reader of the output must not delay scheduling
+// decisions.
 func NewLog(level, name string, out io.Writer) *logrus.Entry {
 	return instance.NewLog(level, name, newLineQueue(out))
 }
 
-// lineQueue writes lines from a goroutine of its own.
+// lineQueue is an io.Writer that writes lines asynchronously from its own goroutine.
 type lineQueue struct {
 	out     io.Writer
 	lines   chan []byte
@@ -45,7 +45,7 @@
 
 func (q *lineQueue) run() {
 	for line := range q.lines {
-		_, _ = q.out.Write(line) // there is no other place to report it
+		_, _ = q.out.Write(line) // a failed write cannot be reported elsewhere
 		if n := q.dropped.Swap(0); n > 0 {
 			_, _ = fmt.Fprintf(q.out, "level=warning msg=log_lines_dropped lines=%d\n", n) // as above
 		}
--- a/internal/node/module.go
+++ b/internal/node/module.go
@@ -29,27 +29,28 @@
 )
 
 const (
-	// cellPartition is the partition of the one cell.
+	// cellPartition is the store partition of the only cell.
 	cellPartition = "cell-0"
-	// workerLease is how far a worker's workerLease reaches. It has to bridge a take-over
-	// after the last extension, which is up to a second old; each second
-	// more delays the restart of what ran on a lost worker.
+	// workerLease is the duration of a worker's lease. It has to outlast a takeover after
+	// the last renewal, which is up to 1 second old. Each additional second delays the
+	// restart of the runs of a lost worker.
 	workerLease = 3500 * time.Millisecond
-	// spareWorkers is how many idle workers are kept ready at least. Sites of some
-	// dozens of workers park none; with thousands, the widest steps need three workers for
-	// each task where a third of them is allowed.
+	// spareWorkers is the minimum number of idle workers that are not parked. Sites with a
+	// few dozen workers therefore park none. On sites with thousands, the widest steps need
+	// 3 workers for each task where only a third of the workers is permitted.
 	spareWorkers = 128
-	// memoryShare of the limit is what the garbage collector aims to stay below;
-	// the rest is for stacks and for bytes that wait in sockets.
+	// memoryShare is the soft limit of the garbage collector as a share of the memory limit.
+	// The rest is for stacks and socket buffers.
 	memoryShare = 0.7
-	// drainDuration is how long a stopping instance goes on taking connections: the
-	// balancer stops sending new ones after two failed questions, a second apart.
+	// drainDuration is how long a stopping instance continues to accept connections. The
+	// load balancer stops sending new ones after 2 failed health checks, 1 second apart.
 	drainDuration = 2200 * time.Millisecond
-	// stopReserve is kept of the grace for the end of the process.
+	// stopReserve is the part of the termination grace period that is reserved for the exit
+	// of the process.
 	stopReserve = 700 * time.Millisecond
 )
 
-// Module returns the fx options of an instance.
+// Module returns the fx options that assemble and run an instance.
 func Module(s Settings, outside Adapters, log *logrus.Entry) fx.Option {
 	return fx.Options(
 		fx.NopLogger,
@@ -62,7 +63,7 @@
 	)
 }
 
-// state is what the parts of an instance share.
+// state is shared by the components of an instance.
 type state struct{ stopping atomic.Bool }
 
 func newState() *state { return &state{} }
@@ -99,8 +100,8 @@
 
 func newLeader(s Settings, o Adapters, d *cellpeer.Directory, c *cellpeer.Clients, r *relays, w *store.Monitored, jobs *celljobs.Jobs, current *catalog.Current, m *cellowner.Metrics, log *logrus.Entry) *cellleader.Leader {
 	advisers := cellpeer.NewAdvicePool(d, c, o.Adviser, r.advice())
-	newOwner := func(term uint64, earlierStopped bool, claim store.Check, l cellowner.Leadership) *cellowner.Owner {
-		settings := cell.Settings{Term: term, Lease: min(workerLease, s.MaxLease), PreviousOwnerStopped: earlierStopped, StopGrace: s.StopGrace,
+	newOwner := func(term uint64, previousOwnerStopped bool, claim store.Check, l cellowner.Leadership) *cellowner.Owner {
+		settings := cell.Settings{Term: term, Lease: min(workerLease, s.MaxLease), PreviousOwnerStopped: previousOwnerStopped, StopGrace: s.StopGrace,
 			SpareWorkers: spareWorkers, EarlyStart: s.EarlyStart, RemoteDataFactor: s.RemoteDataFactor, Disabled: s.Disabled}
 		return cellowner.New(settings, claim, cellowner.Deps{
 			Store: w, Jobs: jobs, Roster: roster.NewServiceFilter(o.Roster(w, log), serviceFilter(current)), Runner: r.runner(), Advisers: advisers, Catalog: current.Get,
@@ -110,8 +111,8 @@
 	return cellleader.New(cellPartition, d, c, w, newOwner, r, log)
 }
 
-// serviceFilter reports whether the catalog in force names a service; before there is one, all
-// count as named.
+// serviceFilter returns a function that reports whether the catalog in force contains a
+// service. Until a catalog is in force, it accepts every service.
 func serviceFilter(current *catalog.Current) func(service string) bool {
 	return func(service string) bool {
 		c := current.Get()
@@ -119,7 +120,8 @@
 	}
 }
 
-// newMaintenance returns what the owner needs for waves, or nothing where there are none.
+// newMaintenance returns the owner's dependencies for maintenance waves. They are empty on
+// platforms without a fleet interface.
 func newMaintenance(s Settings, o Adapters, w *store.Monitored, log *logrus.Entry) cellowner.MaintenanceDeps {
 	if o.Fleet == nil {
 		return cellowner.MaintenanceDeps{}
@@ -131,7 +133,7 @@
 	return intake.New(jobs, w, l, f, c, intake.NewMetrics(set), log)
 }
 
-// components is what run starts.
+// components are the parts of an instance that run starts and stops.
 type components struct {
 	fx.In
 	Settings  Settings
@@ -151,7 +153,7 @@
 	Log       *logrus.Entry
 }
 
-// run starts the parts and stops them gracefully.
+// run registers the hooks that start the components and stop them gracefully.
 func run(lc fx.Lifecycle, p components) {
 	if p.Settings.MemoryMiB > 0 {
 		debug.SetMemoryLimit(int64(memoryShare * float64(p.Settings.MemoryMiB<<20)))
@@ -188,7 +190,7 @@
 			loops.Wait()
 			p.Relays.Close()
 			for _, s := range others {
-				_ = s.http.Close() // nothing in progress there belongs to a caller
+				_ = s.http.Close() // these servers handle no requests of callers
 			}
 			p.Log.Info("instance_stopped")
 			return nil
@@ -196,7 +198,8 @@
 	})
 }
 
-// peersHandler serves other instances: calls, and links of an owner to this one as a relay.
+// peersHandler serves other instances: their calls, and the links of an owner that uses this
+// instance as a relay.
 func peersHandler(p components) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(relay.Path, p.Relays)
@@ -204,8 +207,8 @@
 	return mux
 }
 
-// stop hands the cell over, lets the balancer notice, and finishes the callers'
-// requests that are in progress.
+// stop hands the cell over to another instance, waits until the load balancer sends no new
+// connections, and finishes the callers' requests that are in progress.
 func (p *components) stop(ctx context.Context, callers *server) {
 	began := time.Now()
 	p.State.stopping.Store(true)
--- a/internal/node/readiness.go
+++ b/internal/node/readiness.go
@@ -7,9 +7,9 @@
 	"gentianstand/internal/catalog"
 )
 
-// readiness answers the balancer. An instance is ready as soon as it knows the
-// catalog: without the store or the cell's owner it still refuses at once, or
-// passes callers' jobs on to an instance that has what it lacks.
+// readiness answers the load balancer's health checks. An instance is ready once a catalog is in
+// force and until it stops. Without the store or the cell's owner it stays ready: it refuses
+// callers at once, or forwards their jobs to an instance that can reach what it lacks.
 type readiness struct {
 	current  *catalog.Current
 	stopping *atomic.Bool
--- a/internal/node/readiness_test.go
+++ b/internal/node/readiness_test.go
@@ -16,7 +16,7 @@
 		want            int
 	}{
 		{"no configuration yet", false, false, http.StatusServiceUnavailable},
-		{"at work", true, false, http.StatusOK},
+		{"configuration in force", true, false, http.StatusOK},
 		{"stopping", true, true, http.StatusServiceUnavailable},
 	} {
 		r := readiness{&catalog.Current{}, &atomic.Bool{}}
@@ -32,7 +32,7 @@
 	}
 }
 
-// Failure: after a planned stop callers find their open connection broken.
+// Guards against callers whose open connection is reset by a planned stop.
 func TestStoppingInstanceClosesItsConnectionsWithTheAnswer(t *testing.T) {
 	stopping := &atomic.Bool{}
 	handler := connectionCloser{http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}), stopping}
--- a/internal/node/relays.go
+++ b/internal/node/relays.go
@@ -9,13 +9,13 @@
 	"gentianstand/internal/runner"
 )
 
-// relays are the two ends of the links between an owner and its relays: Server is this
-// instance as a relay, Pool this instance as an owner. It implements cellleader.Links.
+// relays holds both ends of the links between an owner and its relays: Server is this instance
+// in the role of a relay, Pool in the role of an owner. It implements cellleader.Links.
 type relays struct {
 	*relay.Server
 	*relay.Pool
 	workers runner.Client
-	// direct says that an owner reaches workers and the adviser without relays.
+	// direct is set if an owner calls workers and the adviser without relays.
 	direct bool
 }
 
@@ -26,7 +26,7 @@
 	}
 }
 
-// runner returns how an owner reaches workers.
+// runner returns the client that an owner uses for workers.
 func (r *relays) runner() runner.Client {
 	if r.direct {
 		return r.workers
@@ -34,7 +34,8 @@
 	return r.Pool
 }
 
-// advice returns how an owner asks the adviser through others, or nil for calls.
+// advice returns the links through which an owner calls the adviser, or nil if it uses RPCs to
+// other instances instead.
 func (r *relays) advice() cellpeer.AdviceLinks {
 	if r.direct {
 		return nil
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -18,14 +18,14 @@
 	headerTimeout  = 3 * time.Second
 	idleTimeout    = 15 * time.Second
 	maxHeaderBytes = 16 << 10
-	// probeInterval, probeIdle and probeCount have the kernel notice connections
-	// whose far end vanished.
+	// probeIdle, probeInterval and probeCount configure TCP keep-alive, so that the kernel
+	// closes connections whose peer no longer exists.
 	probeIdle     = 5 * time.Second
 	probeInterval = time.Second
 	probeCount    = 3
 )
 
-// server is one listener.
+// server is an HTTP server on one address.
 type server struct {
 	name    string
 	purpose traffic.Purpose
@@ -39,14 +39,14 @@
 	}}
 }
 
-// listen opens the address and serves it.
+// listen opens the address and serves it in the background.
 func (s *server) listen(ctx context.Context) error {
 	config := net.ListenConfig{KeepAliveConfig: net.KeepAliveConfig{
 		Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount,
 	}}
 	listener, err := config.Listen(ctx, "tcp4", s.http.Addr)
 	if err != nil {
-		return fmt.Errorf("%s: %w", s.name, err)
+		return fmt.Errorf("listen for %s: %w", s.name, err)
 	}
 	listener = traffic.CounterFor(s.purpose).WrapListener(listener)
 	go func() {
@@ -57,16 +57,16 @@
 	return nil
 }
 
-// shutdown finishes the requests in progress.
+// shutdown finishes the requests in progress, and closes those that remain when ctx ends.
 func (s *server) shutdown(ctx context.Context) {
 	if err := s.http.Shutdown(ctx); err != nil {
 		s.log.WithField("server", s.name).WithError(err).Warn("requests_cut_at_stop")
-		_ = s.http.Close() // what is left is cut either way
+		_ = s.http.Close() // the remaining requests are cut off in any case
 	}
 }
 
-// connectionCloser adds "Connection: close" to answers once an instance is stopping, so
-// that callers with an open connection go to another instance.
+// connectionCloser adds "Connection: close" to responses once an instance is stopping, so that
+// callers with an open connection switch to another instance.
 type connectionCloser struct {
 	next     http.Handler
 	stopping *atomic.Bool
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -10,53 +10,54 @@
 	"gentianstand/internal/cell"
 )
 
-// Settings are what an instance learns at its start.
+// Settings are the settings of an instance, which it gets when it starts.
 type Settings struct {
 	Name string
 	Zone string
-	// The addresses to listen on: callers, the balancer's question whether this
-	// instance is ready, other instances, and metrics.
+	// The addresses to listen on for callers, the load balancer's health checks, other
+	// instances, and metrics.
 	CallerListen  string
 	ReadyListen   string
 	PeerListen    string
 	MetricsListen string
-	// PeerAdvertise is where other instances reach this one; empty if that is
-	// PeerListen.
+	// PeerAdvertise is the address under which other instances reach this one. If empty,
+	// PeerListen is used.
 	PeerAdvertise string
-	// Store and Adviser are addresses of the platform's services.
+	// Store and Adviser are the addresses of the platform's services.
 	Store   string
 	Adviser string
-	// MaxLease, StopGrace, EarlyStart and RemoteDataFactor are figures of the workers; see cell.Settings.
+	// MaxLease, StopGrace and EarlyStart are properties of the workers; see cell.Settings.
 	MaxLease   time.Duration
 	StopGrace  time.Duration
 	EarlyStart time.Duration
-	// RemoteDataFactor is how many times as long a task takes far from its data.
+	// RemoteDataFactor is the factor by which a task takes longer when its data is remote.
 	RemoteDataFactor float64
-	// Fleet is the address of the platform's list of machines, or empty. MaintenanceDuration
-	// and HolderLease are its figures; see cellowner.UpkeepDeps.
+	// Fleet is the address of the platform's fleet interface, or empty. MaintenanceDuration
+	// and HolderLease are properties of the fleet; see cellowner.MaintenanceDeps.
 	Fleet               string
 	MaintenanceDuration time.Duration
 	HolderLease         time.Duration
-	// Access is what the platform demands of callers' calls.
+	// Access is the platform's access policy for callers.
 	Access access.Policy
-	// TerminationGrace is the time between a request to stop and the end by force.
+	// TerminationGrace is the time between a request to stop and the forced termination.
 	TerminationGrace time.Duration
-	// Disabled names the mechanisms of the planner that are switched off.
+	// Disabled contains the planner mechanisms that are switched off.
 	Disabled cell.MechanismSet
-	// LinkMbps is what the machine's link carries; 0 is no limit.
+	// LinkMbps is the bandwidth of the machine's network link in Mbit/s; 0 means no limit.
 	LinkMbps float64
-	// AcrossPartitions says that the store takes transactions over several partitions.
+	// AcrossPartitions is set if the store supports transactions over several partitions.
 	AcrossPartitions bool
-	// Cores is the share of a core the process may use, times their number.
+	// Cores is the CPU limit of the process in cores: the permitted share of a core times
+	// the number of cores.
 	Cores float64
-	// MemoryMiB is the memory the process may use; 0 is no limit.
+	// MemoryMiB is the memory limit of the process; 0 means no limit.
 	MemoryMiB int64
 }
 
-// namedAddress is an address and what it is for.
+// namedAddress is an address together with its purpose, which errors mention.
 type namedAddress struct{ name, value string }
 
-// Validate reports everything that is wrong with the settings.
+// Validate returns all problems of the settings in one error.
 func (s *Settings) Validate() error {
 	var problems []error
 	if s.Name == "" {
@@ -68,7 +69,7 @@
 		{"address of the store", s.Store},
 	}
 	if s.PeerAdvertise != "" {
-		addresses = append(addresses, namedAddress{"address told to instances", s.PeerAdvertise})
+		addresses = append(addresses, namedAddress{"address advertised to instances", s.PeerAdvertise})
 	}
 	for _, a := range addresses {
 		if _, _, err := net.SplitHostPort(a.value); err != nil {
@@ -79,7 +80,7 @@
 		problems = append(problems, fmt.Errorf("the longest lease is %v; it must be positive", s.MaxLease))
 	}
 	if s.Access.RevokedWithin < 0 {
-		problems = append(problems, fmt.Errorf("removed keys have to stop working within %v; it must not be negative", s.Access.RevokedWithin))
+		problems = append(problems, fmt.Errorf("the time within which removed keys stop working is %v; it must not be negative", s.Access.RevokedWithin))
 	}
 	return errors.Join(problems...)
 }
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -16,9 +16,9 @@
 	bad.Name, bad.Store, bad.PeerAdvertise, bad.MaxLease = "", "nowhere", "127.0.0.1", 0
 	err := bad.Validate()
 	if err == nil {
-		t.Fatal("nothing is wrong")
+		t.Fatal("no error for bad settings")
 	}
-	for _, part := range []string{"name of the instance", "address of the store", "address told to instances", "longest lease"} {
+	for _, part := range []string{"name of the instance", "address of the store", "address advertised to instances", "longest lease"} {
 		if !strings.Contains(err.Error(), part) {
 			t.Errorf("%q is not in: %v", part, err)
 		}
