--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -9,7 +9,7 @@
 	"gentianstand/internal/fault"
 )
 
-// errorBody is the JSON body of every answer that is not an upstream's own.
+// errorBody is the JSON body of every error response that does not come from an upstream.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -22,7 +22,7 @@
 	RequestID        string        `json:"request_id"`
 }
 
-// writeError answers with err by the table of package fault.
+// writeError sends err as a response, with the status that package fault assigns to its kind.
 func writeError(w http.ResponseWriter, requestID string, err error) {
 	f := fault.From(err)
 	a := f.Answer()
--- a/internal/entry/apply_result.go
+++ b/internal/entry/apply_result.go
@@ -1,6 +1,6 @@
 package entry
 
-// ApplyResult answers an accepted text.
+// ApplyResult is the response to an applied configuration.
 type ApplyResult struct {
 	Number   uint64   `json:"number"`
 	Author   string   `json:"author"`
--- a/internal/entry/body_capture.go
+++ b/internal/entry/body_capture.go
@@ -2,7 +2,7 @@
 
 import "bytes"
 
-// bodyCapture keeps a body up to a limit, and notes if there was more.
+// bodyCapture buffers a body up to a limit. overflow is set if the body is larger.
 type bodyCapture struct {
 	limit    int
 	body     bytes.Buffer
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -16,7 +16,7 @@
 	"gentianstand/internal/spec"
 )
 
-// call is one request to a service, checked.
+// call is one validated request to a service.
 type call struct {
 	id        string
 	service   spec.Workload
@@ -25,7 +25,7 @@
 	forwarded string
 	deadline  time.Time
 	request   *http.Request
-	// body is the whole body if replayable, else the rest streams.
+	// body is the whole body if replayable is set; otherwise the body is streamed.
 	body       []byte
 	replayable bool
 	bodySent   bool
@@ -33,8 +33,8 @@
 
 var idPattern = regexp.MustCompile(`^[A-Za-z0-9._:-]+$`)
 
-// requestID returns the caller's request id, or a new one if it has none that
-// can be used.
+// requestID returns the caller's request ID, or a new one if the caller sent none or an
+// invalid one.
 func requestID(r *http.Request) string {
 	id := r.Header.Get(HeaderRequestID)
 	if id == "" || len(id) > maxIDLength || !idPattern.MatchString(id) {
@@ -43,7 +43,7 @@
 	return id
 }
 
-// newCall checks a request and reads a small body whole.
+// newCall validates a request and buffers its body if it is small.
 func newCall(w http.ResponseWriter, r *http.Request, id string, service spec.Workload, path string, now time.Time) (*call, error) {
 	c := &call{id: id, service: service, path: path, request: r, forwarded: r.Header.Get(headerForwarded), key: r.Header.Get(HeaderIdempotencyKey)}
 	if len(c.key) > maxKeyLength {
@@ -73,8 +73,8 @@
 	return time.Duration(seconds * float64(time.Second)), nil
 }
 
-// readBody reads a small body whole. A sender that stalls is given up after
-// bodyTimeout: it would hold its connection and memory for as long as it likes.
+// readBody buffers a small body. It fails after bodyTimeout if the sender stalls, which would
+// otherwise occupy a connection and memory indefinitely.
 func (c *call) readBody(control *http.ResponseController) error {
 	length := c.request.ContentLength
 	switch {
@@ -89,8 +89,8 @@
 	body := make([]byte, length)
 	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout))
 	if _, err := io.ReadFull(c.request.Body, body); err != nil {
-		// The deadline stays: the server would wait for the rest of the body
-		// before it sends the answer.
+		// The read deadline stays in place: without it, the server would wait for the
+		// rest of the body before it sends the response.
 		return fault.New(fault.BadRequest, "the body ended before its %d bytes were read: %w", length, err)
 	}
 	_ = control.SetReadDeadline(time.Time{})
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// repeatable reports whether the request may be executed twice.
+// repeatable reports whether the request is idempotent, so that it may be executed twice.
 func (c *call) repeatable() bool {
 	if c.service.Idempotent {
 		return true
@@ -110,11 +110,11 @@
 	return false
 }
 
-// needsKeyOwner reports whether the request must pass the home of its key.
+// needsKeyOwner reports whether the request must be handled by the owner of its idempotency
+// key's shard.
 func (c *call) needsKeyOwner() bool { return c.key != "" && !c.repeatable() }
 
-// outgoing returns the request to send to target. A streamed body can be sent
-// only once.
+// outgoing returns the request to send to target. A streamed body can be sent only once.
 func (c *call) outgoing(ctx context.Context, target string) (*http.Request, error) {
 	var body io.Reader
 	switch {
@@ -136,8 +136,8 @@
 	return out, nil
 }
 
-// canRetry reports whether another attempt can carry the whole body.
+// canRetry reports whether another attempt can send the whole body.
 func (c *call) canRetry() bool { return c.replayable || !c.bodySent }
 
-// callerGone reports whether the caller itself went away.
+// callerGone reports whether the caller has closed the connection.
 func (c *call) callerGone() bool { return errors.Is(c.request.Context().Err(), context.Canceled) }
--- a/internal/entry/cancel_result.go
+++ b/internal/entry/cancel_result.go
@@ -1,6 +1,6 @@
 package entry
 
-// CancelResult answers an accepted cancellation.
+// CancelResult is the response to a cancellation, with the number of cancelled runs.
 type CancelResult struct {
 	Cancelled int `json:"cancelled"`
 }
--- a/internal/entry/changes.go
+++ b/internal/entry/changes.go
@@ -7,7 +7,7 @@
 	"gentianstand/internal/spec"
 )
 
-// describeChanges tells in words what applying text would do.
+// describeChanges returns a readable list of the effects of applying text.
 func (s *Server) describeChanges(text *spec.Text) []string {
 	_, current := s.config.Get()
 	list := []string{}
--- a/internal/entry/deps.go
+++ b/internal/entry/deps.go
@@ -15,7 +15,7 @@
 	"gentianstand/internal/routing"
 )
 
-// Deps is what a Server works with.
+// Deps are the dependencies of a Server.
 type Deps struct {
 	Identity ownership.Identity
 	Router   *routing.Router
@@ -28,12 +28,12 @@
 	Runs     Runs
 	View     func() live.View
 	Ready    func() error
-	// LargestWorker returns the most of each dimension that any worker known here
-	// has; zero if none is known.
+	// LargestWorker returns, for each dimension, the maximum over all workers known to this
+	// instance; zero if it knows none.
 	LargestWorker func() resource.Amount
-	// RowsChanged is called after this instance wrote a watched row.
+	// RowsChanged is called after this instance has written a watched row.
 	RowsChanged func()
-	// Token, if not empty, must come with operators' calls.
+	// Token, if not empty, is the bearer token that operators' requests must carry.
 	Token   string
 	Metrics *metrics.Set
 	Log     *logrus.Entry
--- a/internal/entry/doc.go
+++ b/internal/entry/doc.go
@@ -1,8 +1,8 @@
-// Package entry is what callers and operators talk to: HTTP, behind the
-// platform's balancer, which may send any request to any instance.
+// Package entry implements the HTTP API for callers and operators. It runs behind the
+// platform's load balancer, which may send any request to any instance.
 //
-// A request to a service takes a slot on one of this instance's own workers,
-// or goes to another instance that has one free, at most once further. Batch
-// runs and jobs go to the planner. Every answer that is not an upstream's own
-// carries one error kind and whether the work ran.
+// A request to a service takes a slot on one of this instance's own workers, or is forwarded
+// to another instance that has a free slot; it is forwarded at most once. Batch runs and jobs
+// go to the planner. Every error response that does not come from an upstream carries one
+// error kind and an outcome, which states whether the work ran.
 package entry
--- a/internal/entry/drains.go
+++ b/internal/entry/drains.go
@@ -12,8 +12,8 @@
 	"gentianstand/internal/platform"
 )
 
-// drain asks for the planned stop of a worker or an instance. The row and its
-// audit entry are one write.
+// drain requests the planned stop of a worker or an instance. The row and its audit entry are
+// written in one transaction.
 func (s *Server) drain(c *gin.Context) (any, error) {
 	id := c.Param("id")
 	now := time.Now().UTC()
@@ -25,7 +25,7 @@
 	return row, nil
 }
 
-// cancelDrain takes a planned stop back.
+// cancelDrain cancels a planned stop.
 func (s *Server) cancelDrain(c *gin.Context) (any, error) {
 	id := c.Param("id")
 	tx := platform.Tx{Deletes: []string{live.DrainKey(id)}}
--- a/internal/entry/errors.go
+++ b/internal/entry/errors.go
@@ -3,8 +3,8 @@
 import "errors"
 
 var (
-	// errCallerGone says that the caller stopped reading.
-	errCallerGone = errors.New("the caller went away")
-	// errResponseTruncated says that an answer ended in its middle.
-	errResponseTruncated = errors.New("the answer broke off")
+	// errCallerGone is returned when a response cannot be written to the caller.
+	errCallerGone = errors.New("caller closed the connection")
+	// errResponseTruncated is returned when an upstream's response ended before its end.
+	errResponseTruncated = errors.New("upstream response truncated")
 )
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -11,7 +11,7 @@
 	"gentianstand/internal/peer"
 )
 
-// forward passes the request on to another instance.
+// forward sends the request to another instance.
 func (s *Server) forward(ctx context.Context, w http.ResponseWriter, c *call, to peer.Remote, mode string, capture *bodyCapture) attempt {
 	out, err := c.outgoing(ctx, "http://"+to.Address+PathServices+c.service.Name+"/"+c.path)
 	if err != nil {
@@ -38,8 +38,9 @@
 	return s.deliver(w, c, resp, capture, fmt.Sprintf("instance %s", to.Process.Instance))
 }
 
-// retryableElsewhere reports whether another instance said that the request did not
-// run because it has no slot, so that it can be tried elsewhere.
+// retryableElsewhere reports whether another instance refused the request without running it,
+// because it had no slot, was stopping or could not reach a worker. The request can then be
+// sent elsewhere.
 func retryableElsewhere(resp *http.Response) bool {
 	if fault.Outcome(resp.Header.Get(HeaderOutcome)) != fault.DidNotRun {
 		return false
--- a/internal/entry/instance_status.go
+++ b/internal/entry/instance_status.go
@@ -1,13 +1,13 @@
 package entry
 
-// InstanceStatus is one instance as seen from another.
+// InstanceStatus is the state of one instance as another instance sees it.
 type InstanceStatus struct {
 	Instance string `json:"instance"`
 	Zone     string `json:"zone"`
 	Address  string `json:"address"`
-	// Config is the configuration in force there.
+	// Config is the number of the configuration in force on the instance.
 	Config   uint64 `json:"config"`
 	Stopping bool   `json:"stopping"`
-	// Reachable says that it has answered lately.
+	// Reachable is set if the instance has responded recently.
 	Reachable bool `json:"heard"`
 }
--- a/internal/entry/keyed.go
+++ b/internal/entry/keyed.go
@@ -9,8 +9,8 @@
 	"gentianstand/internal/live"
 )
 
-// serveKeyed handles a request that must run at most once: at the home of its
-// key if that is here, else by passing it on to the home.
+// serveKeyed handles a request that must run at most once. If this instance owns the shard of
+// the idempotency key, it serves the request itself; otherwise it forwards it to the owner.
 func (s *Server) serveKeyed(ctx context.Context, w http.ResponseWriter, c *call) error {
 	view := s.view()
 	shard := idempotency.OwningShard(c.service.Name, c.key, shardNames(view))
@@ -35,8 +35,8 @@
 	return a.err
 }
 
-// serveAsKeyOwner lets the request go once its key is kept, and notes how it
-// ended. Whatever is not certain is noted as unknown.
+// serveAsKeyOwner executes the request once its key is stored, and records the outcome. An
+// outcome that is not certain is recorded as unknown.
 func (s *Server) serveAsKeyOwner(ctx context.Context, w http.ResponseWriter, c *call, shard string) error {
 	response, err := s.register.Begin(ctx, shard, c.service.Name, c.key)
 	if response != nil {
@@ -79,7 +79,7 @@
 	}
 }
 
-// replay gives a repeat the answer of the first request.
+// replay sends the stored response of the first request with the same key.
 func replay(w http.ResponseWriter, response *idempotency.Response) {
 	for name, values := range response.Header {
 		if name != HeaderRequestID {
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -9,7 +9,7 @@
 	"gentianstand/internal/fault"
 )
 
-// requestMetrics counts requests.
+// requestMetrics holds the counters of requests, retries and forwards.
 type requestMetrics struct {
 	set      *metrics.Set
 	retries  *metrics.Counter
@@ -24,9 +24,9 @@
 	}
 }
 
-// countRequest counts a request by service and error kind, "ok" for an upstream's
-// own answer. A service that is not configured has no counter of its own, so
-// that callers cannot make up counters.
+// countRequest counts a request by service and error kind; the kind is "ok" for an upstream's
+// response. Unconfigured services share the counter with the empty name, so that callers cannot
+// create arbitrary time series.
 func (m requestMetrics) countRequest(service string, err error, took time.Duration) {
 	kind := "ok"
 	if err != nil {
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -17,10 +17,10 @@
 	"gentianstand/internal/spec"
 )
 
-// HeaderOperator names who asks for a change.
+// HeaderOperator names the operator who requests a change.
 const HeaderOperator = "X-Operator"
 
-// anonymous stands for an operator or caller who gave no name.
+// anonymous is the name of an operator whose request carries none.
 const anonymous = "anonymous"
 
 func (s *Server) routeOperators(g *gin.RouterGroup) {
@@ -38,7 +38,7 @@
 	g.GET("/audit", s.handle(s.audit))
 }
 
-// handle answers with the JSON that f returns, or with its error.
+// handle returns a handler that sends the result of f as JSON, or its error.
 func (s *Server) handle(f func(*gin.Context) (any, error)) gin.HandlerFunc {
 	return func(c *gin.Context) {
 		id := requestID(c.Request)
@@ -52,10 +52,10 @@
 	}
 }
 
-// callContext returns the context for the calls that a request makes. A change that an
-// operator has asked for goes on when the operator goes away. It is not gin's own: a
-// connection that is being opened may read the context after the handler, when gin uses it
-// for the next request.
+// callContext returns the context for the calls that a request makes. A change that an operator
+// has requested continues when the operator disconnects. The context is not gin's own: a
+// connection that is being dialed may read the context after the handler has returned, when gin
+// already reuses it for the next request.
 func callContext(c *gin.Context) context.Context {
 	return context.WithoutCancel(c.Request.Context())
 }
@@ -80,8 +80,8 @@
 	return rec, nil
 }
 
-// readText reads a text and checks it; nothing of a text with a mistake is
-// applied.
+// readText reads and validates the text of a configuration. A text with an error is rejected as
+// a whole.
 func readText(c *gin.Context) (string, *spec.Text, error) {
 	data, err := io.ReadAll(http.MaxBytesReader(c.Writer, c.Request.Body, spec.MaxTextBytes+1))
 	var tooLarge *http.MaxBytesError
@@ -98,8 +98,8 @@
 	return string(data), text, nil
 }
 
-// baseNumber returns the configuration that a change builds on: the one the operator
-// names, or the one in force at the table.
+// baseNumber returns the number of the configuration that a change is based on: the one given
+// by the operator, or else the one that is the head in the table.
 func (s *Server) baseNumber(c *gin.Context) (uint64, error) {
 	value := c.Query("base")
 	if value == "" {
@@ -134,8 +134,8 @@
 	return ApplyResult{Number: rec.Number, Author: rec.Author, Warnings: s.warnings(text)}, nil
 }
 
-// auditRefused leaves an entry of a change that was not accepted, if the table
-// takes it.
+// auditRefused adds an audit entry for a refused change. A failure to store the entry is only
+// logged.
 func (s *Server) auditRefused(c *gin.Context, action audit.Action, subject string, from uint64, err error) {
 	f := fault.From(err)
 	entry := audit.Entry{At: time.Now().UTC(), By: operator(c), Action: action, Subject: subject, From: from, Outcome: string(f.Kind)}
@@ -192,7 +192,8 @@
 	return CancelResult{Cancelled: n}, nil
 }
 
-// auditAccepted leaves an entry of a change that was kept elsewhere already.
+// auditAccepted adds an audit entry for a change that is already stored. A failure to store the
+// entry is only logged.
 func (s *Server) auditAccepted(c *gin.Context, action audit.Action, subject string) {
 	entry := audit.Entry{At: time.Now().UTC(), By: operator(c), Action: action, Subject: subject, Outcome: audit.Accepted}
 	if err := s.trail.Add(callContext(c), entry); err != nil {
--- a/internal/entry/operators_test.go
+++ b/internal/entry/operators_test.go
@@ -11,7 +11,7 @@
 	"gentianstand/internal/run"
 )
 
-// rememberingRuns keeps the context of the last call.
+// rememberingRuns records the context of the last call.
 type rememberingRuns struct {
 	Runs
 	last context.Context
@@ -29,7 +29,8 @@
 
 type requestName struct{}
 
-// Failure: a call that outlives its request reads the context of the next operator's.
+// Guards against a call that outlives its request and then reads the context of the next
+// operator's request, because gin reuses contexts.
 func TestCallsKeepTheirOwnRequest(t *testing.T) {
 	runs := &rememberingRuns{}
 	s := &Server{runs: runs}
@@ -42,7 +43,7 @@
 		}
 		c.Request = first.WithContext(context.WithValue(first.Context(), requestName{}, "second"))
 		if got := runs.last.Value(requestName{}); got != "first" {
-			t.Errorf("%s: the call belongs to request %v", name, got)
+			t.Errorf("%s: the call has the context of request %v", name, got)
 		}
 	}
 }
--- a/internal/entry/passthrough.go
+++ b/internal/entry/passthrough.go
@@ -7,14 +7,13 @@
 	"strings"
 )
 
-// hopByHopHeaders belong to one connection and are not passed on (RFC 9110,
-// section 7.6.1).
+// hopByHopHeaders apply to a single connection and are not forwarded (RFC 9110, section 7.6.1).
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", headerForwarded,
 }
 
-// forwardableHeaders returns the headers to pass on, without those of the hop.
+// forwardableHeaders returns the headers without the hop-by-hop headers.
 func forwardableHeaders(in http.Header) http.Header {
 	out := in.Clone()
 	for _, field := range in.Values("Connection") {
@@ -28,14 +27,14 @@
 	return out
 }
 
-// streamResponse streams an upstream's answer to the caller. If it breaks off, the
-// caller's connection is broken off too, so that a part is never taken for the
-// whole. keep, if not nil, gets a copy of the body as it passes.
+// streamResponse streams an upstream's response to the caller. If the response is truncated, it
+// returns an error, and the caller's connection has to be aborted, so that the caller doesn't
+// mistake a part for the whole. capture, if not nil, gets a copy of the body.
 func streamResponse(w http.ResponseWriter, resp *http.Response, capture *bodyCapture) error {
 	flusher := http.NewResponseController(w)
-	// Without full duplex the server swallows up to 256 KiB of the request's
-	// body when the answer begins before the body has been passed on: the
-	// upstream would get a hole in it. HTTP/2 needs no such call.
+	// Without full duplex, the server discards up to 256 KiB of the request's body if the
+	// response begins before the whole body has been forwarded: the upstream would get a
+	// body with a gap. HTTP/2 doesn't need this call.
 	_ = flusher.EnableFullDuplex()
 	header := w.Header()
 	for name, values := range forwardableHeaders(resp.Header) {
--- a/internal/entry/plan_result.go
+++ b/internal/entry/plan_result.go
@@ -1,6 +1,6 @@
 package entry
 
-// PlanResult tells what a text would change.
+// PlanResult describes the changes that applying a configuration would make.
 type PlanResult struct {
 	Base     uint64   `json:"base"`
 	Diff     string   `json:"diff"`
--- a/internal/entry/runs.go
+++ b/internal/entry/runs.go
@@ -7,7 +7,7 @@
 	"gentianstand/internal/run"
 )
 
-// Runs is how callers' runs reach the planner.
+// Runs submits, cancels and reads runs at the planner.
 type Runs interface {
 	Submit(ctx context.Context, workload, key, by string) (string, error)
 	Cancel(ctx context.Context, ids []string, workload, by string) (int, error)
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -24,11 +24,11 @@
 	vm "github.com/VictoriaMetrics/metrics"
 )
 
-// PathServices is where requests to services go: PathServices, the service's
-// name, a slash, and any path.
+// PathServices is the path prefix of requests to services. The service's name, a slash and any
+// path follow it.
 const PathServices = "/s/"
 
-// Server is the callers' and operators' interface of one instance.
+// Server implements the HTTP API of one instance for callers and operators.
 type Server struct {
 	identity      ownership.Identity
 	router        *routing.Router
@@ -54,7 +54,7 @@
 	inFlight  atomic.Int64
 }
 
-// NewServer returns a Server.
+// NewServer returns a Server with its own connection pools to workers and other instances.
 func NewServer(d Deps) *Server {
 	return &Server{
 		identity: d.Identity, router: d.Router, hub: d.Hub, config: d.Config, store: d.Store, trail: d.Trail,
@@ -64,8 +64,8 @@
 	}
 }
 
-// The connections kept to each worker and each other instance. A worker takes
-// about 60, and only its owner sends it requests.
+// The connection limits for each worker and each other instance. A worker accepts about 60
+// connections, and only its owner sends it requests.
 const (
 	upstreamConnections = 48
 	peerConnections     = 256
@@ -73,9 +73,9 @@
 	idleTimeout         = 30 * time.Second
 )
 
-// newTransport returns a transport whose connections the kernel probes: one
-// whose other end has lost it is given up within seconds, also while a slow
-// answer is awaited. Requests are never compressed or repeated by it.
+// newTransport returns a transport with TCP keep-alive probes. A connection that the other end
+// has lost is closed within seconds, even while it waits for a slow response. The transport
+// doesn't compress requests or retry them.
 func newTransport(perHost int) *http.Transport {
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAliveConfig: net.KeepAliveConfig{
 		Enable: true, Idle: 2 * time.Second, Interval: time.Second, Count: 3,
@@ -90,7 +90,7 @@
 	}
 }
 
-// Handler returns the HTTP handler.
+// Handler returns the handler for all routes of the API, health checks and metrics.
 func (s *Server) Handler() http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	engine := gin.New()
@@ -108,8 +108,7 @@
 	return engine
 }
 
-// trackInFlight keeps the number of requests in progress, which a graceful stop waits
-// for.
+// trackInFlight counts the requests in progress; a graceful stop waits for them.
 func (s *Server) trackInFlight(c *gin.Context) {
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
@@ -132,7 +131,7 @@
 	c.String(http.StatusOK, "ready\n")
 }
 
-// Stop makes the Server refuse new requests; those in progress go on.
+// Stop makes the Server refuse new requests. Requests in progress continue.
 func (s *Server) Stop() { s.stopped.Store(true) }
 
 // InFlight returns the number of requests in progress.
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -17,11 +17,11 @@
 	"gentianstand/internal/worker/httpwire"
 )
 
-// attempt is how one try to have a request executed ended.
+// attempt is the result of one attempt to execute a request.
 type attempt struct {
-	// answered says that the caller has got the answer, whole or broken.
+	// answered is set if a response was sent to the caller.
 	answered bool
-	// err is a fault otherwise; its outcome tells whether the request ran.
+	// err is a fault if answered is not set. Its outcome states whether the request ran.
 	err error
 }
 
@@ -63,8 +63,7 @@
 	writeError(w, id, f)
 }
 
-// serve has the request executed and returns an error if the caller has not
-// been answered yet.
+// serve executes the request and returns an error if no response was sent to the caller.
 func (s *Server) serve(w http.ResponseWriter, c *call) error {
 	ctx, cancel := context.WithDeadline(c.request.Context(), c.deadline)
 	defer cancel()
@@ -74,11 +73,10 @@
 	return s.execute(ctx, w, c, nil)
 }
 
-// execute makes attempts until the caller is answered or no further attempt is
-// safe and useful. A request that did not run may be tried again, as often as it
-// takes to get past workers that have just changed hands or connections that
-// went silent; one that may have run only if it is repeatable, the retry budget
-// allows it, and not more than maxAttempts times.
+// execute makes attempts until the caller is answered or no further attempt is safe and useful.
+// A request that did not run is retried up to maxRetries times, to get past workers whose owner
+// has just changed and dead connections. A request that may have run is retried only if it is
+// repeatable and the retry budget permits it, with at most maxAttempts such attempts.
 func (s *Server) execute(ctx context.Context, w http.ResponseWriter, c *call, capture *bodyCapture) error {
 	skip := map[string]bool{}
 	counted := 0
@@ -90,7 +88,7 @@
 		if fault.From(a.err).Answer().Outcome != fault.DidNotRun {
 			counted++
 		}
-		if counted == maxAttempts || n == maxTries || !s.shouldRetry(ctx, c, a.err) {
+		if counted == maxAttempts || n == maxRetries || !s.shouldRetry(ctx, c, a.err) {
 			return a.err
 		}
 		s.metrics.retries.Inc()
@@ -113,8 +111,8 @@
 	}
 }
 
-// attempt takes a slot here, or passes the request on to an instance that has
-// one, or waits here if nobody has.
+// attempt takes a free slot of this instance, or forwards the request to an instance that has
+// one, or waits for a slot of this instance if no instance has one.
 func (s *Server) attempt(ctx context.Context, w http.ResponseWriter, c *call, skip map[string]bool, capture *bodyCapture) attempt {
 	now := time.Now()
 	req := routing.Request{ID: uuid.NewString(), Rank: c.service.Urgency.Rank(), Deadline: c.deadline}
@@ -148,7 +146,7 @@
 	return forwardWait
 }
 
-// dispatch sends the request to the worker whose slot it holds.
+// dispatch sends the request to the worker whose slot it has acquired.
 func (s *Server) dispatch(w http.ResponseWriter, c *call, g *routing.Grant, capture *bodyCapture) attempt {
 	result := routing.Abandoned
 	defer func() { g.Done(result, time.Now()) }()
@@ -175,7 +173,8 @@
 	return s.deliver(w, c, resp, capture, g.Worker)
 }
 
-// deliver streams an answer to the caller.
+// deliver streams the response to the caller. If that fails, it aborts the caller's connection
+// by a panic that net/http handles.
 func (s *Server) deliver(w http.ResponseWriter, c *call, resp *http.Response, capture *bodyCapture, from string) attempt {
 	if err := streamResponse(w, resp, capture); err != nil {
 		s.log.WithFields(logrus.Fields{"request": c.id, "from": from}).WithError(err).Info("answer_broken")
@@ -191,12 +190,13 @@
 	return routing.Failed
 }
 
-// upstreamFault says what is known after a worker failed to answer.
+// upstreamFault returns the fault for a failed request to a worker, with what is known about
+// its outcome.
 func (s *Server) upstreamFault(c *call, g *routing.Grant, err error) error {
 	cause := context.Cause(g.Context())
 	switch {
 	case errors.Is(cause, routing.ErrNeverArrived):
-		// The other connections kept to this worker have gone the same way.
+		// The other idle connections to this worker are probably dead, too.
 		s.upstreams.CloseIdleConnections()
 		return fault.New(fault.UpstreamFailed, "worker %s: %w", g.Worker, cause).WithOutcome(fault.DidNotRun)
 	case errors.Is(cause, routing.ErrAnswerLost):
@@ -210,14 +210,13 @@
 	}
 }
 
-// isDialError reports whether the connection was never made, so that nothing was
-// sent.
+// isDialError reports whether the connection was never established, so that nothing was sent.
 func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// upstreamPath joins what is left of the path with the query.
+// upstreamPath returns the rest of the path without its leading slash, with the query.
 func upstreamPath(r *http.Request, rest string) string {
 	path := strings.TrimPrefix(rest, "/")
 	if r.URL.RawQuery != "" {
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -12,7 +12,7 @@
 	"gentianstand/internal/spec"
 )
 
-// Status is what operators see of the whole system from one instance.
+// Status is the state of the whole system as one instance sees it.
 type Status struct {
 	Instance  string                   `json:"instance"`
 	Config    uint64                   `json:"config"`
@@ -22,12 +22,12 @@
 	Drains    []live.Drain             `json:"drains"`
 	Slots     map[string]routing.Slots `json:"slots"`
 	Runs      []planner.Summary        `json:"runs"`
-	// RunsError says why the runs could not be asked for.
+	// RunsError is the reason why the runs could not be read, or empty.
 	RunsError string `json:"runs_error,omitempty"`
 }
 
-// status gathers a Status. It answers also while the table or the planner
-// cannot be reached, with what is known here.
+// status returns the Status that this instance knows. It also works while the table or the
+// planner cannot be reached.
 func (s *Server) status(c *gin.Context) (any, error) {
 	view := s.view()
 	st := Status{
@@ -64,8 +64,8 @@
 	return st
 }
 
-// warnings names work that no worker could hold, as far as this instance can
-// tell from the planner's runs. The fleet changes, so it is no mistake.
+// warnings lists the workloads with tasks that are larger than any worker known to this
+// instance. They are warnings and not errors, because the fleet changes.
 func (s *Server) warnings(text *spec.Text) []string {
 	largest := s.largestWorker()
 	if largest.IsZero() {
--- a/internal/entry/status_recorder.go
+++ b/internal/entry/status_recorder.go
@@ -2,7 +2,7 @@
 
 import "net/http"
 
-// statusRecorder notes the status of an answer as it passes.
+// statusRecorder is an http.ResponseWriter that records the status code.
 type statusRecorder struct {
 	http.ResponseWriter
 	status int
@@ -14,5 +14,5 @@
 	r.ResponseWriter.WriteHeader(status)
 }
 
-// Unwrap lets http.ResponseController reach the writer below.
+// Unwrap returns the wrapped writer for http.ResponseController.
 func (r *statusRecorder) Unwrap() http.ResponseWriter { return r.ResponseWriter }
--- a/internal/entry/submit_result.go
+++ b/internal/entry/submit_result.go
@@ -1,6 +1,6 @@
 package entry
 
-// SubmitResult answers an accepted submission.
+// SubmitResult is the response to an accepted submission, with the ID of the run.
 type SubmitResult struct {
 	Run string `json:"run"`
 }
