--- a/internal/catalog/codec.go
+++ b/internal/catalog/codec.go
@@ -10,7 +10,7 @@
 func (c *Catalog) Encode() ([]byte, error) {
 	data, err := cbor.Marshal(c.content)
 	if err != nil {
-		return nil, fmt.Errorf("encode catalog version %d: %w", c.Version, err)
+		return nil, fmt.Errorf("encode catalog: %w", err)
 	}
 	return data, nil
 }
@@ -19,7 +19,7 @@
 func Decode(data []byte) (*Catalog, error) {
 	var content Content
 	if err := cbor.Unmarshal(data, &content); err != nil {
-		return nil, fmt.Errorf("decode catalog of %d bytes: %w", len(data), err)
+		return nil, fmt.Errorf("decode catalog: %w", err)
 	}
 	return New(content), nil
 }
--- a/internal/node/catalog_reader_test.go
+++ b/internal/node/catalog_reader_test.go
@@ -86,6 +86,6 @@
 		t.Errorf("the feed waits for %v, the maximum age of a view is %v", f.wait, policy.MaxViewAge())
 	}
 	if f := newCatalogFollower(readerOf(&slowSource{}), nil, access.Policy{}, nil); f.wait != feedWait {
-		t.Errorf("without keys the feed waits for %v, want %v", f.wait, feedWait)
+		t.Errorf("without keys the feed waits for %v", f.wait)
 	}
 }
