--- a/internal/idempotency/limits.go
+++ b/internal/idempotency/limits.go
@@ -17,8 +17,8 @@
 	// loadRetry is the wait after a failed load of a shard's keys.
 	loadRetry = 500 * time.Millisecond
 	loadPage  = 1000
-	// takeOverPoll is how often a request looks whether its home is ready.
-	takeOverPoll = 25 * time.Millisecond
+	// readyPollPeriod is how often a request looks whether its home is ready.
+	readyPollPeriod = 25 * time.Millisecond
 	// flushPeriod is how often ends are written and old keys removed.
 	flushPeriod = 500 * time.Millisecond
 )
--- a/internal/idempotency/loader.go
+++ b/internal/idempotency/loader.go
@@ -41,7 +41,7 @@
 // load reads the rows of a shard and the objects of earlier epochs.
 func (r *Registry) load(ctx context.Context, shard string, epoch uint64) (map[string]*Record, error) {
 	records := map[string]*Record{}
-	for e := epochsBack(epoch); e < epoch; e++ {
+	for e := firstEpochToLoad(epoch); e < epoch; e++ {
 		if err := r.loadSegments(ctx, shard, e, records); err != nil {
 			return nil, err
 		}
@@ -66,7 +66,7 @@
 // lasts much longer than Retention divided by it.
 const maxEpochsBack = 16
 
-func epochsBack(epoch uint64) uint64 {
+func firstEpochToLoad(epoch uint64) uint64 {
 	if epoch <= maxEpochsBack {
 		return 0
 	}
--- a/internal/idempotency/register.go
+++ b/internal/idempotency/registry.go
@@ -72,7 +72,7 @@
 // error says what is known of the key, and the response, if not nil, is what
 // the first request was answered.
 func (r *Registry) Begin(ctx context.Context, shard, service, key string) (*Response, error) {
-	s, name, err := r.await(ctx, shard, service, key)
+	s, name, err := r.beginWhenReady(ctx, shard, service, key)
 	if err != nil {
 		return s, err
 	}
@@ -90,24 +90,24 @@
 	return nil, nil
 }
 
-// await is enter, but for a few seconds after a shard has changed hands it
+// beginWhenReady is enter, but for a few seconds after a shard has changed hands it
 // waits until the keys let go before are known.
-func (r *Registry) await(ctx context.Context, shard, service, key string) (*Response, string, error) {
+func (r *Registry) beginWhenReady(ctx context.Context, shard, service, key string) (*Response, string, error) {
 	for {
-		response, name, err := r.enter(shard, service, key)
+		response, name, err := r.tryBegin(shard, service, key)
 		if !errors.Is(err, errTakingOver) {
 			return response, name, err
 		}
 		select {
 		case <-ctx.Done():
 			return nil, name, err
-		case <-time.After(takeOverPoll):
+		case <-time.After(readyPollPeriod):
 		}
 	}
 }
 
-// enter marks a key as started in memory, or says why not.
-func (r *Registry) enter(shard, service, key string) (*Response, string, error) {
+// tryBegin marks a key as started in memory, or says why not.
+func (r *Registry) tryBegin(shard, service, key string) (*Response, string, error) {
 	now := time.Now()
 	name := nameOf(service, key)
 	r.mu.Lock()
@@ -120,17 +120,17 @@
 		return nil, name, fault.New(fault.Overloaded, "%w", errTakingOver)
 	}
 	if known, ok := s.records[name]; ok {
-		return known.Response, name, r.known(known)
+		return known.Response, name, r.existingKeyError(known)
 	}
 	if len(s.records) >= maxKeys {
 		return nil, name, fault.New(fault.Overloaded, "%d keys are remembered already", len(s.records)).WithRetryAfter(time.Minute)
 	}
 	s.records[name] = &Record{State: Started, At: now, Process: r.process}
-	delete(s.gone, name)
+	delete(s.removed, name)
 	return nil, name, nil
 }
 
-func (r *Registry) known(rec *Record) error {
+func (r *Registry) existingKeyError(rec *Record) error {
 	switch {
 	case rec.State == Ended:
 		return fault.New(fault.AlreadyRan, "the request of this key was executed at %s", rec.At.Format(time.RFC3339))
@@ -162,7 +162,7 @@
 	r.update(shard, service, key, func(s *shardKeys, name string) {
 		delete(s.records, name)
 		delete(s.dirty, name)
-		s.gone[name] = true
+		s.removed[name] = true
 	})
 }
 
--- a/internal/idempotency/shard.go
+++ b/internal/idempotency/shard.go
@@ -14,14 +14,14 @@
 	records map[string]*Record
 	// dirty holds names whose records are to be written to the table.
 	dirty map[string]bool
-	// gone holds names whose rows are to be deleted.
-	gone map[string]bool
+	// removed holds names whose rows are to be deleted.
+	removed map[string]bool
 	// segments counts the objects written in an outage.
 	segments int
 }
 
 func newShardKeys(held ownership.HeldShard) *shardKeys {
-	return &shardKeys{held: held, records: map[string]*Record{}, dirty: map[string]bool{}, gone: map[string]bool{}}
+	return &shardKeys{held: held, records: map[string]*Record{}, dirty: map[string]bool{}, removed: map[string]bool{}}
 }
 
 // expire drops keys older than Retention.
@@ -30,7 +30,7 @@
 		if now.Sub(r.At) > Retention {
 			delete(s.records, name)
 			delete(s.dirty, name)
-			s.gone[name] = true
+			s.removed[name] = true
 		}
 	}
 }
--- a/internal/idempotency/writer.go
+++ b/internal/idempotency/writer.go
@@ -164,13 +164,13 @@
 			tx.Puts = append(tx.Puts, platform.Put{Key: rowKey(shard, name), Value: value})
 			back = append(back, func() { s.dirty[name] = true })
 		}
-		for name := range s.gone {
+		for name := range s.removed {
 			if len(tx.Deletes) >= maxBatch {
 				break
 			}
-			delete(s.gone, name)
+			delete(s.removed, name)
 			tx.Deletes = append(tx.Deletes, rowKey(shard, name))
-			back = append(back, func() { s.gone[name] = true })
+			back = append(back, func() { s.removed[name] = true })
 		}
 	}
 	return tx, func() {
--- a/internal/membership/observer.go
+++ b/internal/membership/observer.go
@@ -33,7 +33,7 @@
 // count against a row: otherwise every instance would overtake every other the
 // moment the table returns. Each row then has time for two renewals at least.
 func (o *Observer) Observe(view live.View, now time.Time) {
-	pause := o.pause(now)
+	pause := o.outageBefore(now)
 	o.lastRead = now
 	next := make(map[string]observation, len(view.Instances))
 	for id, inst := range view.Instances {
@@ -42,22 +42,22 @@
 			renewed := known && old.process == inst.Process
 			old = observation{version: inst.Version, process: inst.Process, since: now, renewed: renewed}
 		} else if pause > 0 {
-			old = o.forgive(old, pause, now)
+			old = o.extend(old, pause, now)
 		}
 		next[id] = old
 	}
 	o.seen = next
 }
 
-// pause returns how long the table has been out of reach before this read.
-func (o *Observer) pause(now time.Time) time.Duration {
+// outageBefore returns how long the table has been out of reach before this read.
+func (o *Observer) outageBefore(now time.Time) time.Duration {
 	if o.lastRead.IsZero() || now.Sub(o.lastRead) <= 2*o.timing.Poll {
 		return 0
 	}
 	return now.Sub(o.lastRead) - o.timing.Poll
 }
 
-func (o *Observer) forgive(old observation, pause time.Duration, now time.Time) observation {
+func (o *Observer) extend(old observation, pause time.Duration, now time.Time) observation {
 	old.since = old.since.Add(pause)
 	if earliest := now.Add(2*o.timing.Poll - o.timing.SessionTTL); old.since.Before(earliest) {
 		old.since = earliest
--- a/internal/membership/session.go
+++ b/internal/membership/session.go
@@ -10,12 +10,12 @@
 type Session struct {
 	timing Timing
 
-	mu        sync.Mutex
-	renewedAt time.Time
-	tableAt   time.Time
-	failedAt  time.Time
-	lost      bool
-	vouched   time.Time
+	mu          sync.Mutex
+	renewedAt   time.Time
+	tableAt     time.Time
+	failedAt    time.Time
+	lost        bool
+	confirmedAt time.Time
 }
 
 // NewSession returns a session that has not been renewed. now counts as the
@@ -71,8 +71,8 @@
 func (s *Session) OutageConfirmed(askedAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if askedAt.After(s.vouched) {
-		s.vouched = askedAt
+	if askedAt.After(s.confirmedAt) {
+		s.confirmedAt = askedAt
 	}
 }
 
@@ -118,9 +118,9 @@
 }
 
 func (s *Session) outageLocked(now time.Time) bool {
-	if s.lost || s.renewedAt.IsZero() || s.vouched.IsZero() {
+	if s.lost || s.renewedAt.IsZero() || s.confirmedAt.IsZero() {
 		return false
 	}
-	fresh := now.Sub(s.vouched) < s.timing.Shorter(s.timing.AttestationTTL)
+	fresh := now.Sub(s.confirmedAt) < s.timing.Shorter(s.timing.AttestationTTL)
 	return fresh && now.Sub(s.renewedAt) < s.timing.Shorter(s.timing.OutageGrace)
 }
--- a/internal/owner/handover_test.go
+++ b/internal/owner/handover_test.go
@@ -38,7 +38,7 @@
 
 // Failure: a request hangs until its deadline, half a minute, although the worker is
 // well.
-func TestSilentConnectionAcrossAHandOver(t *testing.T) {
+func TestUnresponsiveConnectionAcrossHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		agent := &handedOver{}
 		o := newTestOwner()
@@ -54,11 +54,11 @@
 		}
 		agent.taken = true
 		o.SetHeld(nil)
-		time.Sleep(doubtAfter + 2*beatPeriod)
+		time.Sleep(unansweredAfter + 2*syncPeriod)
 		if cause := context.Cause(g.Context()); !errors.Is(cause, routing.ErrNeverArrived) {
 			t.Errorf("after the hand-over: %v", cause)
 		}
 		g.Done(routing.Failed, time.Now())
-		time.Sleep(beatPeriod)
+		time.Sleep(syncPeriod)
 	})
 }
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -25,7 +25,7 @@
 	o.orderEpoch, o.orderSequence = order.PlannerEpoch, order.Sequence
 	missed := 0
 	for _, a := range order.Assignments {
-		m, ok := o.minders[a.Worker]
+		m, ok := o.loops[a.Worker]
 		if !ok || m.epoch != a.Epoch {
 			missed++
 			continue
@@ -38,16 +38,16 @@
 	return nil
 }
 
-func (m *minder) assign(a fleet.Assignment) {
+func (m *workerLoop) assign(a fleet.Assignment) {
 	m.mu.Lock()
 	changed := m.tracker.Assign(a)
 	waiting := m.tracker.NeedsSync()
 	m.dirty = m.dirty || changed
 	m.mu.Unlock()
 	if changed && waiting {
-		m.wake()
+		m.requestSync()
 	}
 	if changed {
-		m.changed(true, time.Now())
+		m.publishState(true, time.Now())
 	}
 }
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -36,16 +36,16 @@
 	planner Planner
 	log     *logrus.Entry
 	metrics ownerMetrics
-	news    chan struct{}
+	changes chan struct{}
 	base    context.Context
 	quit    context.CancelFunc
-	// all asks for a report of all workers next.
-	all atomic.Bool
+	// fullReport asks for a report of fullReport workers next.
+	fullReport atomic.Bool
 	// sequence orders all reports of this process.
 	sequence atomic.Uint64
 
 	mu           sync.Mutex
-	minders      map[string]*minder
+	loops        map[string]*workerLoop
 	held         map[string]ownership.HeldShard
 	directory    []platform.Instance
 	drains       map[string]live.Drain
@@ -65,8 +65,8 @@
 	base, quit := context.WithCancel(context.Background())
 	o := &Owner{
 		id: id, timing: timing, gate: gate, dial: dial, router: router, planner: planner, log: log,
-		news: make(chan struct{}, 1), base: base, quit: quit,
-		minders: map[string]*minder{}, held: map[string]ownership.HeldShard{}, drains: map[string]live.Drain{},
+		changes: make(chan struct{}, 1), base: base, quit: quit,
+		loops: map[string]*workerLoop{}, held: map[string]ownership.HeldShard{}, drains: map[string]live.Drain{},
 		metrics: ownerMetrics{
 			syncs:   set.NewCounter("gentianstand_worker_syncs_total"),
 			reports: set.NewCounter("gentianstand_reports_sent_total"),
@@ -116,19 +116,19 @@
 		}
 		listed[inst.ID] = true
 		if h, ok := o.held[inst.Rack]; ok {
-			o.mindLocked(inst, h)
+			o.ensureLoopLocked(inst, h)
 		}
 	}
-	for id, m := range o.minders {
-		if m.over(o.held, listed[id]) {
+	for id, m := range o.loops {
+		if m.finished(o.held, listed[id]) {
 			o.dropLocked(id, m)
 		}
 	}
 }
 
-// mindLocked starts or refreshes the minder of a worker.
-func (o *Owner) mindLocked(inst platform.Instance, h ownership.HeldShard) {
-	m, ok := o.minders[inst.ID]
+// ensureLoopLocked starts or refreshes the minder of a worker.
+func (o *Owner) ensureLoopLocked(inst platform.Instance, h ownership.HeldShard) {
+	m, ok := o.loops[inst.ID]
 	if ok && m.epoch == h.Shard.Epoch && m.address == inst.Address {
 		m.refresh(inst, h, o.drains)
 		return
@@ -142,17 +142,17 @@
 	ctx, quit := context.WithCancel(o.base)
 	site := OwnedWorker{Instance: inst, Shard: inst.Rack, Epoch: h.Shard.Epoch}
 	_, draining := o.drains[inst.ID]
-	m = &minder{
+	m = &workerLoop{
 		id: inst.ID, epoch: h.Shard.Epoch, address: inst.Address, shard: inst.Rack,
-		owner: o, agent: o.dial(inst.Address), kick: make(chan struct{}, 1), quit: quit, draining: draining,
+		owner: o, agent: o.dial(inst.Address), wakeup: make(chan struct{}, 1), quit: quit, draining: draining,
 		tracker: NewTracker(site, o.id, o.timing, h.OldLeasesEnd(o.timing)), held: h, dirty: true,
 	}
-	o.minders[inst.ID] = m
+	o.loops[inst.ID] = m
 	go m.run(ctx)
 }
 
 // refresh takes in what may have changed around a worker.
-func (m *minder) refresh(inst platform.Instance, h ownership.HeldShard, drains map[string]live.Drain) {
+func (m *workerLoop) refresh(inst platform.Instance, h ownership.HeldShard, drains map[string]live.Drain) {
 	_, draining := drains[inst.ID]
 	m.mu.Lock()
 	changed := m.draining != draining || m.tracker.site.Instance.Leaving != inst.Leaving
@@ -163,13 +163,13 @@
 	m.dirty = m.dirty || changed
 	m.mu.Unlock()
 	if changed {
-		m.changed(true, time.Now())
+		m.publishState(true, time.Now())
 	}
 }
 
-// over reports whether the worker needs no minding any more: its shard is not
+// finished reports whether the worker needs no minding any more: its shard is not
 // held, or it left the list and nothing of it can be running.
-func (m *minder) over(held map[string]ownership.HeldShard, listed bool) bool {
+func (m *workerLoop) finished(held map[string]ownership.HeldShard, listed bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	h, ok := held[m.shard]
@@ -179,29 +179,29 @@
 	return !listed && m.tracker.State() == fleet.Lost && !m.dirty
 }
 
-func (o *Owner) dropLocked(id string, m *minder) {
+func (o *Owner) dropLocked(id string, m *workerLoop) {
 	m.quit()
-	delete(o.minders, id)
+	delete(o.loops, id)
 	if rest := o.router.RemoveWorker(id); rest != nil {
-		go m.askUntilEnded(o.base, rest)
+		go m.resolveUntilIdle(o.base, rest)
 	}
 }
 
-// overtaken drops a worker that a later owner has claimed.
-func (o *Owner) overtaken(m *minder) {
+// dropSuperseded drops a worker that a later owner has claimed.
+func (o *Owner) dropSuperseded(m *workerLoop) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.minders[m.id] == m {
+	if o.loops[m.id] == m {
 		o.dropLocked(m.id, m)
 		m.log().Info("worker_overtaken")
 	}
 }
 
-func (o *Owner) list() []*minder {
+func (o *Owner) list() []*workerLoop {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	list := make([]*minder, 0, len(o.minders))
-	for _, m := range o.minders {
+	list := make([]*workerLoop, 0, len(o.loops))
+	for _, m := range o.loops {
 		list = append(list, m)
 	}
 	return list
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -30,7 +30,7 @@
 }
 
 // Failure: a start gets lost for as long as the time between two full reports.
-func TestOrderForAWorkerThatWentOn(t *testing.T) {
+func TestOrderForReassignedWorker(t *testing.T) {
 	order := fleet.Order{PlannerEpoch: 1, Sequence: 1, Assignments: []fleet.Assignment{{Worker: "w", Epoch: 1}}}
 	if err := newTestOwner().Assign(order); !fault.Is(err, fault.NotOwner) {
 		t.Errorf("got %v", err)
@@ -38,7 +38,7 @@
 }
 
 // Failure: a task that has ended and been forgotten runs again.
-func TestOrdersAreTakenInOrder(t *testing.T) {
+func TestOrdersAreAcceptedInSequence(t *testing.T) {
 	o := newTestOwner()
 	steps := []struct {
 		name            string
--- a/internal/owner/remainder.go
+++ b/internal/owner/removed_worker.go
@@ -7,25 +7,25 @@
 	"gentianstand/internal/routing"
 )
 
-// askUntilEnded asks the worker about requests that were in progress there when
+// resolveUntilIdle asks the worker about requests that were in progress there when
 // this process stopped minding it. The next owner does not know them: without
 // this, one sent on a connection that had gone silent waited for its deadline,
 // half a minute, if the worker changed hands before it was doubted.
-func (m *minder) askUntilEnded(ctx context.Context, rest *routing.RemovedWorker) {
-	ticker := time.NewTicker(beatPeriod)
+func (m *workerLoop) resolveUntilIdle(ctx context.Context, rest *routing.RemovedWorker) {
+	ticker := time.NewTicker(syncPeriod)
 	defer ticker.Stop()
 	for !rest.Idle() {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			m.ask(ctx, rest)
+			m.resolveUnanswered(ctx, rest)
 		}
 	}
 }
 
-func (m *minder) ask(ctx context.Context, rest *routing.RemovedWorker) {
-	doubt := rest.Unanswered(time.Now().Add(-doubtAfter))
+func (m *workerLoop) resolveUnanswered(ctx context.Context, rest *routing.RemovedWorker) {
+	doubt := rest.Unanswered(time.Now().Add(-unansweredAfter))
 	if len(doubt) == 0 {
 		return
 	}
--- a/internal/owner/reporter.go
+++ b/internal/owner/reporter.go
@@ -17,9 +17,9 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-o.news:
-			time.Sleep(coalesce)
-			all = o.all.Swap(false)
+		case <-o.changes:
+			time.Sleep(coalesceDelay)
+			all = o.fullReport.Swap(false)
 		case <-ticker.C:
 			all = true
 		}
@@ -31,10 +31,10 @@
 // marked and goes with the next report.
 func (o *Owner) reportOnce(ctx context.Context, all bool) {
 	minders := o.list()
-	var sent []*minder
+	var sent []*workerLoop
 	var reports []fleet.Report
 	for _, m := range minders {
-		if m.clean() || all {
+		if m.takeDirty() || all {
 			sent = append(sent, m)
 			reports = append(reports, m.report())
 		}
@@ -46,33 +46,33 @@
 	o.metrics.reports.Inc()
 	if err != nil {
 		for _, m := range sent {
-			m.soil()
+			m.markDirty()
 		}
 		if all {
-			o.all.Store(true)
+			o.fullReport.Store(true)
 		}
 		o.log.WithError(err).Debug("report_failed")
 		time.AfterFunc(reportRetry, o.wakeReporter)
 		return
 	}
-	o.noteEpoch(epoch)
+	o.observePlannerEpoch(epoch)
 }
 
-// noteEpoch makes everything known to a planner that reports have reached for
+// observePlannerEpoch makes everything known to a planner that reports have reached for
 // the first time.
-func (o *Owner) noteEpoch(epoch uint64) {
+func (o *Owner) observePlannerEpoch(epoch uint64) {
 	o.mu.Lock()
 	later := epoch > o.plannerEpoch
 	o.plannerEpoch = max(o.plannerEpoch, epoch)
 	o.mu.Unlock()
 	if later {
-		o.all.Store(true)
+		o.fullReport.Store(true)
 		o.wakeReporter()
 	}
 }
 
-// clean takes the mark that there is news and returns whether it was set.
-func (m *minder) clean() bool {
+// takeDirty takes the mark that there is news and returns whether it was set.
+func (m *workerLoop) takeDirty() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	was := m.dirty
@@ -80,7 +80,7 @@
 	return was
 }
 
-func (m *minder) soil() {
+func (m *workerLoop) markDirty() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.dirty = true
@@ -88,7 +88,7 @@
 
 func (o *Owner) wakeReporter() {
 	select {
-	case o.news <- struct{}{}:
+	case o.changes <- struct{}{}:
 	default:
 	}
 }
--- a/internal/owner/tracker.go
+++ b/internal/owner/tracker.go
@@ -10,9 +10,9 @@
 	"gentianstand/internal/worker"
 )
 
-// silentAfter is how long a worker may miss its calls before it gets no new
+// unresponsiveAfter is how long a worker may miss its calls before it gets no new
 // work.
-const silentAfter = 2500 * time.Millisecond
+const unresponsiveAfter = 2500 * time.Millisecond
 
 // Tracker is what an owner knows of one worker. It is not safe for concurrent
 // use and has no clock.
@@ -21,17 +21,17 @@
 	owner  string
 	timing membership.Timing
 
-	state    fleet.WorkerState
-	stale    bool
-	seq      uint64
-	boot     string
-	version  uint64
-	capacity resource.Amount
-	slots    int
-	older    int
-	// stamp is the worker's clock in its last reply, received at stampAt.
-	stamp   int64
-	stampAt time.Time
+	state      fleet.WorkerState
+	superseded bool
+	seq        uint64
+	boot       string
+	version    uint64
+	capacity   resource.Amount
+	slots      int
+	older      int
+	// workerClock is the worker's clock in its last reply, received at stampAt.
+	workerClock int64
+	lastReplyAt time.Time
 	// oldLeasesEnd is when leases of earlier owners have lapsed.
 	oldLeasesEnd time.Time
 
@@ -45,11 +45,11 @@
 // NewTracker returns the tracker of a worker that has not been claimed yet.
 func NewTracker(site OwnedWorker, owner string, timing membership.Timing, oldLeasesEnd time.Time) *Tracker {
 	t := &Tracker{site: site, owner: owner, timing: timing, state: fleet.Claiming, oldLeasesEnd: oldLeasesEnd}
-	t.forget()
+	t.reset()
 	return t
 }
 
-func (t *Tracker) forget() {
+func (t *Tracker) reset() {
 	t.tasks = map[worker.TaskRef]worker.TaskStatus{}
 	t.start = map[worker.TaskRef]worker.TaskStart{}
 	t.stop = map[worker.TaskRef]worker.TaskStop{}
@@ -64,7 +64,7 @@
 func (t *Tracker) State() fleet.WorkerState { return t.state }
 
 // Superseded reports whether a later owner has claimed the worker.
-func (t *Tracker) Superseded() bool { return t.stale }
+func (t *Tracker) Superseded() bool { return t.superseded }
 
 // NextRequest returns the next message to the worker. The lease it asks for is
 // counted from the worker's own clock in its last reply, so it ends at most
@@ -75,7 +75,7 @@
 		Owner: t.owner, Epoch: t.site.Epoch, Seq: t.seq, Boot: t.boot, Since: t.version, Doubt: doubt,
 	}
 	if t.boot != "" {
-		req.LeaseUntil = t.stamp + t.timing.WorkerLease.Milliseconds()
+		req.LeaseUntil = t.workerClock + t.timing.WorkerLease.Milliseconds()
 		req.Start = sortedStarts(t.start)
 		for ref := range t.ack {
 			req.Ack = append(req.Ack, ref)
@@ -94,33 +94,33 @@
 	changed := t.state != fleet.Ready || t.capacity != reply.Capacity || len(reply.Tasks) > 0
 	if t.boot != reply.Boot {
 		changed = true
-		t.rebooted(reply.Boot)
+		t.workerRestarted(reply.Boot)
 	}
 	t.state = fleet.Ready
 	t.capacity, t.slots, t.older = reply.Capacity, reply.Slots, reply.OlderRequests
-	t.stamp, t.stampAt = reply.Now, receivedAt
+	t.workerClock, t.lastReplyAt = reply.Now, receivedAt
 	t.version = reply.Version
 	for _, status := range reply.Tasks {
 		t.tasks[status.Ref] = status
 	}
-	t.delivered()
+	t.removeDelivered()
 	return changed
 }
 
-// rebooted drops what was known of the worker's previous process: nothing of
+// workerRestarted drops what was known of the worker's previous process: nothing of
 // it runs any more, and starts meant for it must not reach its successor.
-func (t *Tracker) rebooted(boot string) {
-	t.forget()
+func (t *Tracker) workerRestarted(boot string) {
+	t.reset()
 	t.boot = boot
 }
 
-// delivered removes what the answered message carried from the queues.
-func (t *Tracker) delivered() {
+// removeDelivered removes what the answered message carried from the queues.
+func (t *Tracker) removeDelivered() {
 	if t.sent.Boot != t.boot {
 		return
 	}
 	for _, stop := range t.sent.Stop {
-		t.stopDelivered(stop)
+		t.handleDeliveredStop(stop)
 	}
 	for _, start := range t.sent.Start {
 		delete(t.start, start.Ref)
@@ -131,10 +131,10 @@
 	}
 }
 
-// stopDelivered keeps a stop until the task has ended. A worker applies stops
+// handleDeliveredStop keeps a stop until the task has ended. A worker applies stops
 // before starts, so a stop that travelled together with its own start must be
 // sent once more.
-func (t *Tracker) stopDelivered(stop worker.TaskStop) {
+func (t *Tracker) handleDeliveredStop(stop worker.TaskStop) {
 	status, known := t.tasks[stop.Ref]
 	_, starting := t.start[stop.Ref]
 	switch {
@@ -150,7 +150,7 @@
 // the state changed.
 func (t *Tracker) HandleFailure(err error, now time.Time, mayAct bool) bool {
 	if errors.Is(err, worker.ErrStaleEpoch) {
-		t.stale = true
+		t.superseded = true
 		return true
 	}
 	return t.Tick(now, mayAct)
@@ -173,8 +173,8 @@
 	case t.state == fleet.Lost:
 	case mayAct && !now.Before(t.leasesEnd()):
 		t.state = fleet.Lost
-		t.forget()
-	case t.state == fleet.Ready && now.Sub(t.stampAt) >= silentAfter:
+		t.reset()
+	case t.state == fleet.Ready && now.Sub(t.lastReplyAt) >= unresponsiveAfter:
 		t.state = fleet.Silent
 	}
 	return t.state != before
@@ -182,10 +182,10 @@
 
 func (t *Tracker) leasesEnd() time.Time {
 	end := t.oldLeasesEnd
-	if t.stampAt.IsZero() {
+	if t.lastReplyAt.IsZero() {
 		return end
 	}
-	if own := t.stampAt.Add(t.timing.Longer(t.timing.WorkerLease)); own.After(end) {
+	if own := t.lastReplyAt.Add(t.timing.Longer(t.timing.WorkerLease)); own.After(end) {
 		return own
 	}
 	return end
--- a/internal/owner/tracker_test.go
+++ b/internal/owner/tracker_test.go
@@ -66,7 +66,7 @@
 }
 
 // Failure: a task runs that nobody asked for any more.
-func TestLateStartOfOvertakenOwner(t *testing.T) {
+func TestLateStartOfSupersededOwner(t *testing.T) {
 	r := newRig(t)
 	old := r.owner(1)
 	for range 5 {
@@ -180,9 +180,9 @@
 	}
 }
 
-// TestStopTravelsWithStart: a stop that reaches the worker together with its
+// TestStopSentWithItsStart: a stop that reaches the worker together with its
 // own start still ends the task.
-func TestStopTravelsWithStart(t *testing.T) {
+func TestStopSentWithItsStart(t *testing.T) {
 	r := newRig(t)
 	tr := r.owner(1)
 	r.order(tr, 0, 1, 1000)
@@ -195,9 +195,9 @@
 	r.expectRunning(0)
 }
 
-// TestRestartedWorkerForgets: starts meant for a worker's earlier process do
+// TestRestartedWorkerDropsStarts: starts meant for a worker's earlier process do
 // not reach its successor.
-func TestRestartedWorkerForgets(t *testing.T) {
+func TestRestartedWorkerDropsStarts(t *testing.T) {
 	r := newRig(t)
 	tr := r.owner(1)
 	r.order(tr, 0, 1, 1000)
--- a/internal/owner/minder.go
+++ b/internal/owner/worker_loop.go
@@ -15,31 +15,31 @@
 
 // The periods of a minder.
 const (
-	// beatPeriod is how often an idle worker is called, claimPeriod how often
+	// syncPeriod is how often an idle worker is called, claimPeriod how often
 	// one that has not been claimed yet.
-	beatPeriod  = time.Second
+	syncPeriod  = time.Second
 	claimPeriod = 200 * time.Millisecond
-	// coalesce is how long an assignment, or news for the planner, waits for
+	// coalesceDelay is how long an assignment, or news for the planner, waits for
 	// others to travel along.
-	coalesce = 20 * time.Millisecond
-	// doubtAfter is how long a request may go without any sign of an answer
+	coalesceDelay = 20 * time.Millisecond
+	// unansweredAfter is how long a request may go without any sign of an answer
 	// before the worker is asked about it.
-	doubtAfter = 1500 * time.Millisecond
+	unansweredAfter = 1500 * time.Millisecond
 )
 
-// minder runs the loop of one worker: it turns a Tracker's messages into
+// workerLoop runs the loop of one worker: it turns a Tracker's messages into
 // calls, right after asking the gate.
-type minder struct {
+type workerLoop struct {
 	id    string
 	epoch uint64
 	// address and shard do not change in a minder's life.
 	address string
 	shard   string
 
-	owner *Owner
-	agent worker.Agent
-	kick  chan struct{}
-	quit  context.CancelFunc
+	owner  *Owner
+	agent  worker.Agent
+	wakeup chan struct{}
+	quit   context.CancelFunc
 
 	mu       sync.Mutex
 	tracker  *Tracker
@@ -48,50 +48,50 @@
 	draining bool
 }
 
-func (m *minder) run(ctx context.Context) {
+func (m *workerLoop) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		m.sync(ctx)
-		m.rest(ctx)
+		m.waitForNext(ctx)
 	}
 }
 
-// rest waits for the next beat, or for something to send.
-func (m *minder) rest(ctx context.Context) {
+// waitForNext waits for the next beat, or for something to send.
+func (m *workerLoop) waitForNext(ctx context.Context) {
 	timer := time.NewTimer(m.period())
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-m.kick:
-		time.Sleep(coalesce)
+	case <-m.wakeup:
+		time.Sleep(coalesceDelay)
 	}
 }
 
-func (m *minder) period() time.Duration {
+func (m *workerLoop) period() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.tracker.State() == fleet.Claiming {
 		return claimPeriod
 	}
-	return beatPeriod
+	return syncPeriod
 }
 
-func (m *minder) wake() {
+func (m *workerLoop) requestSync() {
 	select {
-	case m.kick <- struct{}{}:
+	case m.wakeup <- struct{}{}:
 	default:
 	}
 }
 
 // sync makes one call, unless this process has lost the right to: then it
 // must not extend the lease, and lets the time decide.
-func (m *minder) sync(ctx context.Context) {
+func (m *workerLoop) sync(ctx context.Context) {
 	now := time.Now()
 	if !m.mayAct(now) {
 		m.tick(now)
 		return
 	}
-	doubt := m.owner.router.Unanswered(m.id, now.Add(-doubtAfter))
+	doubt := m.owner.router.Unanswered(m.id, now.Add(-unansweredAfter))
 	m.mu.Lock()
 	req := m.tracker.NextRequest(doubt)
 	m.mu.Unlock()
@@ -99,10 +99,10 @@
 	m.owner.metrics.syncs.Inc()
 	received := time.Now()
 	if err != nil {
-		m.failed(err, received)
+		m.handleFailure(err, received)
 		return
 	}
-	m.replied(reply, received)
+	m.handleReply(reply, received)
 	for i, state := range reply.Doubts {
 		if i < len(doubt) {
 			m.owner.router.Resolve(m.id, doubt[i], state, received)
@@ -112,7 +112,7 @@
 
 // mayAct also covers a shard that was handed over: its workers are served a
 // little longer, until the next owner has claimed them.
-func (m *minder) mayAct(now time.Time) bool {
+func (m *workerLoop) mayAct(now time.Time) bool {
 	if !m.owner.gate.MayAct(now) {
 		return false
 	}
@@ -122,15 +122,15 @@
 	return given.IsZero() || now.Sub(given) < m.owner.timing.HandoverGrace
 }
 
-func (m *minder) replied(reply worker.SyncReply, now time.Time) {
+func (m *workerLoop) handleReply(reply worker.SyncReply, now time.Time) {
 	m.mu.Lock()
 	changed := m.tracker.HandleReply(reply, now)
 	m.dirty = m.dirty || changed
 	m.mu.Unlock()
-	m.changed(changed, now)
+	m.publishState(changed, now)
 }
 
-func (m *minder) failed(err error, now time.Time) {
+func (m *workerLoop) handleFailure(err error, now time.Time) {
 	mayAct := m.mayAct(now)
 	m.mu.Lock()
 	before := m.tracker.State()
@@ -139,26 +139,26 @@
 	after, stale := m.tracker.State(), m.tracker.Superseded()
 	m.mu.Unlock()
 	if stale {
-		m.owner.overtaken(m)
+		m.owner.dropSuperseded(m)
 		return
 	}
 	if changed {
 		m.log().WithError(err).WithFields(logrus.Fields{"from": before, "to": after}).Warn("worker_state")
 	}
-	m.changed(changed, now)
+	m.publishState(changed, now)
 }
 
 // tick lets time pass for a worker that this process may not call.
-func (m *minder) tick(now time.Time) {
+func (m *workerLoop) tick(now time.Time) {
 	m.mu.Lock()
 	changed := m.tracker.Tick(now, false)
 	m.dirty = m.dirty || changed
 	m.mu.Unlock()
-	m.changed(changed, now)
+	m.publishState(changed, now)
 }
 
-// changed brings news to the router, and to the planner if there are any.
-func (m *minder) changed(news bool, now time.Time) {
+// publishState brings news to the router, and to the planner if there are any.
+func (m *workerLoop) publishState(news bool, now time.Time) {
 	m.owner.router.SetWorker(m.info(), now)
 	if news {
 		m.owner.wakeReporter()
@@ -167,7 +167,7 @@
 
 // info is the worker as routing sees it. A worker whose drain was asked for
 // or that the platform lists as leaving is not open for new requests.
-func (m *minder) info() routing.WorkerInfo {
+func (m *workerLoop) info() routing.WorkerInfo {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	t := m.tracker
@@ -178,9 +178,9 @@
 	}
 }
 
-func (m *minder) closedLocked() bool { return m.draining || m.tracker.site.Instance.Leaving }
+func (m *workerLoop) closedLocked() bool { return m.draining || m.tracker.site.Instance.Leaving }
 
-func (m *minder) report() fleet.Report {
+func (m *workerLoop) report() fleet.Report {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	r := m.tracker.Report()
@@ -189,6 +189,6 @@
 	return r
 }
 
-func (m *minder) log() *logrus.Entry {
+func (m *workerLoop) log() *logrus.Entry {
 	return m.owner.log.WithFields(logrus.Fields{"worker": m.id, "epoch": m.epoch})
 }
--- a/internal/ownership/decide.go
+++ b/internal/ownership/decide.go
@@ -29,14 +29,14 @@
 	desired := Desired(alive, in.Locations, current)
 	var actions []Action
 	for _, p := range in.Locations {
-		if a, ok := decidePlace(in, p.Name, desired[p.Name], current[p.Name]); ok {
+		if a, ok := decideShard(in, p.Name, desired[p.Name], current[p.Name]); ok {
 			actions = append(actions, a)
 		}
 	}
 	return actions
 }
 
-func decidePlace(in Input, name, wanted, holder string) (Action, bool) {
+func decideShard(in Input, name, wanted, holder string) (Action, bool) {
 	row := in.View.Shards[name]
 	mine := row.Owner == in.Self
 	switch {
--- a/internal/ownership/desired.go
+++ b/internal/ownership/desired.go
@@ -38,11 +38,11 @@
 }
 
 type assigner struct {
-	alive []live.Instance
-	byID  map[string]live.Instance
-	load  map[string]int
-	most  int
-	owner map[string]string
+	alive   []live.Instance
+	byID    map[string]live.Instance
+	load    map[string]int
+	maxLoad int
+	owner   map[string]string
 }
 
 func newAssigner(alive []live.Instance, places int) *assigner {
@@ -50,25 +50,25 @@
 	for _, inst := range alive {
 		a.byID[inst.Process.Instance] = inst
 	}
-	a.most = (places + len(alive) - 1) / len(alive)
+	a.maxLoad = (places + len(alive) - 1) / len(alive)
 	return a
 }
 
 func (a *assigner) keep(p ShardLocation, owner string) bool {
 	inst, ok := a.byID[owner]
-	if !ok || a.load[owner] >= a.most || distance(p, inst) > a.nearest(p) {
+	if !ok || a.load[owner] >= a.maxLoad || distance(p, inst) > a.nearest(p) {
 		return false
 	}
-	a.give(p, owner)
+	a.setOwner(p, owner)
 	return true
 }
 
 func (a *assigner) assign(p ShardLocation) {
 	best := slices.MinFunc(a.alive, func(x, y live.Instance) int { return a.compare(p, x, y) })
-	a.give(p, best.Process.Instance)
+	a.setOwner(p, best.Process.Instance)
 }
 
-func (a *assigner) give(p ShardLocation, owner string) {
+func (a *assigner) setOwner(p ShardLocation, owner string) {
 	a.owner[p.Name] = owner
 	a.load[owner]++
 }
@@ -76,7 +76,7 @@
 // compare prefers an instance with room, then the right zone, then the least
 // loaded, then the highest hash.
 func (a *assigner) compare(p ShardLocation, x, y live.Instance) int {
-	if fx, fy := a.load[x.Process.Instance] >= a.most, a.load[y.Process.Instance] >= a.most; fx != fy {
+	if fx, fy := a.load[x.Process.Instance] >= a.maxLoad, a.load[y.Process.Instance] >= a.maxLoad; fx != fy {
 		return boolOrder(fx)
 	}
 	if d := distance(p, x) - distance(p, y); d != 0 {
--- a/internal/ownership/held.go
+++ b/internal/ownership/held_shard.go
@@ -25,7 +25,7 @@
 func (h HeldShard) OldLeasesEnd(t membership.Timing) time.Time {
 	end := h.TakenAt
 	for _, p := range h.Shard.Predecessors {
-		stops := h.stopsRenewing(p, t)
+		stops := h.stoppedRenewingBy(p, t)
 		if lapsed := stops.Add(t.Longer(t.WorkerLease)); lapsed.After(end) {
 			end = lapsed
 		}
@@ -37,15 +37,15 @@
 func (h HeldShard) PredecessorsStoppedBy(t membership.Timing) time.Time {
 	end := h.TakenAt
 	for _, p := range h.Shard.Predecessors {
-		if stops := h.stopsRenewing(p, t); stops.After(end) {
+		if stops := h.stoppedRenewingBy(p, t); stops.After(end) {
 			end = stops
 		}
 	}
 	return end
 }
 
-// stopsRenewing returns when predecessor p has certainly stopped.
-func (h HeldShard) stopsRenewing(p live.Predecessor, t membership.Timing) time.Time {
+// stoppedRenewingBy returns when predecessor p has certainly stopped.
+func (h HeldShard) stoppedRenewingBy(p live.Predecessor, t membership.Timing) time.Time {
 	if p.HandedOver {
 		return h.TakenAt.Add(t.Longer(t.HandoverGrace))
 	}
--- a/internal/ownership/keeper.go
+++ b/internal/ownership/keeper.go
@@ -18,15 +18,15 @@
 // Keeper holds this process's session and shards. Run is its only loop; the
 // other methods may be called from anywhere.
 type Keeper struct {
-	id       Identity
-	timing   membership.Timing
-	table    platform.Table
-	peers    Peers
-	places   func() []ShardLocation
-	listener Listener
-	session  *membership.Session
-	log      *logrus.Entry
-	kick     chan struct{}
+	id        Identity
+	timing    membership.Timing
+	table     platform.Table
+	peers     Peers
+	locations func() []ShardLocation
+	listener  Listener
+	session   *membership.Session
+	log       *logrus.Entry
+	wakeup    chan struct{}
 
 	mu            sync.Mutex
 	stopping      bool
@@ -37,23 +37,23 @@
 	offered []live.Shard
 
 	// The fields below belong to Run.
-	observer *membership.Observer
-	beat     uint64
-	rights   string
-	replaced live.Predecessor
-	held     map[string]HeldShard
-	given    map[string]HeldShard
-	// doubted holds the row versions of hand-overs whose answers were lost.
-	doubted map[string]uint64
+	observer   *membership.Observer
+	beat       uint64
+	rights     string
+	replaced   live.Predecessor
+	held       map[string]HeldShard
+	handedOver map[string]HeldShard
+	// unconfirmed holds the row versions of hand-overs whose answers were lost.
+	unconfirmed map[string]uint64
 }
 
 // NewKeeper returns a Keeper. places lists the shards that should exist.
 func NewKeeper(id Identity, timing membership.Timing, table platform.Table, peers Peers, session *membership.Session, places func() []ShardLocation, listener Listener, log *logrus.Entry) *Keeper {
 	return &Keeper{
-		id: id, timing: timing, table: table, peers: peers, places: places, listener: listener, session: session, log: log,
-		kick:     make(chan struct{}, 1),
+		id: id, timing: timing, table: table, peers: peers, locations: places, listener: listener, session: session, log: log,
+		wakeup:   make(chan struct{}, 1),
 		observer: membership.NewObserver(timing),
-		held:     map[string]HeldShard{}, given: map[string]HeldShard{}, doubted: map[string]uint64{},
+		held:     map[string]HeldShard{}, handedOver: map[string]HeldShard{}, unconfirmed: map[string]uint64{},
 	}
 }
 
@@ -66,7 +66,7 @@
 		select {
 		case <-ctx.Done():
 		case <-ticker.C:
-		case <-k.kick:
+		case <-k.wakeup:
 		}
 	}
 }
@@ -74,7 +74,7 @@
 // Kick makes Run read the table now, because a peer says it changed.
 func (k *Keeper) Kick() {
 	select {
-	case k.kick <- struct{}{}:
+	case k.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -109,17 +109,17 @@
 	if err == nil {
 		// What was lost to others is dropped before the session counts as
 		// valid again, or this process would act on it in between.
-		k.adopt(view)
+		k.syncShards(view)
 		k.publish()
 		err = k.renew(ctx, view)
 	}
 	if err != nil {
 		k.confirmOutage(ctx)
 	} else {
-		k.change(ctx, view)
+		k.applyDecisions(ctx, view)
 	}
 	k.fencePredecessors(ctx)
-	k.settle(ctx)
+	k.clearPredecessors(ctx)
 	k.publish()
-	k.noteRights(time.Now())
+	k.logRightsChange(time.Now())
 }
--- a/internal/ownership/keeper_electors.go
+++ b/internal/ownership/keeper_electors.go
@@ -22,7 +22,7 @@
 	if len(lists) == 0 {
 		return
 	}
-	vouched := k.ask(ctx, slices.Concat(lists...), func(ctx context.Context, elector live.Process) bool {
+	vouched := k.askElectors(ctx, slices.Concat(lists...), func(ctx context.Context, elector live.Process) bool {
 		ok, err := k.peers.AttestOutage(ctx, elector, k.id.Process)
 		return err == nil && ok
 	})
@@ -35,8 +35,8 @@
 	k.log.WithField("vouched", len(vouched)).Debug("outage_confirmed")
 }
 
-// ask calls every elector at once and returns those that said yes.
-func (k *Keeper) ask(ctx context.Context, electors []live.Process, call func(context.Context, live.Process) bool) []live.Process {
+// askElectors calls every elector at once and returns those that said yes.
+func (k *Keeper) askElectors(ctx context.Context, electors []live.Process, call func(context.Context, live.Process) bool) []live.Process {
 	ctx, cancel := context.WithTimeout(ctx, k.timing.Poll)
 	defer cancel()
 	var mu sync.Mutex
@@ -87,7 +87,7 @@
 // platform replaces an instance by ending it. Otherwise, after all instances
 // were restarted at once, nobody could be fenced for as long as OutageGrace.
 func (k *Keeper) fence(ctx context.Context, p live.Predecessor) time.Time {
-	answered := k.ask(ctx, p.Electors, func(ctx context.Context, elector live.Process) bool {
+	answered := k.askElectors(ctx, p.Electors, func(ctx context.Context, elector live.Process) bool {
 		return k.peers.Fence(ctx, elector, p.Process) == nil
 	})
 	answered = append(answered, k.replacedElectors(p.Electors)...)
--- a/internal/ownership/keeper_offers_test.go
+++ b/internal/ownership/keeper_offers_test.go
@@ -57,7 +57,7 @@
 
 // Failure: services and watch tasks of two racks stop in an outage of the table, and
 // start a second time after it.
-func TestNextOwnerIsToldOfAHandOver(t *testing.T) {
+func TestHandoverIsOfferedToNextOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		heard := &heldNames{}
 		next := keeperIn("next", nil, heard)
@@ -65,7 +65,7 @@
 		row := live.Shard{Name: "rack-1", Owner: before.id.Process, Epoch: 1}
 		before.take(row)
 		row.Owner, row.Epoch = next.id.Process, 2
-		before.applyAll([]Action{{Shard: row}}, time.Now())
+		before.recordChanges([]Action{{Shard: row}}, time.Now())
 		synctest.Wait()
 		next.acceptOffered()
 		next.publish()
@@ -76,7 +76,7 @@
 }
 
 // A late offer must not bring an old owner back.
-func TestLateOffersArePassedOver(t *testing.T) {
+func TestLateOffersAreIgnored(t *testing.T) {
 	heard := &heldNames{}
 	k := keeperIn("next", nil, heard)
 	other := live.Process{Instance: "other", Incarnation: "1"}
--- a/internal/ownership/keeper_session.go
+++ b/internal/ownership/keeper_session.go
@@ -13,9 +13,9 @@
 	"gentianstand/internal/platform"
 )
 
-// noteRights logs when this process gains, loses or changes the ground of its
+// logRightsChange logs when this process gains, loses or changes the ground of its
 // right to act.
-func (k *Keeper) noteRights(now time.Time) {
+func (k *Keeper) logRightsChange(now time.Time) {
 	rights := "none"
 	switch {
 	case k.session.Valid(now):
@@ -66,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	k.doubtElectors(row.Electors)
+	k.addElectors(row.Electors)
 	sentAt := time.Now()
 	key := live.InstanceKey(k.id.Process.Instance)
 	tx := platform.Tx{
@@ -78,7 +78,7 @@
 		return err
 	}
 	k.session.Renewed(sentAt)
-	k.settleElectors(row.Electors)
+	k.setElectors(row.Electors)
 	if stopping && k.beat%8 == 1 {
 		k.log.Info("session_stopping")
 	}
@@ -115,15 +115,15 @@
 
 func (k *Keeper) loseSession() {
 	k.session.MarkLost()
-	k.held, k.given = map[string]HeldShard{}, map[string]HeldShard{}
+	k.held, k.handedOver = map[string]HeldShard{}, map[string]HeldShard{}
 	k.log.Error("session_lost")
 	k.listener.SessionLost()
 }
 
-// doubtElectors adds a list of electors that a write under way may install.
+// addElectors adds a list of electors that a write under way may install.
 // If the answer is lost the row may name either list, so from now on a
 // majority of each is needed.
-func (k *Keeper) doubtElectors(list []live.Process) {
+func (k *Keeper) addElectors(list []live.Process) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, known := range k.electors {
@@ -134,7 +134,7 @@
 	k.electors = append(k.electors, list)
 }
 
-func (k *Keeper) settleElectors(list []live.Process) {
+func (k *Keeper) setElectors(list []live.Process) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.electors = [][]live.Process{list}
--- a/internal/ownership/keeper_shards.go
+++ b/internal/ownership/keeper_shards.go
@@ -13,13 +13,13 @@
 	"gentianstand/internal/platform"
 )
 
-// change writes what Decide wants and takes over the result.
-func (k *Keeper) change(ctx context.Context, view live.View) {
+// applyDecisions writes what Decide wants and takes over the result.
+func (k *Keeper) applyDecisions(ctx context.Context, view live.View) {
 	if !k.session.Valid(time.Now()) {
 		return
 	}
-	k.bury(ctx, view)
-	actions := Decide(Input{Self: k.id.Process, View: view, Locations: k.places(), Alive: k.observer.Alive, Renewing: k.observer.Renewing})
+	k.removeDeadInstances(ctx, view)
+	actions := Decide(Input{Self: k.id.Process, View: view, Locations: k.locations(), Alive: k.observer.Alive, Renewing: k.observer.Renewing})
 	if len(actions) == 0 {
 		return
 	}
@@ -37,18 +37,18 @@
 	err := k.table.Commit(ctx, tx)
 	switch {
 	case err == nil:
-		k.applyAll(actions, sentAt)
+		k.recordChanges(actions, sentAt)
 	case errors.Is(err, platform.ErrConflict):
 		k.log.Debug("shard_write_conflict")
 	default:
-		k.doubt(actions, sentAt)
+		k.handleUnconfirmedWrite(actions, sentAt)
 	}
 }
 
-// bury removes rows of processes that have been dead for so long that nobody
+// removeDeadInstances removes rows of processes that have been dead for so long that nobody
 // can still need them, if this process plans. Instances come and go under new
 // ids, and all rows are read in each poll.
-func (k *Keeper) bury(ctx context.Context, view live.View) {
+func (k *Keeper) removeDeadInstances(ctx context.Context, view live.View) {
 	if _, plans := k.held[live.PlannerShard]; !plans {
 		return
 	}
@@ -68,46 +68,46 @@
 	}
 }
 
-func (k *Keeper) applyAll(actions []Action, sentAt time.Time) {
+func (k *Keeper) recordChanges(actions []Action, sentAt time.Time) {
 	for _, a := range actions {
 		if a.Shard.Owner == k.id.Process {
 			k.take(a.Shard)
 		} else {
-			k.give(a.Shard.Name, sentAt)
+			k.markHandedOver(a.Shard.Name, sentAt)
 			k.offer(a.Shard)
 		}
 	}
 }
 
-// doubt handles a write whose answer was lost. A shard that it may have handed
+// handleUnconfirmedWrite handles a write whose answer was lost. A shard that it may have handed
 // over is treated as given from the moment the write was sent: the next owner
 // counts on this process stopping, also if the table answers no more.
-func (k *Keeper) doubt(actions []Action, sentAt time.Time) {
+func (k *Keeper) handleUnconfirmedWrite(actions []Action, sentAt time.Time) {
 	for _, a := range actions {
 		if a.Shard.Owner != k.id.Process {
-			k.give(a.Shard.Name, sentAt)
-			k.doubted[a.Shard.Name] = a.ExpectedVersion
+			k.markHandedOver(a.Shard.Name, sentAt)
+			k.unconfirmed[a.Shard.Name] = a.ExpectedVersion
 		}
 	}
 	k.log.WithField("shards", len(actions)).Warn("shard_write_in_doubt")
 }
 
-// adopt takes over rows that name this process as owner, also those that a
+// syncShards takes over rows that name this process as owner, also those that a
 // handing-over owner or a write with a lost answer left, and drops others.
-func (k *Keeper) adopt(view live.View) {
+func (k *Keeper) syncShards(view live.View) {
 	for name, row := range view.Shards {
 		held, ok := k.held[name]
 		switch {
 		case row.Owner != k.id.Process:
-			delete(k.doubted, name)
+			delete(k.unconfirmed, name)
 			if ok && held.Shard.Epoch < row.Epoch {
 				delete(k.held, name)
 				k.log.WithFields(shardFields(row)).Info("shard_dropped")
 			}
-		case k.doubted[name] == row.Version && row.Version != 0:
-			k.touch(row)
+		case k.unconfirmed[name] == row.Version && row.Version != 0:
+			k.bumpVersion(row)
 		case !ok || held.Shard.Epoch < row.Epoch:
-			delete(k.doubted, name)
+			delete(k.unconfirmed, name)
 			k.take(row)
 		default:
 			held.Shard = row
@@ -116,9 +116,9 @@
 	}
 }
 
-// touch rewrites a row as it is, so that a doubtful hand-over still on its
+// bumpVersion rewrites a row as it is, so that a doubtful hand-over still on its
 // way finds another version and cannot take effect any more.
-func (k *Keeper) touch(row live.Shard) {
+func (k *Keeper) bumpVersion(row live.Shard) {
 	ctx, cancel := context.WithTimeout(context.Background(), k.timing.Poll)
 	defer cancel()
 	if err := k.rewrite(ctx, row); err != nil {
@@ -128,17 +128,17 @@
 
 func (k *Keeper) take(row live.Shard) {
 	k.held[row.Name] = HeldShard{Shard: row, TakenAt: time.Now(), Fenced: map[live.Process]time.Time{}}
-	delete(k.given, row.Name)
+	delete(k.handedOver, row.Name)
 	k.log.WithFields(shardFields(row)).Info("shard_taken")
 }
 
-func (k *Keeper) give(name string, sentAt time.Time) {
+func (k *Keeper) markHandedOver(name string, sentAt time.Time) {
 	held, ok := k.held[name]
 	if !ok {
 		return
 	}
 	held.HandedOverAt = sentAt
-	k.given[name] = held
+	k.handedOver[name] = held
 	delete(k.held, name)
 	k.log.WithFields(shardFields(held.Shard)).Info("shard_handed_over")
 }
@@ -147,8 +147,8 @@
 	return logrus.Fields{"shard": row.Name, "epoch": row.Epoch, "owner": row.Owner.Instance}
 }
 
-// settle clears predecessors that have certainly stopped from the rows.
-func (k *Keeper) settle(ctx context.Context) {
+// clearPredecessors clears predecessors that have certainly stopped from the rows.
+func (k *Keeper) clearPredecessors(ctx context.Context) {
 	now := time.Now()
 	for name, held := range k.held {
 		if len(held.Shard.Predecessors) == 0 || held.Shard.Version == 0 || !held.PredecessorsGone(k.timing, now) {
@@ -180,13 +180,13 @@
 
 func (k *Keeper) publish() {
 	now := time.Now()
-	list := make([]HeldShard, 0, len(k.held)+len(k.given))
+	list := make([]HeldShard, 0, len(k.held)+len(k.handedOver))
 	for _, held := range k.held {
 		list = append(list, held)
 	}
-	for name, held := range k.given {
+	for name, held := range k.handedOver {
 		if now.Sub(held.HandedOverAt) >= k.timing.HandoverGrace {
-			delete(k.given, name)
+			delete(k.handedOver, name)
 			continue
 		}
 		list = append(list, held)
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -30,8 +30,8 @@
 }
 
 // NewServer returns the server of process me.
-func NewServer(me live.Process, hub *Hub, elector *membership.Elector, o *owner.Owner, p *planner.Planner, c *config.Current, k *ownership.Keeper) *Server {
-	return &Server{me: me, hub: hub, elector: elector, owner: o, planner: p, config: c, keeper: k}
+func NewServer(self live.Process, hub *Hub, elector *membership.Elector, o *owner.Owner, p *planner.Planner, c *config.Current, k *ownership.Keeper) *Server {
+	return &Server{me: self, hub: hub, elector: elector, owner: o, planner: p, config: c, keeper: k}
 }
 
 // Beat implements peerpb.Peer.
--- a/internal/planner/core.go
+++ b/internal/planner/core.go
@@ -21,8 +21,8 @@
 	runs    map[string]*entry
 	active  map[string]*entry
 	workers map[string]*workerView
-	// strays counts running attempts of a task that the books do not have.
-	strays map[taskKey]int
+	// orphanCounts counts running attempts of a task that the books do not have.
+	orphanCounts map[taskKey]int
 	// cluster is rebuilt when the set of workers or their state changes.
 	cluster      *cluster.Cluster
 	clusterStale bool
@@ -36,8 +36,8 @@
 	// outage says that nothing can be written at present.
 	outage bool
 	// claims keeps workers for urgent runs while victims make room.
-	claims map[string]claim
-	hold   reservation
+	claims      map[string]claim
+	reservation reservation
 
 	changed map[string]*entry
 	// decided are starts that have not gone into a batch; unwritten also holds
@@ -52,7 +52,7 @@
 func NewCore(runs []*run.Run, now time.Time) *Core {
 	c := &Core{
 		text: &spec.Text{}, runs: map[string]*entry{}, active: map[string]*entry{},
-		workers: map[string]*workerView{}, strays: map[taskKey]int{}, clusterStale: true,
+		workers: map[string]*workerView{}, orphanCounts: map[taskKey]int{}, clusterStale: true,
 		used: map[string]resource.Amount{}, history: map[string]*estimate.History{}, board: health.NewBoard(),
 		claims: map[string]claim{}, changed: map[string]*entry{}, unwritten: map[taskKey]int{}, outbox: newOutbox(),
 	}
@@ -66,32 +66,32 @@
 func (c *Core) load(r *run.Run, now time.Time) {
 	e := newEntry(r)
 	e.stored = run.Chunks(len(r.Tasks))
-	e.since = now
+	e.readySince = now
 	c.runs[r.ID] = e
 	if r.State.Final() {
 		return
 	}
-	e.old = true
+	e.inherited = true
 	c.active[r.ID] = e
 	for i := range r.Tasks {
 		if r.Tasks[i].State == run.TaskAssigned {
-			c.book(e, i)
+			c.recordAssignment(e, i)
 		}
 	}
 }
 
-// book enters an assigned task in the books of its worker and team.
-func (c *Core) book(e *entry, index int) {
+// recordAssignment enters an assigned task in the books of its worker and team.
+func (c *Core) recordAssignment(e *entry, index int) {
 	t := &e.run.Tasks[index]
-	v := c.view(t.Worker)
+	v := c.workerView(t.Worker)
 	v.tasks[taskKey{e.run.ID, index}] = true
 	c.used[e.run.Workload.Team] = c.used[e.run.Workload.Team].Add(t.Need)
 }
 
-// unbook removes a task that no longer uses its worker.
-func (c *Core) unbook(e *entry, index int) {
+// removeAssignment removes a task that no longer uses its worker.
+func (c *Core) removeAssignment(e *entry, index int) {
 	t := &e.run.Tasks[index]
-	v := c.view(t.Worker)
+	v := c.workerView(t.Worker)
 	key := taskKey{e.run.ID, index}
 	if !v.tasks[key] {
 		return
@@ -103,7 +103,7 @@
 	}
 }
 
-func (c *Core) view(id string) *workerView {
+func (c *Core) workerView(id string) *workerView {
 	v, ok := c.workers[id]
 	if !ok {
 		v = &workerView{tasks: map[taskKey]bool{}, orphans: map[worker.TaskRef]worker.TaskStatus{}}
@@ -121,14 +121,14 @@
 	return c.cluster.Find(id)
 }
 
-func (c *Core) touch(e *entry) { c.changed[e.run.ID] = e }
+func (c *Core) markChanged(e *entry) { c.changed[e.run.ID] = e }
 
-func (c *Core) touchTask(e *entry, index int) {
-	e.touchTask(index)
-	c.touch(e)
+func (c *Core) markTaskChanged(e *entry, index int) {
+	e.markTaskChanged(index)
+	c.markChanged(e)
 }
 
-func (c *Core) touchHead(e *entry) {
+func (c *Core) markHeadChanged(e *entry) {
 	e.head = true
-	c.touch(e)
+	c.markChanged(e)
 }
--- a/internal/planner/core_test.go
+++ b/internal/planner/core_test.go
@@ -59,7 +59,7 @@
 }
 
 // Failure: everything fails although one worker of four is bad.
-func TestFailingWorkerIsTakenOut(t *testing.T) {
+func TestFailingWorkerIsQuarantined(t *testing.T) {
 	text := teams
 	list := "batches:\n"
 	for k := range 4 {
@@ -88,8 +88,8 @@
 	}
 }
 
-// TestBadJobIsNotABadWorker: a job that fails everywhere takes no worker out.
-func TestBadJobIsNotABadWorker(t *testing.T) {
+// TestFailingJobQuarantinesNoWorker: a job that fails everywhere takes no worker out.
+func TestFailingJobQuarantinesNoWorker(t *testing.T) {
 	s := newSite(t, 3, fourCores, teams+work("batches", "bad", "a", 6, 1, "    retries: 3\n")+"  - name: good\n    team: a\n    tasks: 12\n    resources: {cpu: 1, memory: 1GiB}\n    start: on-submit\n")
 	for range 400 {
 		s.step()
@@ -102,7 +102,7 @@
 }
 
 // Failure: a letter is sent twice, or its run is called a failure that did not happen.
-func TestUnrepeatableEndsHonestly(t *testing.T) {
+func TestNonIdempotentTaskIsNotRetried(t *testing.T) {
 	s := newSite(t, 2, fourCores, teams+work("batches", "letters", "a", 2, 4, "    idempotent: false\n    retries: 5\n"))
 	s.steps(2)
 	s.report("w0", fleet.Lost)
@@ -135,9 +135,9 @@
 	s.expectRunning("second", 1)
 }
 
-// TestOutgrownTask: a task that uses more memory than it was given is moved and
+// TestMemoryOveruse: a task that uses more memory than it was given is moved and
 // gets its true size; one that must not be repeated is throttled and left.
-func TestOutgrownTask(t *testing.T) {
+func TestMemoryOveruse(t *testing.T) {
 	s := newSite(t, 2, fourCores, teams+work("batches", "grows", "a", 1, 1, ""))
 	s.steps(2)
 	for id, tasks := range s.tasks {
@@ -179,9 +179,9 @@
 	}
 }
 
-// TestTextIsPlannedOnce: the same text, planned again by another planner,
+// TestConfigIsAppliedOnce: the same text, planned again by another planner,
 // starts nothing twice; an old text changes nothing.
-func TestTextIsPlannedOnce(t *testing.T) {
+func TestConfigIsAppliedOnce(t *testing.T) {
 	text := teams + work("batches", "once", "a", 2, 1, "")
 	s := newSite(t, 2, fourCores, text)
 	s.steps(2)
@@ -222,7 +222,7 @@
 }
 
 // Failure: tasks of a restarted worker start a second time while they run.
-func TestOvertakenReportIsDropped(t *testing.T) {
+func TestOutdatedReportIsDropped(t *testing.T) {
 	s := newSite(t, 1, fourCores, teams+work("batches", "plain", "a", 2, 1, ""))
 	s.steps(3)
 	old := s.sequence
--- a/internal/planner/decide.go
+++ b/internal/planner/decide.go
@@ -6,9 +6,9 @@
 
 // The bounds of one cycle.
 const (
-	// cyclePlacements bounds the tasks placed in one Decide, so that reports
+	// maxPlacementsPerCycle bounds the tasks placed in one Decide, so that reports
 	// and cancellations are never kept waiting for long.
-	cyclePlacements = 1000
+	maxPlacementsPerCycle = 1000
 	// quantum is how many tasks of a run are placed before the next run's
 	// turn, so that teams share fairly within a cycle.
 	quantum = 16
@@ -25,26 +25,26 @@
 func (c *Core) Decide(now time.Time, outage bool) bool {
 	c.outage = outage
 	for _, e := range c.active {
-		c.roll(e)
+		c.rollingUpdate(e)
 	}
-	c.reopen(now)
-	if c.settling(now) {
+	c.endQuarantines(now)
+	if c.waitingForReports(now) {
 		return false
 	}
 	cl := c.snapshot(now)
-	items := c.gather(now)
+	items := c.gatherReady(now)
 	if len(items) == 0 {
-		c.hold = reservation{}
+		c.reservation = reservation{}
 		return false
 	}
-	c.holdRoom(cl, items, now)
+	c.updateReservation(cl, items, now)
 	placed := c.placeAll(cl, items, now)
-	c.makeRoom(cl, items, now)
-	return placed >= cyclePlacements
+	c.preemptForUrgent(cl, items, now)
+	return placed >= maxPlacementsPerCycle
 }
 
-// reopen puts workers back whose quarantine has ended.
-func (c *Core) reopen(now time.Time) {
+// endQuarantines puts workers back whose quarantine has ended.
+func (c *Core) endQuarantines(now time.Time) {
 	if c.clusterStale || c.cluster == nil {
 		return
 	}
--- a/internal/planner/end.go
+++ b/internal/planner/end.go
@@ -8,14 +8,14 @@
 	"gentianstand/internal/worker"
 )
 
-// end ends a run: what is pending is cancelled, what runs is stopped.
-func (c *Core) end(e *entry, by string, now time.Time) {
+// endRun ends a run: what is pending is cancelled, what runs is stopped.
+func (c *Core) endRun(e *entry, by string, now time.Time) {
 	if e.run.State == run.Stopping {
 		return
 	}
 	e.run.State, e.run.CancelledBy = run.Stopping, by
 	delete(c.claims, e.run.ID)
-	c.touchHead(e)
+	c.markHeadChanged(e)
 	action := worker.Kill
 	if e.run.Workload.Kind == spec.Service {
 		action = worker.Drain
@@ -28,7 +28,7 @@
 			c.stopTask(e, i, action)
 		}
 	}
-	c.settle(e, now)
+	c.updateRunState(e, now)
 }
 
 // cancelPending ends a task that waits. While the planner recovers, an attempt
--- a/internal/planner/entry.go
+++ b/internal/planner/entry.go
@@ -19,14 +19,14 @@
 	stored int
 	// pending counts tasks that wait for a worker.
 	pending int
-	// old says that an earlier planner may have started tasks of the run
+	// inherited says that an earlier planner may have started tasks of the run
 	// unwritten in an outage; pending ones wait for recovery.
-	old bool
-	// since is when the run's work became ready; reason why it waits.
-	since  time.Time
-	reason string
-	// never says that no worker could hold the run, as of fleetVersion.
-	never        bool
+	inherited bool
+	// readySince is when the run's work became ready; reason why it waits.
+	readySince time.Time
+	reason     string
+	// infeasible says that no worker could hold the run, as of fleetVersion.
+	infeasible   bool
 	fleetVersion int
 	// writing says that rows of the run are being written; acks wait for that.
 	writing bool
@@ -59,9 +59,9 @@
 	return e.run.Workload.Kind == spec.Service || e.run.Workload.Idempotent
 }
 
-func (e *entry) touchTask(index int) { e.chunks[index/run.ChunkSize] = true }
+func (e *entry) markTaskChanged(index int) { e.chunks[index/run.ChunkSize] = true }
 
-func (e *entry) touchAll() {
+func (e *entry) markAllChanged() {
 	e.head = true
 	for c := range run.Chunks(len(e.run.Tasks)) {
 		e.chunks[c] = true
@@ -75,12 +75,12 @@
 func (c *Core) need(e *entry) resource.Amount {
 	declared := e.run.Workload.Need
 	if h, ok := c.history[e.run.Workload.Name]; ok {
-		if peak, trust := h.Peak(declared); trust >= sizeTrust {
+		if peak, trust := h.Peak(declared); trust >= minSizeConfidence {
 			return declared.Max(peak)
 		}
 	}
 	return declared
 }
 
-// sizeTrust is how far history must be trusted before it enlarges a task.
-const sizeTrust = 0.5
+// minSizeConfidence is how far history must be trusted before it enlarges a task.
+const minSizeConfidence = 0.5
--- a/internal/planner/fleet.go
+++ b/internal/planner/fleet.go
@@ -21,7 +21,7 @@
 	sortNodes(nodes)
 	c.cluster = cluster.New(nodes)
 	for i := range nodes {
-		c.loadBooks(i, c.workers[nodes[i].ID])
+		c.allocateAssigned(i, c.workers[nodes[i].ID])
 	}
 	c.cluster.Reindex()
 	c.clusterStale = false
@@ -37,8 +37,8 @@
 	}
 }
 
-// loadBooks takes what the books and orphans use on a worker.
-func (c *Core) loadBooks(i int, v *workerView) {
+// allocateAssigned takes what the books and orphans use on a worker.
+func (c *Core) allocateAssigned(i int, v *workerView) {
 	for key := range v.tasks {
 		e := c.runs[key.run]
 		c.cluster.AllocateUnindexed(i, e.run.Workload.Name, e.run.Tasks[key.index].Need)
--- a/internal/planner/outbox.go
+++ b/internal/planner/outbox.go
@@ -53,7 +53,7 @@
 	list := make([]fleet.Assignment, 0, len(c.outbox.byWorker))
 	for _, id := range sortedKeys(c.outbox.byWorker) {
 		a := c.outbox.byWorker[id]
-		a.Epoch = c.view(id).report.Epoch
+		a.Epoch = c.workerView(id).report.Epoch
 		list = append(list, *a)
 	}
 	c.outbox = newOutbox()
@@ -95,7 +95,7 @@
 	}
 	w := e.run.Workload
 	t := &e.run.Tasks[key.index]
-	if t.State != run.TaskAssigned || !c.view(t.Worker).tasks[key] || t.Stopping {
+	if t.State != run.TaskAssigned || !c.workerView(t.Worker).tasks[key] || t.Stopping {
 		return
 	}
 	c.outbox.start(t.Worker, t.Boot, worker.TaskStart{
--- a/internal/planner/persist.go
+++ b/internal/planner/persist.go
@@ -108,16 +108,16 @@
 // Committed notes that a batch has been written: its starts may leave, and
 // workers may forget what it holds.
 func (c *Core) Committed(b *Batch) {
-	c.written(b)
-	c.release(b.starts)
+	c.clearWriting(b)
+	c.releaseStarts(b.starts)
 	for _, id := range b.removed {
 		c.Forget(id)
 	}
 	for _, a := range b.acks {
 		c.outbox.ack(a.worker, a.boot, a.ref)
 	}
-	for _, tell := range b.waiters {
-		tell(nil)
+	for _, notify := range b.waiters {
+		notify(nil)
 	}
 }
 
@@ -126,21 +126,21 @@
 // whoever does later accounts for the workers first. Who waits to hear that
 // something new is kept is told that it is not known.
 func (c *Core) CommitFailed(b *Batch, outage bool, err error) {
-	c.written(b)
+	c.clearWriting(b)
 	for _, id := range b.runs {
 		if e, ok := c.runs[id]; ok {
 			if !e.removed {
-				e.touchAll()
+				e.markAllChanged()
 			}
-			c.touch(e)
+			c.markChanged(e)
 		}
 	}
 	for _, a := range b.acks {
 		e := c.runs[a.ref.Run]
 		e.acks = append(e.acks, a)
 	}
-	for _, tell := range b.waiters {
-		tell(err)
+	for _, notify := range b.waiters {
+		notify(err)
 	}
 	c.decided = append(b.starts, c.decided...)
 	if outage {
@@ -148,7 +148,7 @@
 	}
 }
 
-func (c *Core) written(b *Batch) {
+func (c *Core) clearWriting(b *Batch) {
 	for _, id := range b.runs {
 		if e, ok := c.runs[id]; ok {
 			e.writing = false
@@ -156,9 +156,9 @@
 	}
 }
 
-// release lets starts leave. A start whose task has moved on to another
+// releaseStarts lets starts leave. A start whose task has moved on to another
 // attempt since stays: the row of that attempt has not been written yet.
-func (c *Core) release(starts []start) {
+func (c *Core) releaseStarts(starts []start) {
 	for _, s := range starts {
 		if c.unwritten[s.task] == s.attempt {
 			delete(c.unwritten, s.task)
@@ -178,7 +178,7 @@
 			kept = append(kept, s)
 			continue
 		}
-		c.release([]start{s})
+		c.releaseStarts([]start{s})
 	}
 	c.decided = kept
 }
--- a/internal/planner/place.go
+++ b/internal/planner/place.go
@@ -24,7 +24,7 @@
 // placed.
 func (c *Core) placeAll(cl *cluster.Cluster, items []order.Item, now time.Time) int {
 	placed := 0
-	for len(items) > 0 && placed < cyclePlacements {
+	for len(items) > 0 && placed < maxPlacementsPerCycle {
 		order.Sort(items, c.shares(), c.total(), now)
 		var more []order.Item
 		for _, item := range items {
@@ -53,9 +53,9 @@
 	if e.run.Workload.Kind == spec.Job {
 		return c.placeGang(cl, e, now), false
 	}
-	within := !c.overQuota(e)
+	withinQuotaAtStart := !c.overQuota(e)
 	for placed < quantum {
-		if within && c.overQuota(e) {
+		if withinQuotaAtStart && c.overQuota(e) {
 			// The team borrows from here on: others may come before it now.
 			return placed, true
 		}
@@ -114,7 +114,7 @@
 func (c *Core) request(e *entry, now time.Time, tasks int) policy.Request {
 	w := e.run.Workload
 	req := policy.Request{Workload: w.Name, Need: c.need(e), Tasks: tasks, Spread: w.Spread}
-	req.Long = c.hold.run != "" && c.hold.run != e.run.ID && !c.endsBefore(e, now, c.hold.at)
+	req.Long = c.reservation.run != "" && c.reservation.run != e.run.ID && !c.endsBefore(e, now, c.reservation.at)
 	req.Avoid = c.avoid(e)
 	return req
 }
@@ -144,12 +144,12 @@
 	t.Stopping, t.Seen = false, false
 	e.pending--
 	e.reason = ""
-	c.book(e, index)
+	c.recordAssignment(e, index)
 	cl.Allocate(node, e.run.Workload.Name, t.Need)
 	key := taskKey{e.run.ID, index}
 	c.decided = append(c.decided, start{key, t.Attempt})
 	c.unwritten[key] = t.Attempt
 	c.setRunning(e)
-	c.touchTask(e, index)
+	c.markTaskChanged(e, index)
 	delete(c.claims, e.run.ID)
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -23,7 +23,7 @@
 	objects platform.Objects
 	owners  Owners
 	rights  Rights
-	around  Environment
+	env     Environment
 	log     *logrus.Entry
 	metrics plannerMetrics
 
@@ -35,7 +35,7 @@
 
 // New returns a Planner that is not in office.
 func New(table platform.Table, objects platform.Objects, owners Owners, rights Rights, around Environment, set *metrics.Set, log *logrus.Entry) *Planner {
-	p := &Planner{table: table, objects: objects, owners: owners, rights: rights, around: around, log: log, metrics: newPlannerMetrics(set)}
+	p := &Planner{table: table, objects: objects, owners: owners, rights: rights, env: around, log: log, metrics: newPlannerMetrics(set)}
 	set.NewGauge("gentianstand_planner", func() float64 { return float64(p.Epoch()) })
 	return p
 }
--- a/internal/planner/ready.go
+++ b/internal/planner/ready.go
@@ -10,9 +10,9 @@
 	"gentianstand/internal/spec"
 )
 
-// gather returns the runs with tasks that may start now, and notes why the
+// gatherReady returns the runs with tasks that may start now, and notes why the
 // others wait.
-func (c *Core) gather(now time.Time) []order.Item {
+func (c *Core) gatherReady(now time.Time) []order.Item {
 	var items []order.Item
 	for _, id := range sortedKeys(c.active) {
 		e := c.active[id]
@@ -30,7 +30,7 @@
 
 func (c *Core) item(e *entry) order.Item {
 	w := e.run.Workload
-	item := order.Item{Run: e.run.ID, Team: w.Team, Rank: w.Urgency.Rank(), ReadySince: e.since, Service: w.Kind == spec.Service, Gang: w.Kind == spec.Job}
+	item := order.Item{Run: e.run.ID, Team: w.Team, Rank: w.Urgency.Rank(), ReadySince: e.readySince, Service: w.Kind == spec.Service, Gang: w.Kind == spec.Job}
 	if w.Deadline > 0 && w.Kind != spec.Service {
 		item.LatestStart = e.run.SubmittedAt.Add(w.Deadline).Add(-c.expectedRunTime(e))
 	}
@@ -39,7 +39,7 @@
 
 func (c *Core) mayStart(e *entry, now time.Time) (string, bool) {
 	switch {
-	case e.old && !c.recovery.done:
+	case e.inherited && !c.recovery.done:
 		return string(policy.Recovering), false
 	case c.neverFits(e):
 		return e.reason, false
@@ -47,7 +47,7 @@
 		return string(policy.WaitsForDependency), false
 	case c.outage && !e.repeatable():
 		return string(policy.WaitsForTable), false
-	case !c.gangWhole(e):
+	case !c.gangStopped(e):
 		return "waits_for_all_tasks_to_stop", false
 	case c.nextReady(e, now) < 0 || e.run.Workload.Kind == spec.Job && !c.allReady(e, now):
 		return string(policy.BackingOff), false
@@ -59,7 +59,7 @@
 // again only when the fleet changes, and blocks nobody meanwhile.
 func (c *Core) neverFits(e *entry) bool {
 	if e.fleetVersion == c.fleetVersion && e.fleetVersion > 0 {
-		return e.never
+		return e.infeasible
 	}
 	e.fleetVersion = c.fleetVersion
 	why, never := "", false
@@ -68,10 +68,10 @@
 	} else {
 		why, never = explain.NeverFits(c.cluster, c.need(e))
 	}
-	if never && !e.never {
+	if never && !e.infeasible {
 		c.event("run_can_never_start", e.run.ID, 0, "", why)
 	}
-	e.never = never
+	e.infeasible = never
 	if never {
 		e.reason = why
 	}
@@ -93,7 +93,7 @@
 func (c *Core) ready(w spec.Workload) bool {
 	if w.Kind == spec.Service {
 		e, ok := c.active[run.ServiceID(w.Name)]
-		return ok && e.anySeen()
+		return ok && e.anyRunning()
 	}
 	if w.Start == spec.StartOnApply {
 		e, ok := c.runs[run.AppliedID(w)]
@@ -107,7 +107,7 @@
 	return false
 }
 
-func (e *entry) anySeen() bool {
+func (e *entry) anyRunning() bool {
 	for i := range e.run.Tasks {
 		if t := &e.run.Tasks[i]; t.State == run.TaskAssigned && t.Seen && !t.Stopping {
 			return true
@@ -116,8 +116,8 @@
 	return false
 }
 
-// gangWhole reports whether a gang has no task left running from before.
-func (c *Core) gangWhole(e *entry) bool {
+// gangStopped reports whether a gang has no task left running from before.
+func (c *Core) gangStopped(e *entry) bool {
 	return e.run.Workload.Kind != spec.Job || e.pending == len(e.run.Tasks)
 }
 
@@ -126,7 +126,7 @@
 func (c *Core) nextReady(e *entry, now time.Time) int {
 	for i := range e.run.Tasks {
 		t := &e.run.Tasks[i]
-		if t.State == run.TaskPending && !now.Before(t.NotBefore) && c.strays[taskKey{e.run.ID, i}] <= 0 {
+		if t.State == run.TaskPending && !now.Before(t.NotBefore) && c.orphanCounts[taskKey{e.run.ID, i}] <= 0 {
 			return i
 		}
 	}
@@ -136,7 +136,7 @@
 // allReady reports whether every task of a gang may start.
 func (c *Core) allReady(e *entry, now time.Time) bool {
 	for i := range e.run.Tasks {
-		if now.Before(e.run.Tasks[i].NotBefore) || c.strays[taskKey{e.run.ID, i}] > 0 {
+		if now.Before(e.run.Tasks[i].NotBefore) || c.orphanCounts[taskKey{e.run.ID, i}] > 0 {
 			return false
 		}
 	}
--- a/internal/planner/recovery.go
+++ b/internal/planner/recovery.go
@@ -48,18 +48,18 @@
 	}
 	c.recovery.done = true
 	for _, e := range c.active {
-		e.old = false
+		e.inherited = false
 	}
 	c.event("planner_recovered", "", 0, "", "")
 }
 
-// settleTime is how long a new planner waits for workers to be reported before
+// reportWait is how long a new planner waits for workers to be reported before
 // it places anything. What it placed on the first few would stand too close.
-const settleTime = 2 * time.Second
+const reportWait = 2 * time.Second
 
-// settling reports whether it is too early to place anything.
-func (c *Core) settling(now time.Time) bool {
-	return !c.recovery.done && now.Sub(c.recovery.since) < settleTime
+// waitingForReports reports whether it is too early to place anything.
+func (c *Core) waitingForReports(now time.Time) bool {
+	return !c.recovery.done && now.Sub(c.recovery.since) < reportWait
 }
 
 // Recovered reports whether the recovery is over.
--- a/internal/planner/report.go
+++ b/internal/planner/report.go
@@ -13,7 +13,7 @@
 // seen before comes from an owner that was overtaken, one of a lower sequence
 // was overtaken on its way; both are dropped.
 func (c *Core) Report(r fleet.Report, now time.Time) {
-	v := c.view(r.Worker)
+	v := c.workerView(r.Worker)
 	if r.Epoch < v.report.Epoch || (r.Epoch == v.report.Epoch && r.Sequence < v.report.Sequence) {
 		return
 	}
@@ -27,47 +27,47 @@
 	c.forgetOrphans(v)
 	for _, status := range r.Tasks {
 		reported[status.Ref] = true
-		c.status(v, status, now)
+		c.handleStatus(v, status, now)
 	}
-	c.missing(v, reported, now)
+	c.handleMissing(v, reported, now)
 	if r.Draining {
-		c.drain(v)
+		c.drainWorker(v)
 	}
 }
 
 func (c *Core) forgetOrphans(v *workerView) {
 	for ref, status := range v.orphans {
 		delete(v.orphans, ref)
-		c.strays[taskKey{ref.Run, ref.Index}]--
+		c.orphanCounts[taskKey{ref.Run, ref.Index}]--
 		if i, ok := c.findNode(v.report.Worker); ok {
 			c.cluster.Release(i, status.Workload, status.Need)
 		}
 	}
 }
 
-// status takes in what a worker says of one attempt.
-func (c *Core) status(v *workerView, status worker.TaskStatus, now time.Time) {
+// handleStatus takes in what a worker says of one attempt.
+func (c *Core) handleStatus(v *workerView, status worker.TaskStatus, now time.Time) {
 	key := taskKey{status.Ref.Run, status.Ref.Index}
 	e, known := c.active[key.run]
 	if !known || key.index >= len(e.run.Tasks) {
-		c.stray(v, status)
+		c.handleOrphan(v, status)
 		return
 	}
 	t := &e.run.Tasks[key.index]
 	if c.startedInOutage(t, status) {
-		c.adopt(e, key.index, v, status, now)
+		c.adoptAttempt(e, key.index, v, status, now)
 	}
 	if t.Attempt != status.Ref.Attempt || t.State != run.TaskAssigned || t.Worker != v.report.Worker {
-		c.stray(v, status)
+		c.handleOrphan(v, status)
 		return
 	}
 	t.Seen = true
 	if status.State == worker.Running {
-		c.running(e, key.index, status, now)
+		c.handleRunning(e, key.index, status, now)
 		return
 	}
 	e.acks = append(e.acks, ack{worker: t.Worker, boot: t.Boot, ref: status.Ref})
-	c.ended(e, key.index, status, now)
+	c.attemptEnded(e, key.index, status, now)
 }
 
 // startedInOutage tells an attempt that an earlier planner started without
@@ -77,33 +77,33 @@
 	return !t.State.Final() && status.Ref.Attempt > t.Attempt && status.State != worker.Refused
 }
 
-func (c *Core) adopt(e *entry, index int, v *workerView, status worker.TaskStatus, now time.Time) {
+func (c *Core) adoptAttempt(e *entry, index int, v *workerView, status worker.TaskStatus, now time.Time) {
 	t := &e.run.Tasks[index]
 	if t.State == run.TaskAssigned {
-		c.unbook(e, index)
+		c.removeAssignment(e, index)
 	} else {
 		e.pending--
 	}
 	t.State, t.Attempt, t.Worker, t.Boot, t.Need = run.TaskAssigned, status.Ref.Attempt, v.report.Worker, v.report.Boot, status.Need
 	t.Definition, t.StartedAt = e.run.Definition, now
-	c.book(e, index)
+	c.recordAssignment(e, index)
 	if i, ok := c.findNode(t.Worker); ok {
 		c.cluster.Allocate(i, e.run.Workload.Name, t.Need)
 	}
 	c.setRunning(e)
-	c.touchTask(e, index)
+	c.markTaskChanged(e, index)
 	c.event("task_adopted", e.run.ID, index, t.Worker, "")
 }
 
-// stray handles an attempt that the books do not have: it is stopped if it
+// handleOrphan handles an attempt that the books do not have: it is stopped if it
 // runs, and may be forgotten if it has ended.
-func (c *Core) stray(v *workerView, status worker.TaskStatus) {
+func (c *Core) handleOrphan(v *workerView, status worker.TaskStatus) {
 	if status.State != worker.Running {
-		c.ackStray(v, status.Ref)
+		c.ackOrphan(v, status.Ref)
 		return
 	}
 	v.orphans[status.Ref] = status
-	c.strays[taskKey{status.Ref.Run, status.Ref.Index}]++
+	c.orphanCounts[taskKey{status.Ref.Run, status.Ref.Index}]++
 	if i, ok := c.findNode(v.report.Worker); ok {
 		c.cluster.Allocate(i, status.Workload, status.Need)
 	}
@@ -111,19 +111,19 @@
 	c.event("task_stray", status.Ref.Run, status.Ref.Index, v.report.Worker, "")
 }
 
-func (c *Core) running(e *entry, index int, status worker.TaskStatus, now time.Time) {
+func (c *Core) handleRunning(e *entry, index int, status worker.TaskStatus, now time.Time) {
 	t := &e.run.Tasks[index]
 	if t.StartedAt.IsZero() {
 		t.StartedAt = now
 	}
 	if !status.Used.Fits(t.Need) {
-		c.outgrown(e, index, status)
+		c.handleOveruse(e, index, status)
 	}
 }
 
-// missing handles booked attempts that a report does not hold: they have not
+// handleMissing handles booked attempts that a report does not hold: they have not
 // arrived yet, or went with the worker's process.
-func (c *Core) missing(v *workerView, reported map[worker.TaskRef]bool, now time.Time) {
+func (c *Core) handleMissing(v *workerView, reported map[worker.TaskRef]bool, now time.Time) {
 	for key := range v.tasks {
 		e := c.runs[key.run]
 		t := &e.run.Tasks[key.index]
@@ -132,10 +132,10 @@
 		}
 		switch {
 		case v.report.State == fleet.Lost:
-			c.vanished(e, key.index, "the worker was lost", now)
+			c.attemptLost(e, key.index, "the worker was lost", now)
 		case v.report.State != fleet.Ready:
 		case t.Boot != v.report.Boot:
-			c.restarted(e, key.index, now)
+			c.handleWorkerRestart(e, key.index, now)
 		case c.unwritten[key] != t.Attempt:
 			c.sendStart(key)
 			if t.Stopping {
@@ -145,18 +145,18 @@
 	}
 }
 
-// ackStray lets a worker forget an ended attempt, unless what is known of its
+// ackOrphan lets a worker forget an ended attempt, unless what is known of its
 // run has not been written yet: the worker is then the only one to remember.
-func (c *Core) ackStray(v *workerView, ref worker.TaskRef) {
+func (c *Core) ackOrphan(v *workerView, ref worker.TaskRef) {
 	if e, ok := c.runs[ref.Run]; ok && (e.dirty() || e.writing) {
 		return
 	}
 	c.outbox.ack(v.report.Worker, v.report.Boot, ref)
 }
 
-// drain ends what can be moved from a worker that is to stop. Tasks that must
+// drainWorker ends what can be moved from a worker that is to stop. Tasks that must
 // not be repeated are left to finish.
-func (c *Core) drain(v *workerView) {
+func (c *Core) drainWorker(v *workerView) {
 	for key := range v.tasks {
 		e := c.runs[key.run]
 		if e.run.Tasks[key.index].Stopping {
--- a/internal/planner/reserve.go
+++ b/internal/planner/reserve.go
@@ -30,9 +30,9 @@
 // The bounds of reservations.
 const (
 	reservationPeriod = time.Second
-	// patience is how long a gang waits before room is held for it. Holding
+	// gangReservationDelay is how long a gang waits before room is held for it. Holding
 	// costs packing, and most gangs fit soon without.
-	patience = time.Minute
+	gangReservationDelay = time.Minute
 	// unknownRunTime is assumed of tasks that declare none.
 	unknownRunTime = time.Hour
 )
@@ -44,23 +44,23 @@
 	need resource.Amount
 }
 
-// holdRoom keeps the reservation of the first gang in order up to date.
-func (c *Core) holdRoom(cl *cluster.Cluster, items []order.Item, now time.Time) {
+// updateReservation keeps the reservation of the first gang in order up to date.
+func (c *Core) updateReservation(cl *cluster.Cluster, items []order.Item, now time.Time) {
 	first := c.firstGang(items, now)
 	if first == nil {
-		c.clearHold(cl)
+		c.clearReservation(cl)
 		return
 	}
-	fresh := c.hold.run == first.run.ID && c.hold.fleet == c.fleetVersion && now.Sub(c.hold.madeAt) < reservationPeriod
+	fresh := c.reservation.run == first.run.ID && c.reservation.fleet == c.fleetVersion && now.Sub(c.reservation.madeAt) < reservationPeriod
 	if fresh {
 		return
 	}
-	c.clearHold(cl)
+	c.clearReservation(cl)
 	c.reserve(cl, first, now)
 }
 
 func (c *Core) firstGang(items []order.Item, now time.Time) *entry {
-	gangs := slices.DeleteFunc(slices.Clone(items), func(i order.Item) bool { return !i.Gang || now.Sub(i.ReadySince) < patience })
+	gangs := slices.DeleteFunc(slices.Clone(items), func(i order.Item) bool { return !i.Gang || now.Sub(i.ReadySince) < gangReservationDelay })
 	if len(gangs) == 0 {
 		return nil
 	}
@@ -68,11 +68,11 @@
 	return c.active[gangs[0].Run]
 }
 
-func (c *Core) clearHold(cl *cluster.Cluster) {
-	if c.hold.run == "" {
+func (c *Core) clearReservation(cl *cluster.Cluster) {
+	if c.reservation.run == "" {
 		return
 	}
-	c.hold = reservation{}
+	c.reservation = reservation{}
 	for i := range cl.Len() {
 		cl.SetFreeForLong(i, cl.Node(i).Free)
 	}
@@ -100,7 +100,7 @@
 	if seats < int64(len(e.run.Tasks)) {
 		return
 	}
-	c.hold = reservation{run: e.run.ID, at: at, madeAt: now, fleet: c.fleetVersion}
+	c.reservation = reservation{run: e.run.ID, at: at, madeAt: now, fleet: c.fleetVersion}
 	for i, n := range placeOn(cl, free, need, len(e.run.Tasks)) {
 		cl.SetFreeForLong(i, free[i].Sub(need.Times(n)))
 	}
--- a/internal/planner/restarts.go
+++ b/internal/planner/restarts.go
@@ -8,33 +8,33 @@
 )
 
 const (
-	// mostRestarts is under how many workers in a row that restarted a task is given up:
+	// maxRestarts is under how many workers in a row that restarted a task is given up:
 	// two may be bad luck.
-	mostRestarts = 3
-	// startingFor is how long a task must have run for the restart of its worker to have
+	maxRestarts = 3
+	// startupPeriod is how long a task must have run for the restart of its worker to have
 	// another cause. Owners report every second or two.
-	startingFor = 10 * time.Second
+	startupPeriod = 10 * time.Second
 )
 
-// restarted handles an attempt that went with its worker's process. The task may be what
+// handleWorkerRestart handles an attempt that went with its worker's process. The task may be what
 // crashes its workers, so such restarts are counted with it; it waits before it starts
 // again, and unless it is a service it is given up.
-func (c *Core) restarted(e *entry, index int, now time.Time) {
+func (c *Core) handleWorkerRestart(e *entry, index int, now time.Time) {
 	t := &e.run.Tasks[index]
-	if !t.StartedAt.IsZero() && now.Sub(t.StartedAt) >= startingFor {
+	if !t.StartedAt.IsZero() && now.Sub(t.StartedAt) >= startupPeriod {
 		t.Restarts = 0
 	} else {
 		t.Restarts++
 	}
 	if t.Restarts > 1 {
-		t.NotBefore = now.Add(retryWait(t.Restarts - 1))
+		t.NotBefore = now.Add(retryDelay(t.Restarts - 1))
 	}
-	if t.Restarts < mostRestarts || !e.repeatable() || e.run.Workload.Kind == spec.Service {
-		c.vanished(e, index, "the worker restarted", now)
+	if t.Restarts < maxRestarts || !e.repeatable() || e.run.Workload.Kind == spec.Service {
+		c.attemptLost(e, index, "the worker restarted", now)
 		return
 	}
-	c.unbook(e, index)
+	c.removeAssignment(e, index)
 	t.EndedAt, t.Reason = now, "its workers restarted when it started"
 	c.finishTask(e, index, run.TaskFailed)
-	c.settle(e, now)
+	c.updateRunState(e, now)
 }
--- a/internal/planner/restarts_test.go
+++ b/internal/planner/restarts_test.go
@@ -28,7 +28,7 @@
 }
 
 // Failure: a task that restarts its workers is started again at once, without a limit.
-func TestATaskThatRestartsItsWorkersIsGivenUp(t *testing.T) {
+func TestTaskThatRestartsItsWorkersFails(t *testing.T) {
 	s := newSite(t, 4, fourCores, teams+work("batches", "bad", "a", 1, 1, "    retries: 5\n"))
 	restarts := 0
 	for range 600 {
@@ -43,7 +43,7 @@
 
 // A service is never given up, so one that restarts its workers is started with longer and
 // longer waits between, up to a minute: at most seven times in the first minute.
-func TestAServiceThatRestartsItsWorkersWaits(t *testing.T) {
+func TestServiceThatRestartsItsWorkersBacksOff(t *testing.T) {
 	s := newSite(t, 4, fourCores, teams+"services:\n  - name: bad\n    team: a\n    resources: {cpu: 1, memory: 1GiB}\n")
 	restarts := 0
 	for range 600 {
@@ -57,7 +57,7 @@
 
 // A worker restarts under tasks that have worked there for a while, three times in a row
 // on different workers: they are not at fault, and the batch is done in the end.
-func TestTasksThatWorkedAreVictimsOfARestart(t *testing.T) {
+func TestRestartAfterStartupIsNotCounted(t *testing.T) {
 	s := newSite(t, 4, fourCores, teams+work("batches", "good", "a", 2, 1, "    retries: 0\n"))
 	for range 4 {
 		s.steps(150)
--- a/internal/planner/sequence.go
+++ b/internal/planner/sequence.go
@@ -14,8 +14,8 @@
 // sequenceKey is the row that every write of a planner moves on.
 const sequenceKey = "planner/sequence"
 
-// errOvertaken says that a later planner writes now.
-var errOvertaken = errors.New("a later planner has taken over")
+// errSuperseded says that a later planner writes now.
+var errSuperseded = errors.New("a later planner has taken over")
 
 // sequence orders the writes of planners. Each write checks and replaces one
 // row. A write that is late on the wire, of this planner or of one before,
@@ -25,8 +25,8 @@
 	table   platform.Table
 	epoch   uint64
 	version uint64
-	// doubtful says that a write got no answer, so version may be old.
-	doubtful bool
+	// unconfirmed says that a write got no answer, so version may be old.
+	unconfirmed bool
 }
 
 // open fences all earlier planners. It must succeed before runs are read. The
@@ -43,7 +43,7 @@
 		return err
 	}
 	if shard.Epoch != epoch {
-		return errOvertaken
+		return errSuperseded
 	}
 	last, err := s.table.Get(ctx, sequenceKey)
 	if err != nil {
@@ -60,7 +60,7 @@
 // commit writes rows. It returns errOvertaken if a later planner has opened
 // the sequence, and wraps platform.ErrUnavailable if the result is not known.
 func (s *sequence) commit(ctx context.Context, puts []platform.Put, deletes []string) error {
-	if s.doubtful {
+	if s.unconfirmed {
 		if err := s.refresh(ctx); err != nil {
 			return err
 		}
@@ -68,7 +68,7 @@
 	tx := s.transaction(s.version)
 	tx.Puts = append(tx.Puts, puts...)
 	tx.Deletes = deletes
-	s.doubtful = true
+	s.unconfirmed = true
 	err := s.table.Commit(ctx, tx)
 	if errors.Is(err, platform.ErrConflict) {
 		if err := s.refresh(ctx); err != nil {
@@ -102,9 +102,9 @@
 		return err
 	}
 	if value.Epoch > s.epoch {
-		return errOvertaken
+		return errSuperseded
 	}
-	s.version, s.doubtful = row.Version, false
+	s.version, s.unconfirmed = row.Version, false
 	return nil
 }
 
--- a/internal/planner/sequence_test.go
+++ b/internal/planner/sequence_test.go
@@ -78,7 +78,7 @@
 }
 
 // Failure: two planners write runs.
-func TestOvertakenPlannerCannotWrite(t *testing.T) {
+func TestSupersededPlannerCannotWrite(t *testing.T) {
 	ctx := context.Background()
 	h := newHoldingTable(t, 1)
 	old, next := &sequence{table: h}, &sequence{table: h}
@@ -97,10 +97,10 @@
 	if err := h.Store.Commit(ctx, h.held[0]); !errors.Is(err, platform.ErrConflict) {
 		t.Errorf("the late write got %v", err)
 	}
-	if err := old.commit(ctx, put("old"), nil); !errors.Is(err, errOvertaken) {
+	if err := old.commit(ctx, put("old"), nil); !errors.Is(err, errSuperseded) {
 		t.Errorf("the old planner's write got %v", err)
 	}
-	if err := old.open(ctx, 1); !errors.Is(err, errOvertaken) {
+	if err := old.open(ctx, 1); !errors.Is(err, errSuperseded) {
 		t.Errorf("the old planner began again: %v", err)
 	}
 	h.expect(t, "next")
--- a/internal/planner/submit.go
+++ b/internal/planner/submit.go
@@ -12,39 +12,39 @@
 const maxActiveRuns = 50_000
 
 // Submit makes a run of a workload that starts on submission. The same id
-// gives the same run. tell is called once it is known whether the run has been
+// gives the same run. done is called once it is known whether the run has been
 // written.
-func (c *Core) Submit(workload, id, by string, now time.Time, tell func(error)) {
+func (c *Core) Submit(workload, id, by string, now time.Time, done func(error)) {
 	w, ok := c.text.Workload(workload)
 	switch {
 	case !ok:
-		tell(fault.New(fault.UnknownRun, "no workload %q is in the configuration in force", workload))
+		done(fault.New(fault.UnknownRun, "no workload %q is in the configuration in force", workload))
 		return
 	case w.Kind == spec.Service:
-		tell(fault.New(fault.BadRequest, "%q is a service; send requests to it", workload))
+		done(fault.New(fault.BadRequest, "%q is a service; send requests to it", workload))
 		return
 	}
 	e, known := c.runs[id]
 	if !known {
 		if len(c.active) >= maxActiveRuns {
-			tell(fault.New(fault.Overloaded, "%d runs wait or run already", len(c.active)).WithRetryAfter(time.Minute))
+			done(fault.New(fault.Overloaded, "%d runs wait or run already", len(c.active)).WithRetryAfter(time.Minute))
 			return
 		}
 		e = c.create(run.New(id, w, by, true, now), now)
 	}
 	if !e.dirty() && !e.writing {
-		tell(nil)
+		done(nil)
 		return
 	}
-	e.waiters = append(e.waiters, tell)
-	c.touch(e)
+	e.waiters = append(e.waiters, done)
+	c.markChanged(e)
 	e.head = true
 }
 
 // Cancel ends the runs with the given ids, or all active runs of a workload.
-// It takes time linear in the tasks concerned. tell is called for each run
+// It takes time linear in the tasks concerned. done is called for each run
 // once its end has been written; the number of runs concerned is returned.
-func (c *Core) Cancel(ids []string, workload, by string, now time.Time, tell func(error)) int {
+func (c *Core) Cancel(ids []string, workload, by string, now time.Time, done func(error)) int {
 	if workload != "" {
 		ids = nil
 		for _, id := range sortedKeys(c.active) {
@@ -60,9 +60,9 @@
 			continue
 		}
 		n++
-		c.end(e, by, now)
-		e.waiters = append(e.waiters, tell)
-		c.touchHead(e)
+		c.endRun(e, by, now)
+		e.waiters = append(e.waiters, done)
+		c.markHeadChanged(e)
 	}
 	return n
 }
--- a/internal/planner/sweep.go
+++ b/internal/planner/sweep.go
@@ -41,5 +41,5 @@
 		return
 	}
 	e.removed = true
-	c.touch(e)
+	c.markChanged(e)
 }
--- a/internal/planner/term.go
+++ b/internal/planner/term.go
@@ -39,7 +39,7 @@
 	writing bool
 	// retryAt is when to write again after a write that failed.
 	retryAt time.Time
-	swept   time.Time
+	sweptAt time.Time
 	// orders counts the orders of this term.
 	orders uint64
 	quit   context.CancelFunc
@@ -80,7 +80,7 @@
 		if err == nil {
 			return true
 		}
-		if errors.Is(err, errOvertaken) {
+		if errors.Is(err, errSuperseded) {
 			return false
 		}
 		t.log.WithError(err).Warn("planner_start_failed")
@@ -144,7 +144,7 @@
 		return workPeriod
 	}
 	t.planner.lastCycle = now
-	if !t.planner.rights.MayAct(now) || !t.takeText(now) {
+	if !t.planner.rights.MayAct(now) || !t.applyConfig(now) {
 		return idlePeriod
 	}
 	t.checkRecovery()
@@ -160,12 +160,12 @@
 	return idlePeriod
 }
 
-// takeText brings the text in force to the core. It reports false while the
+// applyConfig brings the text in force to the core. It reports false while the
 // table names a later one than this instance has: planning an old text could
 // bring back what a later one ended.
-func (t *term) takeText(now time.Time) bool {
-	rec, text := t.planner.around.Config.Get()
-	if rec.Number < t.planner.around.View().Config.Number {
+func (t *term) applyConfig(now time.Time) bool {
+	rec, text := t.planner.env.Config.Get()
+	if rec.Number < t.planner.env.View().Config.Number {
 		return false
 	}
 	if rec.Number > t.core.number {
@@ -179,13 +179,13 @@
 		return
 	}
 	var owners, listed []string
-	view := t.planner.around.View()
+	view := t.planner.env.View()
 	for name, shard := range view.Shards {
 		if name != live.PlannerShard {
 			owners = append(owners, shard.Owner.Instance)
 		}
 	}
-	for _, inst := range t.planner.around.Directory() {
+	for _, inst := range t.planner.env.Directory() {
 		if inst.Role == platform.RoleWorker {
 			listed = append(listed, inst.ID)
 		}
--- a/internal/planner/term_archive.go
+++ b/internal/planner/term_archive.go
@@ -12,10 +12,10 @@
 // sweep moves finished runs from the table to the object store, a few at a
 // time.
 func (t *term) sweep(ctx context.Context, now time.Time) {
-	if t.writing || now.Sub(t.swept) < sweepPeriod || t.planner.rights.Outage(now) {
+	if t.writing || now.Sub(t.sweptAt) < sweepPeriod || t.planner.rights.Outage(now) {
 		return
 	}
-	t.swept = now
+	t.sweptAt = now
 	expired := t.core.Expired(now)
 	if len(expired) > loadPage {
 		expired = expired[:loadPage]
--- a/internal/planner/term_commit.go
+++ b/internal/planner/term_commit.go
@@ -51,21 +51,21 @@
 	switch {
 	case result.err == nil:
 		t.core.Committed(result.batch)
-	case errors.Is(result.err, errOvertaken):
+	case errors.Is(result.err, errSuperseded):
 		t.log.Warn("planner_overtaken")
-		for _, tell := range result.batch.waiters {
-			tell(doubtfulWrite(result.err))
+		for _, notify := range result.batch.waiters {
+			notify(unconfirmedWrite(result.err))
 		}
 		return false
 	default:
 		t.log.WithError(result.err).Warn("planner_commit_failed")
 		t.retryAt = time.Now().Add(idlePeriod)
-		t.core.CommitFailed(result.batch, t.planner.rights.Outage(time.Now()), doubtfulWrite(result.err))
+		t.core.CommitFailed(result.batch, t.planner.rights.Outage(time.Now()), unconfirmedWrite(result.err))
 	}
 	return true
 }
 
-func doubtfulWrite(err error) error {
+func unconfirmedWrite(err error) error {
 	return fault.New(fault.PlatformUnavailable, "the table did not say whether this was kept; ask again with the same key: %w", err).
 		WithOutcome(fault.MayHaveRun)
 }
--- a/internal/planner/term_send.go
+++ b/internal/planner/term_send.go
@@ -14,10 +14,10 @@
 	if len(assignments) == 0 {
 		return
 	}
-	view := t.planner.around.View()
+	view := t.planner.env.View()
 	byOwner := map[string][]fleet.Assignment{}
 	for _, a := range assignments {
-		shard := t.core.view(a.Worker).report.Shard
+		shard := t.core.workerView(a.Worker).report.Shard
 		owner := view.Shards[shard].Owner.Instance
 		byOwner[owner] = append(byOwner[owner], a)
 	}
--- a/internal/planner/text.go
+++ b/internal/planner/text.go
@@ -24,17 +24,17 @@
 		}
 		id := run.AppliedID(w)
 		wanted[id] = true
-		c.ensure(id, w, author, now)
+		c.ensureRun(id, w, author, now)
 	}
 	for _, id := range sortedKeys(c.active) {
 		e := c.active[id]
 		if !wanted[id] && !e.run.Submitted {
-			c.end(e, author, now)
+			c.endRun(e, author, now)
 		}
 	}
 }
 
-func (c *Core) ensure(id string, w spec.Workload, author string, now time.Time) {
+func (c *Core) ensureRun(id string, w spec.Workload, author string, now time.Time) {
 	e, ok := c.runs[id]
 	switch {
 	case !ok:
@@ -51,11 +51,11 @@
 	if old, ok := c.runs[r.ID]; ok {
 		e.stored = old.stored
 	}
-	e.since = now
+	e.readySince = now
 	c.runs[r.ID] = e
 	c.active[r.ID] = e
-	e.touchAll()
-	c.touch(e)
+	e.markAllChanged()
+	c.markChanged(e)
 	c.event("run_created", r.ID, 0, "", r.By)
 	return e
 }
@@ -65,20 +65,20 @@
 func (c *Core) updateService(e *entry, w spec.Workload, now time.Time) {
 	if e.run.State == run.Stopping {
 		e.run.State, e.run.CancelledBy = run.Waiting, ""
-		c.touchHead(e)
+		c.markHeadChanged(e)
 	}
 	definition := run.Definition(w)
 	if definition == e.run.Definition && w.Tasks == e.run.Workload.Tasks {
 		return
 	}
 	e.run.Workload, e.run.Definition = w, definition
-	e.since, e.never = now, false
+	e.readySince, e.infeasible = now, false
 	for len(e.run.Tasks) < w.Tasks {
 		e.run.Tasks = append(e.run.Tasks, run.Task{State: run.TaskPending})
 		e.pending++
 	}
-	e.touchAll()
-	c.touch(e)
+	e.markAllChanged()
+	c.markChanged(e)
 	c.shrink(e)
 }
 
@@ -94,8 +94,8 @@
 			e.pending--
 		}
 		e.run.Tasks = e.run.Tasks[:last]
-		e.touchAll()
-		c.touch(e)
+		e.markAllChanged()
+		c.markChanged(e)
 	}
 	for i := e.run.Workload.Tasks; i < len(e.run.Tasks); i++ {
 		if t := &e.run.Tasks[i]; t.State == run.TaskAssigned && !t.Stopping {
@@ -104,18 +104,18 @@
 	}
 }
 
-// replaceShare bounds how many replicas of a service are replaced at a time,
+// rollingUpdateDivisor bounds how many replicas of a service are replaced at a time,
 // as one part of all.
-const replaceShare = 10
+const rollingUpdateDivisor = 10
 
-// roll replaces replicas that run an older definition, a few at a time and
+// rollingUpdate replaces replicas that run an older definition, a few at a time and
 // only while the others run.
-func (c *Core) roll(e *entry) {
+func (c *Core) rollingUpdate(e *entry) {
 	if e.run.Workload.Kind != spec.Service || e.run.State == run.Stopping {
 		return
 	}
 	c.shrink(e)
-	budget := max(e.run.Workload.Tasks/replaceShare, 1) - e.pending
+	budget := max(e.run.Workload.Tasks/rollingUpdateDivisor, 1) - e.pending
 	var old []int
 	for i := range e.run.Tasks {
 		t := &e.run.Tasks[i]
--- a/internal/planner/transitions.go
+++ b/internal/planner/transitions.go
@@ -11,36 +11,36 @@
 
 // The waits between attempts of a task that failed.
 const (
-	retryFirst = time.Second
-	retryMost  = time.Minute
+	minRetryDelay = time.Second
+	maxRetryDelay = time.Minute
 )
 
-// retryWait returns how long a task waits before it starts again after so many failures.
-func retryWait(failures int) time.Duration {
-	return min(retryFirst<<min(failures-1, 10), retryMost)
+// retryDelay returns how long a task waits before it starts again after so many failures.
+func retryDelay(failures int) time.Duration {
+	return min(minRetryDelay<<min(failures-1, 10), maxRetryDelay)
 }
 
-// ended takes in the end of a booked attempt.
-func (c *Core) ended(e *entry, index int, status worker.TaskStatus, now time.Time) {
+// attemptEnded takes in the end of a booked attempt.
+func (c *Core) attemptEnded(e *entry, index int, status worker.TaskStatus, now time.Time) {
 	t := &e.run.Tasks[index]
 	t.EndedAt, t.Result, t.Reason = now, status.Result, status.Reason
-	c.unbook(e, index)
+	c.removeAssignment(e, index)
 	switch status.State {
 	case worker.Succeeded:
 		c.board.Succeeded(t.Worker, e.run.Workload.Name)
-		c.learn(e, t, status)
+		c.recordUsage(e, t, status)
 		c.finishTask(e, index, run.TaskSucceeded)
 	case worker.Failed:
-		c.failed(e, index, now)
+		c.attemptFailed(e, index, now)
 	case worker.Refused:
-		c.again(e, index, now)
+		c.requeue(e, index, now)
 	case worker.Stopped:
-		c.stopped(e, index, now)
+		c.attemptStopped(e, index, now)
 	}
-	c.settle(e, now)
+	c.updateRunState(e, now)
 }
 
-func (c *Core) learn(e *entry, t *run.Task, status worker.TaskStatus) {
+func (c *Core) recordUsage(e *entry, t *run.Task, status worker.TaskStatus) {
 	h, ok := c.history[e.run.Workload.Name]
 	if !ok {
 		h = &estimate.History{}
@@ -49,7 +49,7 @@
 	h.Add(t.EndedAt.Sub(t.StartedAt), status.Used)
 }
 
-func (c *Core) failed(e *entry, index int, now time.Time) {
+func (c *Core) attemptFailed(e *entry, index int, now time.Time) {
 	t := &e.run.Tasks[index]
 	if c.board.Failed(t.Worker, e.run.Workload.Name, now) {
 		c.fleetChanged()
@@ -61,36 +61,36 @@
 		c.finishTask(e, index, run.TaskFailed)
 		return
 	}
-	t.NotBefore = now.Add(retryWait(t.Failures))
-	c.again(e, index, now)
+	t.NotBefore = now.Add(retryDelay(t.Failures))
+	c.requeue(e, index, now)
 }
 
-// stopped handles an attempt that was ended before its work was complete.
-func (c *Core) stopped(e *entry, index int, now time.Time) {
+// attemptStopped handles an attempt that was ended before its work was complete.
+func (c *Core) attemptStopped(e *entry, index int, now time.Time) {
 	if !e.repeatable() && e.run.CancelledBy == "" {
 		c.finishTask(e, index, run.TaskUnknown)
 		return
 	}
-	c.again(e, index, now)
+	c.requeue(e, index, now)
 }
 
-// vanished handles an attempt that certainly runs no more and whose end is not
+// attemptLost handles an attempt that certainly runs no more and whose end is not
 // known. Only work that may be repeated is.
-func (c *Core) vanished(e *entry, index int, why string, now time.Time) {
+func (c *Core) attemptLost(e *entry, index int, why string, now time.Time) {
 	t := &e.run.Tasks[index]
-	c.unbook(e, index)
+	c.removeAssignment(e, index)
 	t.EndedAt, t.Reason = now, why
 	c.event("task_vanished", e.run.ID, index, t.Worker, why)
 	if !e.repeatable() {
 		c.finishTask(e, index, run.TaskUnknown)
 	} else {
-		c.again(e, index, now)
+		c.requeue(e, index, now)
 	}
-	c.settle(e, now)
+	c.updateRunState(e, now)
 }
 
-// again makes a task pending, or ends it if its run is to end.
-func (c *Core) again(e *entry, index int, now time.Time) {
+// requeue makes a task pending, or ends it if its run is to end.
+func (c *Core) requeue(e *entry, index int, now time.Time) {
 	t := &e.run.Tasks[index]
 	t.Stopping, t.Seen, t.StartedAt = false, false, time.Time{}
 	if e.run.State == run.Stopping {
@@ -99,8 +99,8 @@
 	}
 	t.State = run.TaskPending
 	e.pending++
-	e.since = now
-	c.touchTask(e, index)
+	e.readySince = now
+	c.markTaskChanged(e, index)
 }
 
 func (c *Core) finishTask(e *entry, index int, state run.TaskState) {
@@ -110,17 +110,17 @@
 	}
 	t.State = state
 	t.Stopping = false
-	c.touchTask(e, index)
+	c.markTaskChanged(e, index)
 	c.event("task_"+string(state), e.run.ID, index, t.Worker, t.Reason)
 }
 
-// settle moves the run on after one of its tasks has.
-func (c *Core) settle(e *entry, now time.Time) {
+// updateRunState moves the run on after one of its tasks has.
+func (c *Core) updateRunState(e *entry, now time.Time) {
 	if e.run.State.Final() {
 		return
 	}
 	if e.run.Workload.Kind == spec.Job {
-		c.settleGang(e, now)
+		c.updateGangState(e, now)
 	}
 	if e.run.Workload.Kind == spec.Service && e.run.State != run.Stopping {
 		return
@@ -133,14 +133,14 @@
 	c.finishRun(e, now)
 }
 
-// settleGang keeps a gang together: its tasks run all at once or not at all,
+// updateGangState keeps a gang together: its tasks run all at once or not at all,
 // so when one has to start anew the others stop and start anew with it, and
 // when one has failed for good the others end.
-func (c *Core) settleGang(e *entry, now time.Time) {
+func (c *Core) updateGangState(e *entry, now time.Time) {
 	failed := e.run.Count(run.TaskFailed)+e.run.Count(run.TaskUnknown) > 0
 	if failed && e.run.State != run.Stopping {
 		e.run.State = run.Stopping
-		c.touchHead(e)
+		c.markHeadChanged(e)
 	}
 	broken := e.run.State == run.Stopping || e.pending > 0
 	if !broken {
@@ -154,7 +154,7 @@
 		case t.State == run.TaskPending && e.run.State == run.Stopping:
 			c.finishTask(e, i, run.TaskCancelled)
 		case t.State == run.TaskSucceeded && e.run.State != run.Stopping:
-			c.again(e, i, now)
+			c.requeue(e, i, now)
 		}
 	}
 }
@@ -174,13 +174,13 @@
 	r.FinishedAt = now
 	delete(c.active, r.ID)
 	delete(c.claims, r.ID)
-	c.touchHead(e)
+	c.markHeadChanged(e)
 	c.event("run_"+string(r.State), r.ID, 0, "", r.Reason)
 }
 
 func (c *Core) setRunning(e *entry) {
 	if e.run.State == run.Waiting {
 		e.run.State = run.Running
-		c.touchHead(e)
+		c.markHeadChanged(e)
 	}
 }
--- a/internal/planner/urgent.go
+++ b/internal/planner/urgent.go
@@ -18,11 +18,11 @@
 	until  time.Time
 }
 
-// claimFor is how long a worker is kept; victims need a beat to stop.
-const claimFor = 4 * time.Second
+// claimDuration is how long a worker is kept; victims need a beat to stop.
+const claimDuration = 4 * time.Second
 
-// makeRoom stops running tasks for urgent runs that found no room.
-func (c *Core) makeRoom(cl *cluster.Cluster, items []order.Item, now time.Time) {
+// preemptForUrgent stops running tasks for urgent runs that found no room.
+func (c *Core) preemptForUrgent(cl *cluster.Cluster, items []order.Item, now time.Time) {
 	for id, cm := range c.claims {
 		if now.After(cm.until) {
 			delete(c.claims, id)
@@ -40,13 +40,13 @@
 		if victims == nil {
 			victims = c.victims(cl, now)
 		}
-		victims = c.makeRoomFor(cl, e, item, victims, now)
+		victims = c.preemptFor(cl, e, item, victims, now)
 	}
 }
 
-// makeRoomFor stops the cheapest victims for one task of a run and returns
+// preemptFor stops the cheapest victims for one task of a run and returns
 // the victims that are left.
-func (c *Core) makeRoomFor(cl *cluster.Cluster, e *entry, item order.Item, victims []preempt.Victim, now time.Time) []preempt.Victim {
+func (c *Core) preemptFor(cl *cluster.Cluster, e *entry, item order.Item, victims []preempt.Victim, now time.Time) []preempt.Victim {
 	node, chosen := preempt.Choose(cl, c.need(e), item.Rank, item.Team, victims)
 	if node < 0 || len(chosen) == 0 {
 		return victims
@@ -57,7 +57,7 @@
 		c.stopTask(c.active[v.Ref.Run], v.Ref.Index, worker.Checkpoint)
 		c.event("task_preempted", v.Ref.Run, v.Ref.Index, cl.Node(node).ID, e.run.ID)
 	}
-	c.claims[e.run.ID] = claim{worker: cl.Node(node).ID, until: now.Add(claimFor)}
+	c.claims[e.run.ID] = claim{worker: cl.Node(node).ID, until: now.Add(claimDuration)}
 	var left []preempt.Victim
 	for _, v := range victims {
 		if !stopped[v.Ref] {
--- a/internal/planner/usage.go
+++ b/internal/planner/usage.go
@@ -8,14 +8,14 @@
 	"gentianstand/internal/worker"
 )
 
-// outgrown handles a task that uses more than it was given. Too much processor
+// handleOveruse handles a task that uses more than it was given. Too much processor
 // time is throttled. Too much memory cannot be: a task that may be repeated is
 // checkpointed and started anew with its true size, elsewhere if need be; one
 // that may not is throttled and left. Either way the worker is not oversold,
 // because nothing more is placed on what the task was not given.
-func (c *Core) outgrown(e *entry, index int, status worker.TaskStatus) {
+func (c *Core) handleOveruse(e *entry, index int, status worker.TaskStatus) {
 	t := &e.run.Tasks[index]
-	c.learnPeak(e, status)
+	c.recordPeak(e, status)
 	if t.Stopping {
 		return
 	}
@@ -28,9 +28,9 @@
 	c.outbox.stop(t.Worker, t.Boot, worker.TaskStop{Ref: status.Ref, Action: worker.Throttle})
 }
 
-// learnPeak notes a usage above what was declared as if enough tasks had shown
+// recordPeak notes a usage above what was declared as if enough tasks had shown
 // it, so that the next attempt gets it.
-func (c *Core) learnPeak(e *entry, status worker.TaskStatus) {
+func (c *Core) recordPeak(e *entry, status worker.TaskStatus) {
 	h, ok := c.history[e.run.Workload.Name]
 	if !ok {
 		h = &estimate.History{}
