--- a/internal/idempotency/doc.go
+++ b/internal/idempotency/doc.go
@@ -1,11 +1,12 @@
-// Package idempotency makes a request with an idempotency key run at most
-// once, through whichever instance its repeats come.
+// Package idempotency ensures that a request with an idempotency key is
+// executed at most once, whichever instances its retries reach.
 //
-// Each key has a home: one of the shards, by hash. Only the instance that owns
-// that shard may let the request go, and only after the key has been written:
-// to the table, or, while an outage of the table is confirmed, to the object
-// store. A new owner reads what was written before it answers for the shard,
-// and waits until owners before it have certainly stopped. So a key that is
-// not found was never let go, and one that is found without an end is answered
-// with the only thing that is known: it may have run.
+// Each key has an owning shard, determined by hash. Only the instance that owns
+// this shard may send the request, and only after the key has been written: to
+// the table or, during a confirmed outage of the table, to the object store. A
+// new owner of the shard waits until previous owners have certainly stopped and
+// reads the written keys before it answers for the shard. A key that is not
+// found therefore belongs to a request that was never sent. A key without a
+// recorded end is answered with an unknown outcome: the request may have been
+// executed.
 package idempotency
--- a/internal/idempotency/errors.go
+++ b/internal/idempotency/errors.go
@@ -2,5 +2,5 @@
 
 import "errors"
 
-// errTakingOver says that the shard has just changed hands.
+// errTakingOver means that the shard has just changed owners.
 var errTakingOver = errors.New("the home of the key is being taken over")
--- a/internal/idempotency/keys.go
+++ b/internal/idempotency/keys.go
@@ -18,7 +18,8 @@
 
 func rowKey(shard, name string) string { return shardPrefix(shard) + name }
 
-// segmentKey names an object with keys that were written in an outage.
+// segmentKey returns the name of an object with keys that were written during
+// an outage.
 func segmentKey(shard string, epoch uint64, n int) string {
 	return fmt.Sprintf("keys/%s/%d/%d", shard, epoch, n)
 }
--- a/internal/idempotency/loader.go
+++ b/internal/idempotency/loader.go
@@ -9,8 +9,8 @@
 	"gentianstand/internal/platform"
 )
 
-// loadShards reads the keys of shards that were taken over, once the owners
-// before have certainly stopped.
+// loadShards reads the keys of shards that were taken over, once previous
+// owners have certainly stopped.
 func (r *Registry) loadShards(ctx context.Context) {
 	now := time.Now()
 	for name, s := range r.unready(now) {
@@ -62,8 +62,8 @@
 	}
 }
 
-// maxEpochsBack bounds how many earlier epochs are looked through; an epoch
-// lasts much longer than Retention divided by it.
+// maxEpochsBack bounds how many earlier epochs are read. An epoch lasts much
+// longer than Retention divided by it.
 const maxEpochsBack = 16
 
 func firstEpochToLoad(epoch uint64) uint64 {
--- a/internal/idempotency/owning_shard.go
+++ b/internal/idempotency/owning_shard.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// OwningShard returns the shard that is home to a key, by rendezvous hashing: when
-// shards come or go, only their own keys move.
+// OwningShard returns the shard that owns a key. It uses rendezvous hashing, so
+// that a shard that is added or removed moves only its own keys.
 func OwningShard(service, key string, shards []string) string {
 	home, highest := "", uint64(0)
 	for _, shard := range slices.Sorted(slices.Values(shards)) {
--- a/internal/idempotency/record.go
+++ b/internal/idempotency/record.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Record is what is kept of a key.
+// Record is the stored state of a key.
 type Record struct {
 	State State `json:"state"`
 	// At is when the key was first seen.
 	At time.Time `json:"at"`
-	// Process let the request go; a record without an end that another
-	// process made has an unknown outcome.
+	// Process is the process that sent the request. A record without an end
+	// from another process has an unknown outcome.
 	Process string `json:"process"`
-	// Response is the answer, kept for repeats if it was small.
+	// Response is the upstream's response, stored for retries if it was small.
 	Response *Response `json:"response,omitempty"`
 }
--- a/internal/idempotency/registry.go
+++ b/internal/idempotency/registry.go
@@ -16,7 +16,7 @@
 	"gentianstand/internal/platform"
 )
 
-// Registry keeps the keys of the shards that this process owns. It is safe for
+// Registry holds the keys of the shards that this process owns. It is safe for
 // concurrent use.
 type Registry struct {
 	process string
@@ -32,14 +32,14 @@
 	shards map[string]*shardKeys
 }
 
-// start is a key that waits to be written before its request may go.
+// start is a key that must be written before its request may be sent.
 type start struct {
 	shard, name string
 	record      Record
 	written     chan error
 }
 
-// NewRegistry returns a Register without shards.
+// NewRegistry returns a Registry without shards.
 func NewRegistry(process live.Process, timing membership.Timing, table platform.Table, objects platform.Objects, rights Rights, set *metrics.Set, log *logrus.Entry) *Registry {
 	return &Registry{
 		process: process.String(), timing: timing, table: table, objects: objects, rights: rights, log: log,
@@ -48,7 +48,7 @@
 	}
 }
 
-// SetHeld takes in which shards this process owns.
+// SetHeld sets the shards that this process owns.
 func (r *Registry) SetHeld(held []ownership.HeldShard) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -67,10 +67,10 @@
 	r.shards = next
 }
 
-// Begin asks to let the request of a key go. It returns nil if it may, once
-// the key is kept; the caller must then call End or Release. Otherwise the
-// error says what is known of the key, and the response, if not nil, is what
-// the first request was answered.
+// Begin registers a key before its request is sent. It returns nil, nil once
+// the key is stored and the request may be sent; the caller must then call End
+// or Release. Otherwise the error describes the state of the key, and the
+// response, if not nil, is the one to the first request.
 func (r *Registry) Begin(ctx context.Context, shard, service, key string) (*Response, error) {
 	s, name, err := r.beginWhenReady(ctx, shard, service, key)
 	if err != nil {
@@ -90,8 +90,8 @@
 	return nil, nil
 }
 
-// beginWhenReady is enter, but for a few seconds after a shard has changed hands it
-// waits until the keys let go before are known.
+// beginWhenReady is tryBegin, but after a shard has changed owners it waits
+// until the keys of the previous owners are loaded.
 func (r *Registry) beginWhenReady(ctx context.Context, shard, service, key string) (*Response, string, error) {
 	for {
 		response, name, err := r.tryBegin(shard, service, key)
@@ -106,7 +106,8 @@
 	}
 }
 
-// tryBegin marks a key as started in memory, or says why not.
+// tryBegin marks a key as started in memory, or returns the reason why it
+// cannot.
 func (r *Registry) tryBegin(shard, service, key string) (*Response, string, error) {
 	now := time.Now()
 	name := nameOf(service, key)
@@ -141,8 +142,9 @@
 	}
 }
 
-// End notes how the request of a key ended: Ended if an upstream answered,
-// Unknown if it may have run. response may be nil; a large one is not kept.
+// End records how the request of a key ended: Ended if an upstream answered,
+// Unknown if it may have been executed. response may be nil; a large one is not
+// stored.
 func (r *Registry) End(shard, service, key string, state State, response *Response) {
 	r.update(shard, service, key, func(s *shardKeys, name string) {
 		rec, ok := s.records[name]
@@ -157,7 +159,7 @@
 	})
 }
 
-// Release forgets a key whose request certainly did not run.
+// Release removes a key whose request was certainly not executed.
 func (r *Registry) Release(shard, service, key string) {
 	r.update(shard, service, key, func(s *shardKeys, name string) {
 		delete(s.records, name)
--- a/internal/idempotency/response.go
+++ b/internal/idempotency/response.go
@@ -2,7 +2,7 @@
 
 import "net/http"
 
-// Response is an upstream's answer, kept so that a repeat gets it too.
+// Response is an upstream's response, stored so that retries get the same one.
 type Response struct {
 	Status int         `json:"status"`
 	Header http.Header `json:"header"`
--- a/internal/idempotency/shard.go
+++ b/internal/idempotency/shard.go
@@ -6,17 +6,17 @@
 	"gentianstand/internal/ownership"
 )
 
-// shardKeys is what this process knows of the keys of one shard that it owns.
-// The Register's lock guards it.
+// shardKeys holds the keys of one shard that this process owns. It is guarded
+// by the Registry's lock.
 type shardKeys struct {
 	held    ownership.HeldShard
 	ready   bool
 	records map[string]*Record
-	// dirty holds names whose records are to be written to the table.
+	// dirty holds the names of records to be written to the table.
 	dirty map[string]bool
-	// removed holds names whose rows are to be deleted.
+	// removed holds the names of rows to be deleted.
 	removed map[string]bool
-	// segments counts the objects written in an outage.
+	// segments is the number of objects written during outages.
 	segments int
 }
 
--- a/internal/idempotency/writer.go
+++ b/internal/idempotency/writer.go
@@ -11,8 +11,8 @@
 	"gentianstand/internal/platform"
 )
 
-// Run writes keys until ctx ends. Starts that arrive while a write is under
-// way go together with the next one, so a burst costs few writes.
+// Run writes keys until ctx ends. Starts that arrive during a write are written
+// together in the next one, so a burst takes few writes.
 func (r *Registry) Run(ctx context.Context) {
 	ticker := time.NewTicker(flushPeriod)
 	defer ticker.Stop()
@@ -42,8 +42,8 @@
 	return batch
 }
 
-// writeStarts keeps keys in the table, or in the object store while an outage
-// of the table is confirmed. If neither takes them, the requests do not go.
+// writeStarts writes keys to the table, or to the object store during a
+// confirmed outage of the table. If the write fails, the requests are not sent.
 func (r *Registry) writeStarts(ctx context.Context, batch []start) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
@@ -78,9 +78,9 @@
 	return r.table.Commit(ctx, tx)
 }
 
-// writeSegments writes one object for each shard in the batch. Each has a new
-// number, so nothing is overwritten; a new owner reads them until one is
-// missing, and numbers are only used up by objects that were written.
+// writeSegments writes one object for each shard in the batch. Each object has
+// a new number, so none is overwritten. A new owner reads objects until a
+// number is missing; numbers are used only by objects that were written.
 func (r *Registry) writeSegments(ctx context.Context, batch []start) error {
 	byShard := map[string]map[string]Record{}
 	for _, st := range batch {
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// flush writes ends to the table and removes old keys, in one write.
+// flush writes ends to the table and removes old keys in one write.
 func (r *Registry) flush(ctx context.Context) {
 	now := time.Now()
 	if r.rights.Outage(now) || !r.rights.MayAct(now) {
@@ -140,7 +140,7 @@
 	}
 }
 
-// pending takes a batch of what is to be written; undo puts it back.
+// pending takes the next batch of changes to write; undo puts them back.
 func (r *Registry) pending(now time.Time) (platform.Tx, func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/membership/elector.go
+++ b/internal/membership/elector.go
@@ -7,7 +7,7 @@
 	"gentianstand/internal/live"
 )
 
-// Elector is a process in its part as a witness for others. It is safe for
+// Elector attests outages of the table to other processes. It is safe for
 // concurrent use.
 type Elector struct {
 	timing  Timing
@@ -17,14 +17,14 @@
 	fenced map[live.Process]time.Time
 }
 
-// NewElector returns an elector that judges by the session's own contact with
-// the table.
+// NewElector returns an Elector that judges the table's availability by the
+// given session's calls.
 func NewElector(timing Timing, session *Session) *Elector {
 	return &Elector{timing: timing, session: session, fenced: map[live.Process]time.Time{}}
 }
 
-// AttestOutage reports whether the table is silent here too and subject is not
-// fenced. A process that was replaced vouches for nobody.
+// AttestOutage reports whether the table does not answer this process either
+// and subject is not fenced. A process that was replaced attests nothing.
 func (e *Elector) AttestOutage(subject live.Process, now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -34,8 +34,9 @@
 	return e.session.TableUnresponsive(now)
 }
 
-// Fence makes this elector never vouch for subject again. The memory of it
-// may go after OutageGrace, when subject has stopped in any case.
+// Fence makes this elector refuse all further attestations to subject. A fence
+// is discarded after 2*OutageGrace; subject has certainly stopped after
+// OutageGrace.
 func (e *Elector) Fence(subject live.Process, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/membership/majority.go
+++ b/internal/membership/majority.go
@@ -2,8 +2,8 @@
 
 import "gentianstand/internal/live"
 
-// Majority reports whether answered holds more than half of electors. A
-// process that is no elector, such as a restarted one, does not count.
+// Majority reports whether answered contains more than half of the electors. A
+// process that is not an elector, such as one that restarted, does not count.
 func Majority(electors, answered []live.Process) bool {
 	if len(electors) == 0 {
 		return false
--- a/internal/membership/model_test.go
+++ b/internal/membership/model_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// The model's periods, in ticks. They keep the order of the real ones; only
-// the sums matter to the protocol.
+// Durations of the model, in ticks. They have the same order as the real ones;
+// only their sums matter to the protocol.
 const (
 	sessionTTL = 2
 	vouchAfter = 1
@@ -12,21 +12,22 @@
 	forever    = vouchTTL + leaseTicks + 1
 )
 
-// variant is the protocol, or the protocol with one mechanism taken out.
+// variant is the protocol with at most one of its mechanisms removed.
 type variant struct {
 	name string
-	// noFence declares a worker lost without fencing its old owner.
+	// noFence declares a worker lost without fencing its previous owner.
 	noFence bool
-	// forgetful lets an elector that restarted count as the same.
+	// forgetful counts an elector that restarted as the same elector.
 	forgetful bool
 	// relativeLease counts a lease from the arrival of the message.
 	relativeLease bool
-	// anyElector takes one voucher for enough.
+	// anyElector accepts a single attestation.
 	anyElector bool
 }
 
-// world is a state of the model: an old owner X, a newcomer Y, a third elector
-// Z, the table, and a worker that runs a task under X's lease. Ages saturate.
+// world is a state of the model: a previous owner X, a new owner Y, a third
+// elector Z, the table, and a worker that runs a task under X's lease. Ages
+// saturate.
 type world struct {
 	xRenewed, xVouched, xStamp int8
 	xSilence, ySilence, zSil   int8
@@ -35,13 +36,14 @@
 	changed bool
 	yOwns   bool
 	xKnows  bool
-	// fenced has a bit for X, Y and Z; fencedFor is the age of a majority.
+	// fenced has one bit each for the electors X, Y and Z; fencedFor is the
+	// time since a majority fenced X.
 	fenced    uint8
 	fencedFor int8
-	// yFenced says that a majority has answered Y.
+	// yFenced is true once a majority has answered Y.
 	yFenced bool
-	// lease is what is left of the lease at the worker, late what a message
-	// still on its way would make of it.
+	// lease is the remaining lease at the worker; late is the lease that a
+	// message in transit would set.
 	lease, late int8
 	lost        bool
 }
@@ -69,8 +71,8 @@
 	return all
 }
 
-// sameWithout reports whether c differs from another choice only in what has
-// no effect in this state.
+// sameWithout reports whether c differs from another choice only in something
+// that has no effect in this state.
 func (w world) sameWithout(c choice) bool {
 	return (c.deliver && w.late == 0) || (c.yTable && w.yOwns) || (c.yz && !w.yOwns)
 }
@@ -79,9 +81,10 @@
 
 func less(a int8) int8 { return max(a-1, 0) }
 
-// step is one tick: time passes, the table is read and written, electors are
-// asked, X renews the worker's lease if it may, Y declares the worker lost if
-// it may. The worker is never reachable from Y: otherwise Y asks it.
+// step computes one tick: time passes, the table is read and written, electors
+// are asked, X renews the worker's lease if it may, and Y declares the worker
+// lost if it may. The worker is never reachable from Y, because otherwise Y
+// would ask it.
 func step(v variant, w world, c choice) world {
 	w.xRenewed, w.xVouched, w.xStamp = age(w.xRenewed), age(w.xVouched), age(w.xStamp)
 	w.xSilence, w.ySilence, w.zSil = age(w.xSilence), age(w.ySilence), age(w.zSil)
@@ -200,8 +203,8 @@
 	return w
 }
 
-// explore visits every reachable state and returns how many there are, and
-// whether one has the worker declared lost while its task runs, or would run
+// explore visits every reachable state. It returns their number, and whether in
+// one of them the worker is declared lost while its task runs or would run
 // again once a late message arrives.
 func explore(v variant) (states int, unsafe bool) {
 	start := world{lease: leaseTicks}
@@ -228,7 +231,7 @@
 	return len(seen), false
 }
 
-// Failure: a task runs in two places.
+// Guards against a task that runs in two places.
 func TestModelTakeOver(t *testing.T) {
 	states, unsafe := explore(variant{})
 	if unsafe {
@@ -237,8 +240,8 @@
 	t.Logf("%d states", states)
 }
 
-// TestModelFindsMissingMechanisms: with any one mechanism taken out the model
-// does find the broken promise, so what it does not find is worth something.
+// TestModelFindsMissingMechanisms: with any one mechanism removed, the model
+// does find a violation. This shows that the model can detect unsafe protocols.
 func TestModelFindsMissingMechanisms(t *testing.T) {
 	variants := []variant{
 		{name: "no fence", noFence: true},
--- a/internal/membership/observer.go
+++ b/internal/membership/observer.go
@@ -6,8 +6,8 @@
 	"gentianstand/internal/live"
 )
 
-// Observer tells from successive reads of the table which processes are alive.
-// It is not safe for concurrent use.
+// Observer determines from successive reads of the table which processes are
+// alive. It is not safe for concurrent use.
 type Observer struct {
 	timing   Timing
 	lastRead time.Time
@@ -18,20 +18,21 @@
 	version uint64
 	process live.Process
 	since   time.Time
-	// renewed says that the version was seen to change.
+	// renewed is true if the version was seen to change.
 	renewed bool
 }
 
-// NewObserver returns an Observer that has seen nothing.
+// NewObserver returns an Observer that has read nothing yet.
 func NewObserver(timing Timing) *Observer {
 	return &Observer{timing: timing, seen: map[string]observation{}}
 }
 
-// Observe takes in a read of the table that was begun at now.
+// Observe records a read of the table that began at now.
 //
-// While the table does not answer nobody can renew, so that time does not
-// count against a row: otherwise every instance would overtake every other the
-// moment the table returns. Each row then has time for two renewals at least.
+// While the table does not answer nobody can renew, so that time does not count
+// against a row. Otherwise all instances would take over from each other as
+// soon as the table is available again. Each row then gets enough time for at
+// least 2 renewals.
 func (o *Observer) Observe(view live.View, now time.Time) {
 	pause := o.outageBefore(now)
 	o.lastRead = now
@@ -49,7 +50,7 @@
 	o.seen = next
 }
 
-// outageBefore returns how long the table has been out of reach before this read.
+// outageBefore returns how long the table was unavailable before this read.
 func (o *Observer) outageBefore(now time.Time) time.Duration {
 	if o.lastRead.IsZero() || now.Sub(o.lastRead) <= 2*o.timing.Poll {
 		return 0
@@ -68,8 +69,8 @@
 	return old
 }
 
-// Alive reports whether process p held its session at the last read. A
-// process is not alive when its instance has a new incarnation.
+// Alive reports whether process p held its session at the last read. A process
+// is not alive if its instance has a new incarnation.
 func (o *Observer) Alive(p live.Process) bool {
 	seen, ok := o.seen[p.Instance]
 	return ok && seen.process == p && o.lastRead.Sub(seen.since) < o.timing.SessionTTL
@@ -81,7 +82,7 @@
 	return ok && seen.process == p && o.lastRead.Sub(seen.since) >= d
 }
 
-// Renewing reports whether process p is alive and was seen to renew its
-// session since the table was last out of reach. A frozen process counts as
-// alive for a while after such a gap, but not as renewing.
+// Renewing reports whether process p is alive and was seen to renew its session
+// since the table was last unavailable. After an outage a frozen process counts
+// as alive for a while, but not as renewing.
 func (o *Observer) Renewing(p live.Process) bool { return o.Alive(p) && o.seen[p.Instance].renewed }
--- a/internal/membership/session.go
+++ b/internal/membership/session.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// Session is what a process knows about its own right to act. It is safe for
-// concurrent use.
+// Session tracks a process's own right to act. It is safe for concurrent use.
 type Session struct {
 	timing Timing
 
@@ -19,13 +18,13 @@
 }
 
 // NewSession returns a session that has not been renewed. now counts as the
-// last answer of the table, so that a process started in an outage does not
-// vouch before it has tried.
+// last answer of the table, so that a process started during an outage attests
+// nothing before it has called the table itself.
 func NewSession(timing Timing, now time.Time) *Session {
 	return &Session{timing: timing, tableAt: now}
 }
 
-// Renewed notes a successful renewal that was begun at sentAt.
+// Renewed records a successful renewal that began at sentAt.
 func (s *Session) Renewed(sentAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -34,7 +33,7 @@
 	}
 }
 
-// TableAnswered notes that the table answered a call begun at sentAt.
+// TableAnswered records that the table answered a call that began at sentAt.
 func (s *Session) TableAnswered(sentAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,16 +42,16 @@
 	}
 }
 
-// TableFailed notes that a call of the table got no answer.
+// TableFailed records that a call of the table got no answer.
 func (s *Session) TableFailed(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.failedAt = now
 }
 
-// TableUnresponsive reports whether the table has not answered for VouchAfter although it
-// was asked of late. A process that was frozen has heard nothing for long, but
-// that says nothing about the table.
+// TableUnresponsive reports whether the table has not answered for AttestAfter
+// although it was called recently. A process that was frozen has received no
+// answers for long either, but that is no evidence of an outage.
 func (s *Session) TableUnresponsive(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,14 +59,16 @@
 	return !s.lost && asked && now.Sub(s.tableAt) >= s.timing.AttestAfter
 }
 
-// MarkLost ends the session for good: another process has taken this row.
+// MarkLost ends the session permanently because another process has taken this
+// row.
 func (s *Session) MarkLost() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lost = true
 }
 
-// OutageConfirmed notes that a majority of electors vouched, asked at askedAt.
+// OutageConfirmed records that a majority of electors attested the outage when
+// asked at askedAt.
 func (s *Session) OutageConfirmed(askedAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,37 +77,39 @@
 	}
 }
 
-// Valid reports whether the session itself covers now. It is checked again
-// right before every effect: a process that was frozen finds out here.
+// Valid reports whether the session is valid at now. It is checked again right
+// before every effect, so that a process that was frozen detects its expired
+// session.
 func (s *Session) Valid(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.validLocked(now)
 }
 
-// MayAct reports whether effects on workers are allowed at now: the session
-// is valid, or an outage of the table is confirmed.
+// MayAct reports whether actions on workers are allowed at now: the session is
+// valid, or an outage of the table is confirmed.
 func (s *Session) MayAct(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.validLocked(now) || s.outageLocked(now)
 }
 
-// Outage reports whether the right to act at now rests on a confirmed outage.
+// Outage reports whether the right to act at now is based on a confirmed
+// outage.
 func (s *Session) Outage(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.validLocked(now) && s.outageLocked(now)
 }
 
-// SinceTableAnswer returns how long the table has not answered.
+// SinceTableAnswer returns the time since the last answer of the table.
 func (s *Session) SinceTableAnswer(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return now.Sub(s.tableAt)
 }
 
-// Lost reports whether Lose was called.
+// Lost reports whether MarkLost was called.
 func (s *Session) Lost() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/membership/timing.go
+++ b/internal/membership/timing.go
@@ -2,29 +2,31 @@
 
 import "time"
 
-// Timing holds the periods that the protocol rests on. Drift is the greatest
-// relative difference between two clocks' rates that is tolerated.
+// Timing holds the durations that the protocol depends on. Drift is the maximum
+// tolerated relative difference between the rates of two clocks.
 type Timing struct {
-	// Poll is how often an instance reads the watched rows and renews.
+	// Poll is how often an instance reads the watched rows and renews its
+	// session.
 	Poll time.Duration
-	// SessionTTL is how long an unchanged row counts as alive.
+	// SessionTTL is how long a process with an unchanged row counts as alive.
 	SessionTTL time.Duration
-	// AttestAfter is how long the table must be silent before an elector
-	// vouches, and VouchTTL how long a vouch counts.
+	// AttestAfter is how long the table must be unresponsive before an elector
+	// attests an outage, and AttestationTTL how long an attestation is valid.
 	AttestAfter    time.Duration
 	AttestationTTL time.Duration
-	// WorkerLease is how long a worker goes on without hearing its owner.
+	// WorkerLease is how long a worker continues to run without contact with
+	// its owner.
 	WorkerLease time.Duration
-	// HandoverGrace is how long an owner that gave a shard away keeps its workers
-	// served until the next owner has claimed them.
+	// HandoverGrace is how long an owner that handed a shard over continues to
+	// serve its workers, until the next owner has claimed them.
 	HandoverGrace time.Duration
-	// OutageGrace bounds how long an owner goes on in an outage, and so how
-	// long a newcomer waits that could not fence it.
+	// OutageGrace bounds how long an owner continues during an outage, and thus
+	// how long a new owner waits that could not fence it.
 	OutageGrace time.Duration
 	Drift       float64
 }
 
-// DefaultTiming returns the periods used in production.
+// DefaultTiming returns the durations used in production.
 func DefaultTiming() Timing {
 	return Timing{
 		Poll:           750 * time.Millisecond,
@@ -38,12 +40,12 @@
 	}
 }
 
-// Longer returns d stretched by the tolerated drift.
+// Longer returns d increased by the tolerated drift.
 func (t Timing) Longer(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + t.Drift))
 }
 
-// Shorter returns d shortened by the tolerated drift.
+// Shorter returns d reduced by the tolerated drift.
 func (t Timing) Shorter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 - t.Drift))
 }
--- a/internal/owner/dialer.go
+++ b/internal/owner/dialer.go
@@ -2,5 +2,5 @@
 
 import "gentianstand/internal/worker"
 
-// Dialer returns the agent at a worker's address.
+// Dialer returns a client for the worker at an address.
 type Dialer func(address string) worker.Agent
--- a/internal/owner/doc.go
+++ b/internal/owner/doc.go
@@ -1,7 +1,7 @@
-// Package owner looks after the workers of the shards that this process
-// holds: it claims them under its epoch, keeps their leases, starts and stops
-// what the planner assigned, and reports what runs.
+// Package owner manages the workers of the shards that this process owns. It
+// claims them under its epoch, renews their leases, starts and stops the tasks
+// that the planner assigned, and reports what runs.
 //
-// A Tracker is the state of one worker and decides without clock or network;
-// Owner runs a loop for each Tracker and does the calls.
+// Tracker holds the state of one worker and makes its decisions without clock
+// or network. Owner runs a loop for each Tracker and makes the calls.
 package owner
--- a/internal/owner/gate.go
+++ b/internal/owner/gate.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Gate tells whether this process may have effects on workers. It is asked
-// right before each effect.
+// Gate reports whether this process may act on workers. It is checked right
+// before each action.
 type Gate interface {
 	MayAct(now time.Time) bool
 }
--- a/internal/owner/handover_test.go
+++ b/internal/owner/handover_test.go
@@ -14,8 +14,8 @@
 	"gentianstand/internal/worker"
 )
 
-// handedOver is the agent of a worker that serves one service, has seen no
-// request, and belongs to a later owner as soon as taken is set.
+// handedOver is the agent of a worker that serves one service and has received
+// no request. Once taken is set, it belongs to a later owner.
 type handedOver struct{ taken bool }
 
 func (a *handedOver) Sync(_ context.Context, req worker.SyncRequest) (worker.SyncReply, error) {
@@ -36,8 +36,8 @@
 	return states, nil
 }
 
-// Failure: a request hangs until its deadline, half a minute, although the worker is
-// well.
+// Guards against a request that hangs until its deadline of 30 s although the
+// worker is healthy. It would happen if nobody asked about it after a handover.
 func TestUnresponsiveConnectionAcrossHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		agent := &handedOver{}
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -7,11 +7,11 @@
 	"gentianstand/internal/fleet"
 )
 
-// Assign takes in what the planner decided. An order of a planner that was
-// overtaken, or one that a later order has overtaken, is refused with NotOwner
-// or Conflict, however late it arrives. NotOwner also says that some workers
-// have changed hands; the planner then decides anew what is still to be sent,
-// instead of learning of it from a later report.
+// Assign handles an order of the planner. An order of a superseded planner is
+// refused with NotOwner, and one that is older than the last accepted order
+// with Conflict, however late it arrives. NotOwner is also returned if some of
+// the workers have a new owner, so that the planner decides again at once what
+// is still to be sent instead of waiting for a later report.
 func (o *Owner) Assign(order fleet.Order) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/owner/owned_worker.go
+++ b/internal/owner/owned_worker.go
@@ -2,7 +2,8 @@
 
 import "gentianstand/internal/platform"
 
-// OwnedWorker says which worker a Tracker is about and under what right.
+// OwnedWorker identifies the worker of a Tracker and the shard and epoch under
+// which it is owned.
 type OwnedWorker struct {
 	Instance platform.Instance
 	Shard    string
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -18,15 +18,15 @@
 	"gentianstand/internal/routing"
 )
 
-// reportPeriod is how often all workers are reported although nothing
-// changed; it repairs whatever got lost.
+// reportPeriod is the interval of full reports of all workers, which repair the
+// effects of lost reports.
 const reportPeriod = 15 * time.Second
 
-// reportRetry is the wait after a report that did not arrive.
+// reportRetry is the delay after a report that could not be delivered.
 const reportRetry = 200 * time.Millisecond
 
-// Owner looks after all workers of the shards that this process holds. It is
-// safe for concurrent use.
+// Owner manages all workers of the shards that this process owns. It is safe
+// for concurrent use.
 type Owner struct {
 	id      string
 	timing  membership.Timing
@@ -39,9 +39,9 @@
 	changes chan struct{}
 	base    context.Context
 	quit    context.CancelFunc
-	// fullReport asks for a report of fullReport workers next.
+	// fullReport makes the next report cover all workers.
 	fullReport atomic.Bool
-	// sequence orders all reports of this process.
+	// sequence numbers all reports of this process.
 	sequence atomic.Uint64
 
 	mu           sync.Mutex
@@ -50,7 +50,7 @@
 	directory    []platform.Instance
 	drains       map[string]live.Drain
 	plannerEpoch uint64
-	// orderEpoch and orderSequence name the last order taken.
+	// orderEpoch and orderSequence identify the last accepted order.
 	orderEpoch    uint64
 	orderSequence uint64
 }
@@ -60,7 +60,7 @@
 	reports *metrics.Counter
 }
 
-// New returns an Owner that holds nothing. id is this instance's.
+// New returns an Owner without shards. id is the ID of this instance.
 func New(id string, timing membership.Timing, gate Gate, dial Dialer, router *routing.Router, planner Planner, set *metrics.Set, log *logrus.Entry) *Owner {
 	base, quit := context.WithCancel(context.Background())
 	o := &Owner{
@@ -77,7 +77,7 @@
 	return o
 }
 
-// SetHeld takes in which shards this process holds now.
+// SetHeld sets the shards that this process owns.
 func (o *Owner) SetHeld(held []ownership.HeldShard) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -90,9 +90,9 @@
 	o.reconcileLocked()
 }
 
-// SetDirectory takes in the platform's list of instances. It lags, so it adds
-// workers and marks leaving ones; a worker that is no longer listed is kept
-// until its leases have lapsed.
+// SetDirectory sets the platform's list of instances. The list lags behind, so
+// it only adds workers and marks leaving ones; a worker that is no longer
+// listed is kept until its leases have expired.
 func (o *Owner) SetDirectory(list []platform.Instance) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -100,7 +100,7 @@
 	o.reconcileLocked()
 }
 
-// SetDrains takes in which planned stops are asked for.
+// SetDrains sets the requested drains of workers.
 func (o *Owner) SetDrains(drains map[string]live.Drain) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -126,7 +126,7 @@
 	}
 }
 
-// ensureLoopLocked starts or refreshes the minder of a worker.
+// ensureLoopLocked starts or updates the loop of a worker.
 func (o *Owner) ensureLoopLocked(inst platform.Instance, h ownership.HeldShard) {
 	m, ok := o.loops[inst.ID]
 	if ok && m.epoch == h.Shard.Epoch && m.address == inst.Address {
@@ -151,7 +151,8 @@
 	go m.run(ctx)
 }
 
-// refresh takes in what may have changed around a worker.
+// refresh updates the loop after changes of the directory, the shard or the
+// drains.
 func (m *workerLoop) refresh(inst platform.Instance, h ownership.HeldShard, drains map[string]live.Drain) {
 	_, draining := drains[inst.ID]
 	m.mu.Lock()
@@ -167,8 +168,8 @@
 	}
 }
 
-// finished reports whether the worker needs no minding any more: its shard is not
-// held, or it left the list and nothing of it can be running.
+// finished reports whether the loop can end: its shard is no longer owned, or
+// the worker is no longer listed and nothing can be running there.
 func (m *workerLoop) finished(held map[string]ownership.HeldShard, listed bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -219,7 +220,8 @@
 	return n
 }
 
-// MaxCapacity returns the most of each dimension that any worker here has.
+// MaxCapacity returns, for each resource, the largest capacity of any worker
+// here.
 func (o *Owner) MaxCapacity() resource.Amount {
 	var largest resource.Amount
 	for _, r := range o.Reports() {
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -29,7 +29,8 @@
 	return New("o", membership.DefaultTiming(), nobody{}, dial, routing.NewRouter(), nobody{}, metrics.NewSet(), logrus.NewEntry(log))
 }
 
-// Failure: a start gets lost for as long as the time between two full reports.
+// Guards against a start that is lost until the next full report because its
+// worker has a new owner.
 func TestOrderForReassignedWorker(t *testing.T) {
 	order := fleet.Order{PlannerEpoch: 1, Sequence: 1, Assignments: []fleet.Assignment{{Worker: "w", Epoch: 1}}}
 	if err := newTestOwner().Assign(order); !fault.Is(err, fault.NotOwner) {
@@ -37,7 +38,8 @@
 	}
 }
 
-// Failure: a task that has ended and been forgotten runs again.
+// Guards against a delayed order that starts a completed and forgotten task
+// again.
 func TestOrdersAreAcceptedInSequence(t *testing.T) {
 	o := newTestOwner()
 	steps := []struct {
--- a/internal/owner/planner.go
+++ b/internal/owner/planner.go
@@ -6,9 +6,9 @@
 	"gentianstand/internal/fleet"
 )
 
-// Planner is how an Owner reaches the planner, wherever it is.
+// Planner sends reports to the planner, on whichever instance it runs.
 type Planner interface {
-	// Report brings reports and returns the planner's epoch; full says that
-	// they are all this owner has.
+	// Report sends reports and returns the planner's epoch. full means that
+	// they cover all workers of this owner.
 	Report(ctx context.Context, full bool, reports []fleet.Report) (uint64, error)
 }
--- a/internal/owner/removed_worker.go
+++ b/internal/owner/removed_worker.go
@@ -7,10 +7,11 @@
 	"gentianstand/internal/routing"
 )
 
-// resolveUntilIdle asks the worker about requests that were in progress there when
-// this process stopped minding it. The next owner does not know them: without
-// this, one sent on a connection that had gone silent waited for its deadline,
-// half a minute, if the worker changed hands before it was doubted.
+// resolveUntilIdle asks the worker about requests that were in progress there
+// when this process dropped it. The next owner does not know these requests.
+// Without these calls, a request sent on an unresponsive connection would wait
+// for its deadline of 30 s if the worker changed owners before the request was
+// classified as unanswered.
 func (m *workerLoop) resolveUntilIdle(ctx context.Context, rest *routing.RemovedWorker) {
 	ticker := time.NewTicker(syncPeriod)
 	defer ticker.Stop()
--- a/internal/owner/reporter.go
+++ b/internal/owner/reporter.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// reportOnce sends what changed, or all. What could not be brought stays
-// marked and goes with the next report.
+// reportOnce sends the changed workers, or all. Workers whose report could not
+// be delivered stay marked and are sent with the next one.
 func (o *Owner) reportOnce(ctx context.Context, all bool) {
 	minders := o.list()
 	var sent []*workerLoop
@@ -58,8 +58,8 @@
 	o.observePlannerEpoch(epoch)
 }
 
-// observePlannerEpoch makes everything known to a planner that reports have reached for
-// the first time.
+// observePlannerEpoch records the planner's epoch and triggers a full report to
+// a new planner.
 func (o *Owner) observePlannerEpoch(epoch uint64) {
 	o.mu.Lock()
 	later := epoch > o.plannerEpoch
@@ -71,7 +71,8 @@
 	}
 }
 
-// takeDirty takes the mark that there is news and returns whether it was set.
+// takeDirty clears the mark for unreported changes and returns whether it was
+// set.
 func (m *workerLoop) takeDirty() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -93,7 +94,7 @@
 	}
 }
 
-// Reports returns the owner's word on all its workers.
+// Reports returns the current reports of all workers.
 func (o *Owner) Reports() []fleet.Report {
 	minders := o.list()
 	reports := make([]fleet.Report, 0, len(minders))
--- a/internal/owner/tracker.go
+++ b/internal/owner/tracker.go
@@ -10,11 +10,11 @@
 	"gentianstand/internal/worker"
 )
 
-// unresponsiveAfter is how long a worker may miss its calls before it gets no new
-// work.
+// unresponsiveAfter is how long a worker may go without answering before it
+// gets no new work.
 const unresponsiveAfter = 2500 * time.Millisecond
 
-// Tracker is what an owner knows of one worker. It is not safe for concurrent
+// Tracker holds an owner's state of one worker. It is not safe for concurrent
 // use and has no clock.
 type Tracker struct {
 	site   OwnedWorker
@@ -29,10 +29,11 @@
 	capacity   resource.Amount
 	slots      int
 	older      int
-	// workerClock is the worker's clock in its last reply, received at stampAt.
+	// workerClock is the worker's clock reading in its last reply, which was
+	// received at lastReplyAt.
 	workerClock int64
 	lastReplyAt time.Time
-	// oldLeasesEnd is when leases of earlier owners have lapsed.
+	// oldLeasesEnd is when all leases of previous owners have expired.
 	oldLeasesEnd time.Time
 
 	tasks map[worker.TaskRef]worker.TaskStatus
@@ -42,7 +43,7 @@
 	sent  worker.SyncRequest
 }
 
-// NewTracker returns the tracker of a worker that has not been claimed yet.
+// NewTracker returns the Tracker of a worker that has not been claimed yet.
 func NewTracker(site OwnedWorker, owner string, timing membership.Timing, oldLeasesEnd time.Time) *Tracker {
 	t := &Tracker{site: site, owner: owner, timing: timing, state: fleet.Claiming, oldLeasesEnd: oldLeasesEnd}
 	t.reset()
@@ -57,7 +58,8 @@
 	t.version = 0
 }
 
-// SetOldLeasesEnd moves the time after which earlier owners' leases are gone.
+// SetOldLeasesEnd sets the time at which all leases of previous owners have
+// expired.
 func (t *Tracker) SetOldLeasesEnd(end time.Time) { t.oldLeasesEnd = end }
 
 // State returns the worker's state.
@@ -66,9 +68,9 @@
 // Superseded reports whether a later owner has claimed the worker.
 func (t *Tracker) Superseded() bool { return t.superseded }
 
-// NextRequest returns the next message to the worker. The lease it asks for is
+// NextRequest returns the next message to the worker. The lease it requests is
 // counted from the worker's own clock in its last reply, so it ends at most
-// WorkerLease after that reply was received, however late this arrives.
+// WorkerLease after that reply was received, however late the message arrives.
 func (t *Tracker) NextRequest(doubt []string) worker.SyncRequest {
 	t.seq++
 	req := worker.SyncRequest{
@@ -88,8 +90,8 @@
 	return req
 }
 
-// HandleReply takes in the answer to the message that Next returned last, and
-// reports whether anything changed that the planner should hear of.
+// HandleReply handles the reply to the last message from NextRequest. It
+// returns whether anything changed that has to be reported to the planner.
 func (t *Tracker) HandleReply(reply worker.SyncReply, receivedAt time.Time) bool {
 	changed := t.state != fleet.Ready || t.capacity != reply.Capacity || len(reply.Tasks) > 0
 	if t.boot != reply.Boot {
@@ -107,14 +109,14 @@
 	return changed
 }
 
-// workerRestarted drops what was known of the worker's previous process: nothing of
-// it runs any more, and starts meant for it must not reach its successor.
+// workerRestarted discards the state of the worker's previous process. Nothing
+// of it runs any more, and starts meant for it must not reach the new process.
 func (t *Tracker) workerRestarted(boot string) {
 	t.reset()
 	t.boot = boot
 }
 
-// removeDelivered removes what the answered message carried from the queues.
+// removeDelivered removes the contents of the answered message from the queues.
 func (t *Tracker) removeDelivered() {
 	if t.sent.Boot != t.boot {
 		return
@@ -131,9 +133,9 @@
 	}
 }
 
-// handleDeliveredStop keeps a stop until the task has ended. A worker applies stops
-// before starts, so a stop that travelled together with its own start must be
-// sent once more.
+// handleDeliveredStop keeps a stop queued until the task has ended. A worker
+// applies stops before starts, so a stop sent in the same message as its start
+// must be sent again.
 func (t *Tracker) handleDeliveredStop(stop worker.TaskStop) {
 	status, known := t.tasks[stop.Ref]
 	_, starting := t.start[stop.Ref]
@@ -146,7 +148,7 @@
 	}
 }
 
-// HandleFailure takes in that the last message got no answer, and reports whether
+// HandleFailure handles a failed call with the last message. It returns whether
 // the state changed.
 func (t *Tracker) HandleFailure(err error, now time.Time, mayAct bool) bool {
 	if errors.Is(err, worker.ErrStaleEpoch) {
@@ -156,17 +158,17 @@
 	return t.Tick(now, mayAct)
 }
 
-// Tick moves a worker that does not answer to Silent and then to Lost, and
-// reports whether the state changed.
+// Tick changes the state of an unresponsive worker to Silent and then to Lost.
+// It returns whether the state changed.
 //
-// Lost means that nothing can run there: no lease of this owner or an earlier
-// one is still running. Starting its tasks elsewhere any sooner could make a
-// task run in two places.
+// Lost means that nothing can be running there: all leases of this owner and of
+// previous ones have expired. Starting its tasks elsewhere any earlier could
+// run a task in two places.
 //
-// An owner without the right to act cannot say Lost: it may have been
-// overtaken, and the leases of later owners are not known to it. Before this
-// was checked, an owner that woke after a freeze reported a worker as lost
-// which its successor kept running.
+// An owner without the right to act must not declare a worker Lost: it may have
+// been superseded and does not know the leases of later owners. Before this
+// check, an owner that resumed after a freeze reported a worker as lost that
+// its successor kept running.
 func (t *Tracker) Tick(now time.Time, mayAct bool) bool {
 	before := t.state
 	switch {
--- a/internal/owner/tracker_assign.go
+++ b/internal/owner/tracker_assign.go
@@ -8,7 +8,7 @@
 	"gentianstand/internal/worker"
 )
 
-// Used returns what the worker's running and assigned tasks need.
+// Used returns the resources of the worker's running and assigned tasks.
 func (t *Tracker) Used() resource.Amount {
 	var used resource.Amount
 	for _, status := range t.tasks {
@@ -24,10 +24,11 @@
 	return used
 }
 
-// Assign queues what the planner decided and reports whether anything is to
-// be sent. The owner checks each start again: the planner may have decided on
-// an older picture, or be one that was overtaken, and must not oversell the
-// worker in either case. A start that is refused is reported as such.
+// Assign queues the planner's assignments and returns whether anything changed
+// that has to be sent or reported. The owner checks the capacity for each start
+// again, because the planner may have decided on outdated state or have been
+// superseded, and the worker must not be overcommitted. A start that does not
+// fit is reported as refused.
 func (t *Tracker) Assign(a fleet.Assignment) bool {
 	changed := false
 	for _, ref := range a.Ack {
@@ -59,7 +60,7 @@
 }
 
 // sending reports whether a start was part of the last message, so that the
-// worker may have seen it.
+// worker may have received it.
 func (t *Tracker) sending(ref worker.TaskRef) bool {
 	return slices.ContainsFunc(t.sent.Start, func(s worker.TaskStart) bool { return s.Ref == ref })
 }
@@ -80,7 +81,7 @@
 	return true
 }
 
-// Acknowledge notes that the end of an attempt is kept by the planner.
+// Acknowledge records that the planner has stored the end of an attempt.
 func (t *Tracker) Acknowledge(ref worker.TaskRef) {
 	status, ok := t.tasks[ref]
 	if !ok || !status.State.Ended() {
--- a/internal/owner/tracker_report.go
+++ b/internal/owner/tracker_report.go
@@ -7,7 +7,7 @@
 	"gentianstand/internal/worker"
 )
 
-// Report returns the owner's word on the worker.
+// Report returns the worker's state as a report to the planner.
 func (t *Tracker) Report() fleet.Report {
 	inst := t.site.Instance
 	r := fleet.Report{
@@ -39,7 +39,8 @@
 	return slices.Compact(names)
 }
 
-// NeedsSync reports whether there is something to send before the next beat.
+// NeedsSync reports whether there is something to send before the next periodic
+// sync.
 func (t *Tracker) NeedsSync() bool {
 	return t.state == fleet.Claiming || len(t.start)+len(t.stop) > 0
 }
--- a/internal/owner/tracker_test.go
+++ b/internal/owner/tracker_test.go
@@ -14,7 +14,7 @@
 	"gentianstand/internal/worker"
 )
 
-// rig is one stand-in worker under a controlled clock.
+// rig is a simulated worker under a controlled clock.
 type rig struct {
 	t      *testing.T
 	now    time.Time
@@ -29,7 +29,7 @@
 	return r
 }
 
-// owner returns a tracker under an epoch that has claimed the worker.
+// owner returns a Tracker that has claimed the worker under an epoch.
 func (r *rig) owner(epoch uint64) *Tracker {
 	r.t.Helper()
 	site := OwnedWorker{Instance: platform.Instance{ID: "w"}, Shard: "rack", Epoch: epoch}
@@ -38,7 +38,7 @@
 	return tr
 }
 
-// deliver brings a message to the worker and the answer back.
+// deliver sends a message to the worker and passes the reply back.
 func (r *rig) deliver(tr *Tracker, req worker.SyncRequest) error {
 	reply, err := r.worker.Sync(context.Background(), req)
 	if err != nil {
@@ -65,7 +65,8 @@
 	}
 }
 
-// Failure: a task runs that nobody asked for any more.
+// Guards against a delayed start from a superseded owner, which would run a
+// task that is no longer wanted.
 func TestLateStartOfSupersededOwner(t *testing.T) {
 	r := newRig(t)
 	old := r.owner(1)
@@ -84,7 +85,7 @@
 	r.expectRunning(0)
 }
 
-// Failure: a task that has ended runs again.
+// Guards against a delayed message that starts a completed task again.
 func TestLateMessageOfSameOwner(t *testing.T) {
 	r := newRig(t)
 	tr := r.owner(1)
@@ -101,7 +102,8 @@
 	r.expectRunning(0)
 }
 
-// Failure: tasks run on after their lease.
+// Guards against a delayed message that extends a lease, so that tasks run on
+// after the lease has expired.
 func TestLateMessageDoesNotExtendLease(t *testing.T) {
 	r := newRig(t)
 	tr := r.owner(1)
@@ -117,8 +119,8 @@
 	r.expectRunning(0)
 }
 
-// TestLostOnlyAfterLeases: a worker that stops answering is silent at first and
-// lost only once no lease can be running, and only to an owner that may act.
+// TestLostOnlyAfterLeases: a worker that stops answering is first Silent, and
+// Lost only once no lease can be running, and only to an owner that may act.
 func TestLostOnlyAfterLeases(t *testing.T) {
 	r := newRig(t)
 	timing := membership.DefaultTiming()
@@ -145,7 +147,7 @@
 }
 
 // TestNewOwnerWaitsForOldLeases: a worker that a new owner cannot reach is lost
-// only when leases of owners before it have ended.
+// only when the leases of previous owners have expired.
 func TestNewOwnerWaitsForOldLeases(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tr := NewTracker(OwnedWorker{Epoch: 2}, "o", membership.DefaultTiming(), now.Add(time.Minute))
@@ -159,8 +161,8 @@
 	}
 }
 
-// TestOwnerChecksCapacity: an owner refuses what its worker has no room for,
-// whatever the planner thought.
+// TestOwnerChecksCapacity: an owner refuses starts that exceed its worker's
+// free capacity, whatever the planner assigned.
 func TestOwnerChecksCapacity(t *testing.T) {
 	r := newRig(t)
 	tr := r.owner(1)
@@ -180,8 +182,8 @@
 	}
 }
 
-// TestStopSentWithItsStart: a stop that reaches the worker together with its
-// own start still ends the task.
+// TestStopSentWithItsStart: a stop that reaches the worker in the same message
+// as its start still ends the task.
 func TestStopSentWithItsStart(t *testing.T) {
 	r := newRig(t)
 	tr := r.owner(1)
@@ -195,8 +197,8 @@
 	r.expectRunning(0)
 }
 
-// TestRestartedWorkerDropsStarts: starts meant for a worker's earlier process do
-// not reach its successor.
+// TestRestartedWorkerDropsStarts: starts meant for a worker's previous process
+// do not reach the new one.
 func TestRestartedWorkerDropsStarts(t *testing.T) {
 	r := newRig(t)
 	tr := r.owner(1)
--- a/internal/owner/worker_loop.go
+++ b/internal/owner/worker_loop.go
@@ -13,26 +13,26 @@
 	"gentianstand/internal/worker"
 )
 
-// The periods of a minder.
+// Timing of a worker's loop.
 const (
-	// syncPeriod is how often an idle worker is called, claimPeriod how often
-	// one that has not been claimed yet.
+	// syncPeriod is the interval between calls to an idle worker, claimPeriod
+	// to one that is not claimed yet.
 	syncPeriod  = time.Second
 	claimPeriod = 200 * time.Millisecond
-	// coalesceDelay is how long an assignment, or news for the planner, waits for
-	// others to travel along.
+	// coalesceDelay is how long an assignment, or a change for the planner,
+	// waits so that further ones are sent with it.
 	coalesceDelay = 20 * time.Millisecond
-	// unansweredAfter is how long a request may go without any sign of an answer
-	// before the worker is asked about it.
+	// unansweredAfter is how long a request may go without any sign of a
+	// response before the worker is asked for its state.
 	unansweredAfter = 1500 * time.Millisecond
 )
 
-// workerLoop runs the loop of one worker: it turns a Tracker's messages into
-// calls, right after asking the gate.
+// workerLoop runs the loop of one worker. It sends a Tracker's messages,
+// checking the gate right before each call.
 type workerLoop struct {
 	id    string
 	epoch uint64
-	// address and shard do not change in a minder's life.
+	// address and shard do not change during the lifetime of a loop.
 	address string
 	shard   string
 
@@ -55,7 +55,7 @@
 	}
 }
 
-// waitForNext waits for the next beat, or for something to send.
+// waitForNext waits until the next sync is due or there is something to send.
 func (m *workerLoop) waitForNext(ctx context.Context) {
 	timer := time.NewTimer(m.period())
 	defer timer.Stop()
@@ -83,8 +83,8 @@
 	}
 }
 
-// sync makes one call, unless this process has lost the right to: then it
-// must not extend the lease, and lets the time decide.
+// sync makes one call to the worker. A process that has lost the right to act
+// must not extend the lease and only lets time pass.
 func (m *workerLoop) sync(ctx context.Context) {
 	now := time.Now()
 	if !m.mayAct(now) {
@@ -110,8 +110,9 @@
 	}
 }
 
-// mayAct also covers a shard that was handed over: its workers are served a
-// little longer, until the next owner has claimed them.
+// mayAct reports whether the worker may be called. That includes a shard that
+// was handed over: its workers are served for HandoverGrace longer, until the
+// next owner has claimed them.
 func (m *workerLoop) mayAct(now time.Time) bool {
 	if !m.owner.gate.MayAct(now) {
 		return false
@@ -148,7 +149,7 @@
 	m.publishState(changed, now)
 }
 
-// tick lets time pass for a worker that this process may not call.
+// tick updates the state of a worker that this process may not call.
 func (m *workerLoop) tick(now time.Time) {
 	m.mu.Lock()
 	changed := m.tracker.Tick(now, false)
@@ -157,7 +158,8 @@
 	m.publishState(changed, now)
 }
 
-// publishState brings news to the router, and to the planner if there are any.
+// publishState passes the worker's state to the router. If it changed, the
+// planner is notified as well.
 func (m *workerLoop) publishState(news bool, now time.Time) {
 	m.owner.router.SetWorker(m.info(), now)
 	if news {
@@ -165,8 +167,8 @@
 	}
 }
 
-// info is the worker as routing sees it. A worker whose drain was asked for
-// or that the platform lists as leaving is not open for new requests.
+// info returns the worker's state for the router. A worker that is being
+// drained, or that the platform lists as leaving, is not open for new requests.
 func (m *workerLoop) info() routing.WorkerInfo {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/ownership/action.go
+++ b/internal/ownership/action.go
@@ -2,8 +2,8 @@
 
 import "gentianstand/internal/live"
 
-// Action is one change to a shard's row that an instance should write. The
-// row is written only if it still has the version Was.
+// Action is a change of a shard's row that an instance should write. The row is
+// written only if it still has ExpectedVersion.
 type Action struct {
 	Shard           live.Shard
 	ExpectedVersion uint64
--- a/internal/ownership/decide.go
+++ b/internal/ownership/decide.go
@@ -7,22 +7,23 @@
 	"gentianstand/internal/live"
 )
 
-// Input is what Decide looks at.
+// Input is the state on which Decide bases its decisions.
 type Input struct {
 	Self      live.Process
 	View      live.View
 	Locations []ShardLocation
-	// Alive tells whether a process holds its session.
+	// Alive reports whether a process holds its session.
 	Alive func(live.Process) bool
-	// Renewing tells whether a process has been seen to renew it since the
-	// table was last out of reach; only such a one is given more.
+	// Renewing reports whether a process has been seen to renew its session
+	// since the table was last unavailable. Only such a process is given more
+	// shards.
 	Renewing func(live.Process) bool
 }
 
-// Decide returns the changes that Me should write: shards to take because
-// their owner is gone, and shards to hand over because another instance
-// should have them. Several instances may decide on different views; the
-// conditional write lets one of them win.
+// Decide returns the changes that Self should write: shards to take over
+// because their owner is gone, and shards to hand over because another instance
+// should own them. Several instances may decide on different views; the
+// conditional write lets only one of them succeed.
 func Decide(in Input) []Action {
 	alive := aliveInstances(in)
 	current := currentOwners(in)
@@ -60,8 +61,8 @@
 	return Action{Shard: next, ExpectedVersion: row.Version}
 }
 
-// electorsOf returns the electors that p's row named when it was last seen.
-// An empty list can never give a majority, so p then cannot be fenced.
+// electorsOf returns the electors that p's row named when it was last read. An
+// empty list never yields a majority, so p then cannot be fenced.
 func (in Input) electorsOf(p live.Process) []live.Process {
 	row := in.View.Instances[p.Instance]
 	switch p {
@@ -85,8 +86,8 @@
 	return alive
 }
 
-// currentOwners returns the instance that holds each shard, leaving out
-// shards whose owner is gone. A stopping owner that is alive still holds.
+// currentOwners returns the instance that owns each shard, without shards whose
+// owner is gone. An owner that is stopping but alive still counts.
 func currentOwners(in Input) map[string]string {
 	owners := map[string]string{}
 	for name, row := range in.View.Shards {
--- a/internal/ownership/desired.go
+++ b/internal/ownership/desired.go
@@ -9,15 +9,16 @@
 	"gentianstand/internal/live"
 )
 
-// Desired returns which instance should own each place. It keeps owners that
-// are alive as long as nobody has clearly more than others, so that one
-// change of the membership moves few shards.
+// Desired returns which instance should own each shard. Living owners are kept
+// as long as they are not overloaded, so that one membership change moves few
+// shards.
 //
-// An owner should stand in another availability zone of the same region than
-// its workers. If a zone goes, its workers and their owner then do not go
-// together: the owner lives, knows that it let the leases lapse, and starts
-// the work elsewhere within seconds. If both went, a newcomer could not tell
-// a dead owner from one that still renews the leases behind a cut.
+// An owner should be in another availability zone of the same region than its
+// workers. If a zone fails, the workers and their owner then do not fail
+// together: the owner survives, knows that it let the leases expire, and
+// restarts the work elsewhere within seconds. If both failed, a new owner could
+// not distinguish a dead owner from one that still renews the leases behind a
+// network partition.
 func Desired(alive []live.Instance, places []ShardLocation, current map[string]string) map[string]string {
 	if len(alive) == 0 {
 		return map[string]string{}
@@ -73,8 +74,8 @@
 	a.load[owner]++
 }
 
-// compare prefers an instance with room, then the right zone, then the least
-// loaded, then the highest hash.
+// compare prefers an instance below its maximum load, then the better zone,
+// then the lower load, then the higher hash.
 func (a *assigner) compare(p ShardLocation, x, y live.Instance) int {
 	if fx, fy := a.load[x.Process.Instance] >= a.maxLoad, a.load[y.Process.Instance] >= a.maxLoad; fx != fy {
 		return boolOrder(fx)
@@ -99,7 +100,7 @@
 	return best
 }
 
-// The order of preference between an instance and a place.
+// Distances between an instance and a shard, in order of preference.
 const (
 	otherZone = iota
 	sameZone
--- a/internal/ownership/held_shard.go
+++ b/internal/ownership/held_shard.go
@@ -7,21 +7,21 @@
 	"gentianstand/internal/membership"
 )
 
-// HeldShard is a shard that this process owns, and what it knows of the owners
-// before.
+// HeldShard is a shard that this process owns, with what it knows of the
+// previous owners.
 type HeldShard struct {
 	Shard   live.Shard
 	TakenAt time.Time
-	// HandedOverAt is when this process handed the shard over; it keeps its
-	// workers served for Timing.HandOver more. Zero while it owns the shard.
+	// HandedOverAt is when this process handed the shard over; it continues to
+	// serve the workers for Timing.HandoverGrace. Zero while it owns the shard.
 	HandedOverAt time.Time
-	// Fenced tells when a majority of a predecessor's electors had fenced it.
+	// Fenced records when a majority of a predecessor's electors had fenced it.
 	Fenced map[live.Process]time.Time
 }
 
-// OldLeasesEnd returns when no lease that an earlier owner gave can still be
-// running on a worker that does not answer. Only then may tasks of such a
-// worker be started elsewhere.
+// OldLeasesEnd returns when all leases granted by previous owners have
+// certainly expired, also on unresponsive workers. Only then may tasks of such
+// a worker be started elsewhere.
 func (h HeldShard) OldLeasesEnd(t membership.Timing) time.Time {
 	end := h.TakenAt
 	for _, p := range h.Shard.Predecessors {
@@ -33,7 +33,8 @@
 	return end
 }
 
-// PredecessorsStoppedBy returns when all owners before have certainly stopped.
+// PredecessorsStoppedBy returns when all previous owners have certainly
+// stopped.
 func (h HeldShard) PredecessorsStoppedBy(t membership.Timing) time.Time {
 	end := h.TakenAt
 	for _, p := range h.Shard.Predecessors {
@@ -55,8 +56,8 @@
 	return h.TakenAt.Add(t.Longer(t.OutageGrace))
 }
 
-// PredecessorsGone reports whether all predecessors have certainly stopped and their
-// leases have lapsed.
+// PredecessorsGone reports whether all predecessors have certainly stopped and
+// their leases have expired.
 func (h HeldShard) PredecessorsGone(t membership.Timing, now time.Time) bool {
 	return !now.Before(h.OldLeasesEnd(t))
 }
--- a/internal/ownership/identity.go
+++ b/internal/ownership/identity.go
@@ -2,7 +2,7 @@
 
 import "gentianstand/internal/live"
 
-// Identity is what a process writes about itself.
+// Identity is what a process publishes about itself in its row.
 type Identity struct {
 	Process     live.Process
 	Address     string
--- a/internal/ownership/keeper.go
+++ b/internal/ownership/keeper.go
@@ -15,8 +15,8 @@
 // scanLimit bounds one read of the watched rows.
 const scanLimit = 10_000
 
-// Keeper holds this process's session and shards. Run is its only loop; the
-// other methods may be called from anywhere.
+// Keeper maintains this process's session and its shards. Run is its only loop;
+// the other methods may be called from any goroutine.
 type Keeper struct {
 	id        Identity
 	timing    membership.Timing
@@ -33,21 +33,22 @@
 	configVersion uint64
 	view          live.View
 	electors      [][]live.Process
-	// offered are rows that other instances say name this process.
+	// offered holds rows reported by other instances that name this process as
+	// owner.
 	offered []live.Shard
 
-	// The fields below belong to Run.
+	// The fields below are used only by Run.
 	observer   *membership.Observer
 	beat       uint64
 	rights     string
 	replaced   live.Predecessor
 	held       map[string]HeldShard
 	handedOver map[string]HeldShard
-	// unconfirmed holds the row versions of hand-overs whose answers were lost.
+	// unconfirmed holds the row versions of handovers whose answers were lost.
 	unconfirmed map[string]uint64
 }
 
-// NewKeeper returns a Keeper. places lists the shards that should exist.
+// NewKeeper returns a Keeper. locations lists the shards that should exist.
 func NewKeeper(id Identity, timing membership.Timing, table platform.Table, peers Peers, session *membership.Session, places func() []ShardLocation, listener Listener, log *logrus.Entry) *Keeper {
 	return &Keeper{
 		id: id, timing: timing, table: table, peers: peers, locations: places, listener: listener, session: session, log: log,
@@ -57,7 +58,7 @@
 	}
 }
 
-// Run keeps the session until ctx ends or the session is lost.
+// Run maintains the session until ctx ends or the session is lost.
 func (k *Keeper) Run(ctx context.Context) {
 	ticker := time.NewTicker(k.timing.Poll)
 	defer ticker.Stop()
@@ -71,7 +72,7 @@
 	}
 }
 
-// Kick makes Run read the table now, because a peer says it changed.
+// Kick makes Run read the table immediately, because a peer reported a change.
 func (k *Keeper) Kick() {
 	select {
 	case k.wakeup <- struct{}{}:
@@ -79,7 +80,7 @@
 	}
 }
 
-// SetStopping asks Run to hand everything over.
+// SetStopping makes Run hand over all shards.
 func (k *Keeper) SetStopping() {
 	k.mu.Lock()
 	k.stopping = true
@@ -87,7 +88,8 @@
 	k.Kick()
 }
 
-// SetConfigVersion notes the configuration in force, for the session's row.
+// SetConfigVersion sets the version of the configuration in force, which is
+// written to the session's row.
 func (k *Keeper) SetConfigVersion(v uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -101,14 +103,14 @@
 	return k.view
 }
 
-// cycle is one round: read, renew, change what should change. When the table
-// does not answer it asks the electors instead.
+// cycle reads the table, renews the session and writes due changes. When the
+// table does not answer, it asks the electors instead.
 func (k *Keeper) cycle(ctx context.Context) {
 	view, err := k.read(ctx)
 	k.acceptOffered()
 	if err == nil {
-		// What was lost to others is dropped before the session counts as
-		// valid again, or this process would act on it in between.
+		// Drop shards that now belong to others before the session is valid
+		// again. Otherwise this process would act on them in between.
 		k.syncShards(view)
 		k.publish()
 		err = k.renew(ctx, view)
--- a/internal/ownership/keeper_electors.go
+++ b/internal/ownership/keeper_electors.go
@@ -10,7 +10,8 @@
 	"gentianstand/internal/membership"
 )
 
-// confirmOutage asks all electors at once and notes if a majority vouches.
+// confirmOutage asks all electors in parallel and records whether a majority
+// attests the outage.
 func (k *Keeper) confirmOutage(ctx context.Context) {
 	now := time.Now()
 	if k.session.SinceTableAnswer(now) < k.timing.AttestAfter {
@@ -35,7 +36,7 @@
 	k.log.WithField("vouched", len(vouched)).Debug("outage_confirmed")
 }
 
-// askElectors calls every elector at once and returns those that said yes.
+// askElectors calls all electors in parallel and returns those that agreed.
 func (k *Keeper) askElectors(ctx context.Context, electors []live.Process, call func(context.Context, live.Process) bool) []live.Process {
 	ctx, cancel := context.WithTimeout(ctx, k.timing.Poll)
 	defer cancel()
@@ -60,7 +61,7 @@
 	return yes
 }
 
-// fencePredecessors fences owners before this one that may still be running.
+// fencePredecessors fences previous owners that may still be running.
 func (k *Keeper) fencePredecessors(ctx context.Context) {
 	fenced := map[live.Process]time.Time{}
 	for _, held := range k.held {
@@ -80,12 +81,13 @@
 	}
 }
 
-// fence asks p's electors never to vouch for it again, and returns when a
-// majority had promised, or the zero time.
+// fence asks p's electors never to attest an outage for it again. It returns
+// when a majority had promised, or the zero time.
 //
-// An elector whose instance has a new process counts as having promised: the
-// platform replaces an instance by ending it. Otherwise, after all instances
-// were restarted at once, nobody could be fenced for as long as OutageGrace.
+// An elector whose instance has a new process counts as having promised,
+// because the platform ends the old process before it replaces an instance.
+// Otherwise, after a simultaneous restart of all instances, no process could be
+// fenced until OutageGrace has passed.
 func (k *Keeper) fence(ctx context.Context, p live.Predecessor) time.Time {
 	answered := k.askElectors(ctx, p.Electors, func(ctx context.Context, elector live.Process) bool {
 		return k.peers.Fence(ctx, elector, p.Process) == nil
--- a/internal/ownership/keeper_offers.go
+++ b/internal/ownership/keeper_offers.go
@@ -6,9 +6,10 @@
 	"gentianstand/internal/live"
 )
 
-// offer tells the next owner of a shard of the row that names it. If the table goes down
-// before it has read that row, nobody would own the shard for all of the outage. The
-// planner's shard is not offered: its next owner needs the table to read the runs.
+// offer sends the next owner of a shard the row that names it. If the table
+// became unavailable before the next owner read that row, the shard would have
+// no owner during the whole outage. The planner's shard is not offered, because
+// its next owner needs the table to read the runs.
 func (k *Keeper) offer(shard live.Shard) {
 	if shard.Name == live.PlannerShard {
 		return
@@ -22,8 +23,8 @@
 	}()
 }
 
-// ShardOffered takes in that the written row of a shard names this process as its owner.
-// It may be called from anywhere.
+// ShardOffered records that the row of a shard, as written, names this process
+// as its owner. It may be called from any goroutine.
 func (k *Keeper) ShardOffered(shard live.Shard) {
 	k.mu.Lock()
 	k.offered = append(k.offered, shard)
@@ -31,9 +32,9 @@
 	k.Kick()
 }
 
-// acceptOffered takes the offered shards, as if their rows had been read. A row that
-// names another process, or is older than what was read, is passed over: the offer
-// was late.
+// acceptOffered takes over the offered shards as if their rows had been read.
+// An offer is ignored as late if its row names another process or is older than
+// what was read.
 func (k *Keeper) acceptOffered() {
 	k.mu.Lock()
 	offered, view := k.offered, k.view
--- a/internal/ownership/keeper_offers_test.go
+++ b/internal/ownership/keeper_offers_test.go
@@ -14,7 +14,7 @@
 	"gentianstand/internal/platform"
 )
 
-// downTable is a table in an outage.
+// downTable is a table that is unavailable.
 type downTable struct{ platform.Table }
 
 func (downTable) Scan(context.Context, string, string, int) ([]platform.Row, error) {
@@ -23,7 +23,7 @@
 
 func (downTable) Commit(context.Context, platform.Tx) error { return platform.ErrUnavailable }
 
-// giving passes offers on to another keeper.
+// giving forwards offers to another keeper.
 type giving struct {
 	Peers
 	to *Keeper
@@ -55,8 +55,10 @@
 	return NewKeeper(id, timing, downTable{}, peers, membership.NewSession(timing, time.Now()), func() []ShardLocation { return nil }, l, logrus.NewEntry(log))
 }
 
-// Failure: services and watch tasks of two racks stop in an outage of the table, and
-// start a second time after it.
+// Guards against a shard without an owner during an outage of the table, if the
+// table fails right after a handover. In that case the services and the tasks
+// of two racks stopped during the outage and were started a second time after
+// it.
 func TestHandoverIsOfferedToNextOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		heard := &heldNames{}
@@ -75,7 +77,7 @@
 	})
 }
 
-// A late offer must not bring an old owner back.
+// A late offer must not restore a previous owner.
 func TestLateOffersAreIgnored(t *testing.T) {
 	heard := &heldNames{}
 	k := keeperIn("next", nil, heard)
--- a/internal/ownership/keeper_session.go
+++ b/internal/ownership/keeper_session.go
@@ -13,8 +13,8 @@
 	"gentianstand/internal/platform"
 )
 
-// logRightsChange logs when this process gains, loses or changes the ground of its
-// right to act.
+// logRightsChange logs when this process gains or loses its right to act, or
+// when the basis of that right changes.
 func (k *Keeper) logRightsChange(now time.Time) {
 	rights := "none"
 	switch {
@@ -50,8 +50,8 @@
 	return view, nil
 }
 
-// renew writes this process's row. The write is conditional, so a process
-// that was replaced on its address finds out and ends.
+// renew writes this process's row. The write is conditional, so a process whose
+// instance has a new process detects that and ends.
 func (k *Keeper) renew(ctx context.Context, view live.View) error {
 	current := view.Instances[k.id.Process.Instance]
 	if current.Process != k.id.Process {
@@ -120,9 +120,9 @@
 	k.listener.SessionLost()
 }
 
-// addElectors adds a list of electors that a write under way may install.
-// If the answer is lost the row may name either list, so from now on a
-// majority of each is needed.
+// addElectors adds the list of electors that a write in progress may install.
+// If its answer is lost, the row may name either list, so a majority of each is
+// required from then on.
 func (k *Keeper) addElectors(list []live.Process) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/ownership/keeper_shards.go
+++ b/internal/ownership/keeper_shards.go
@@ -13,7 +13,8 @@
 	"gentianstand/internal/platform"
 )
 
-// applyDecisions writes what Decide wants and takes over the result.
+// applyDecisions writes the changes that Decide returns and records their
+// result.
 func (k *Keeper) applyDecisions(ctx context.Context, view live.View) {
 	if !k.session.Valid(time.Now()) {
 		return
@@ -45,9 +46,9 @@
 	}
 }
 
-// removeDeadInstances removes rows of processes that have been dead for so long that nobody
-// can still need them, if this process plans. Instances come and go under new
-// ids, and all rows are read in each poll.
+// removeDeadInstances removes the rows of processes that have been dead so long
+// that nobody can still need them, if this process owns the planner shard.
+// Instances come and go under new IDs, and every poll reads all rows.
 func (k *Keeper) removeDeadInstances(ctx context.Context, view live.View) {
 	if _, plans := k.held[live.PlannerShard]; !plans {
 		return
@@ -79,9 +80,10 @@
 	}
 }
 
-// handleUnconfirmedWrite handles a write whose answer was lost. A shard that it may have handed
-// over is treated as given from the moment the write was sent: the next owner
-// counts on this process stopping, also if the table answers no more.
+// handleUnconfirmedWrite handles a write whose answer was lost. A shard that it
+// may have handed over counts as handed over from the time the write was sent,
+// because the next owner relies on this process to stop, even if the table
+// remains unavailable.
 func (k *Keeper) handleUnconfirmedWrite(actions []Action, sentAt time.Time) {
 	for _, a := range actions {
 		if a.Shard.Owner != k.id.Process {
@@ -92,8 +94,9 @@
 	k.log.WithField("shards", len(actions)).Warn("shard_write_in_doubt")
 }
 
-// syncShards takes over rows that name this process as owner, also those that a
-// handing-over owner or a write with a lost answer left, and drops others.
+// syncShards takes over rows that name this process as owner, including those
+// left by a previous owner's handover or by a write with a lost answer. It
+// drops shards that have another owner.
 func (k *Keeper) syncShards(view live.View) {
 	for name, row := range view.Shards {
 		held, ok := k.held[name]
@@ -116,8 +119,8 @@
 	}
 }
 
-// bumpVersion rewrites a row as it is, so that a doubtful hand-over still on its
-// way finds another version and cannot take effect any more.
+// bumpVersion rewrites a row unchanged, so that an unconfirmed handover that is
+// still in transit finds another version and has no effect.
 func (k *Keeper) bumpVersion(row live.Shard) {
 	ctx, cancel := context.WithTimeout(context.Background(), k.timing.Poll)
 	defer cancel()
@@ -147,7 +150,8 @@
 	return logrus.Fields{"shard": row.Name, "epoch": row.Epoch, "owner": row.Owner.Instance}
 }
 
-// clearPredecessors clears predecessors that have certainly stopped from the rows.
+// clearPredecessors removes predecessors that have certainly stopped from the
+// rows.
 func (k *Keeper) clearPredecessors(ctx context.Context) {
 	now := time.Now()
 	for name, held := range k.held {
@@ -164,7 +168,8 @@
 	}
 }
 
-// rewrite stores a row that this process owns, if nobody changed it.
+// rewrite stores a row that this process owns, if it has not changed in the
+// meantime.
 func (k *Keeper) rewrite(ctx context.Context, row live.Shard) error {
 	value, err := json.Marshal(row)
 	if err != nil {
--- a/internal/ownership/peers.go
+++ b/internal/ownership/peers.go
@@ -6,12 +6,12 @@
 	"gentianstand/internal/live"
 )
 
-// Peers is how a Keeper reaches electors and the next owners of its shards.
+// Peers gives a Keeper access to electors and to the next owners of its shards.
 type Peers interface {
-	// AttestOutage asks an elector to vouch for subject.
+	// AttestOutage asks an elector to attest an outage of the table to subject.
 	AttestOutage(ctx context.Context, elector, subject live.Process) (bool, error)
-	// Fence asks an elector never again to vouch for subject.
+	// Fence asks an elector never again to attest an outage to subject.
 	Fence(ctx context.Context, elector, subject live.Process) error
-	// Give tells the owner that a shard's row names of the row, which was written.
+	// OfferShard sends the written row of a shard to the owner that it names.
 	OfferShard(ctx context.Context, shard live.Shard) error
 }
--- a/internal/ownership/shard_location.go
+++ b/internal/ownership/shard_location.go
@@ -1,6 +1,7 @@
 package ownership
 
-// ShardLocation is a shard that should have an owner.
+// ShardLocation names a shard that should have an owner, with the region and
+// zone of its workers.
 type ShardLocation struct {
 	Name   string
 	Region string
--- a/internal/planner/core.go
+++ b/internal/planner/core.go
@@ -12,8 +12,8 @@
 	"gentianstand/internal/worker"
 )
 
-// Core is the planner's state and decisions. It is not safe for concurrent
-// use; time is passed in.
+// Core holds the planner's state and makes its decisions. It is not safe for
+// concurrent use; the current time is passed in.
 type Core struct {
 	text   *spec.Text
 	number uint64
@@ -21,7 +21,8 @@
 	runs    map[string]*entry
 	active  map[string]*entry
 	workers map[string]*workerView
-	// orphanCounts counts running attempts of a task that the books do not have.
+	// orphanCounts holds, per task, the number of running attempts that the
+	// planner did not record.
 	orphanCounts map[taskKey]int
 	// cluster is rebuilt when the set of workers or their state changes.
 	cluster      *cluster.Cluster
@@ -33,22 +34,23 @@
 	board   *health.Board
 
 	recovery recovery
-	// outage says that nothing can be written at present.
+	// outage is true while the table is confirmed to be unavailable and nothing
+	// can be written.
 	outage bool
-	// claims keeps workers for urgent runs while victims make room.
+	// claims reserves workers for urgent runs while preempted tasks stop there.
 	claims      map[string]claim
 	reservation reservation
 
 	changed map[string]*entry
-	// decided are starts that have not gone into a batch; unwritten also holds
-	// those whose batch is under way.
+	// decided holds starts that are not part of a batch yet. unwritten also
+	// holds those whose batch is being written.
 	decided   []start
 	unwritten map[taskKey]int
 	outbox    *outbox
 	events    []Event
 }
 
-// NewCore returns a Core with the runs that the table holds.
+// NewCore returns a Core with the runs read from the table.
 func NewCore(runs []*run.Run, now time.Time) *Core {
 	c := &Core{
 		text: &spec.Text{}, runs: map[string]*entry{}, active: map[string]*entry{},
@@ -80,7 +82,7 @@
 	}
 }
 
-// recordAssignment enters an assigned task in the books of its worker and team.
+// recordAssignment adds an assigned task to its worker and to its team's usage.
 func (c *Core) recordAssignment(e *entry, index int) {
 	t := &e.run.Tasks[index]
 	v := c.workerView(t.Worker)
@@ -113,7 +115,8 @@
 	return v
 }
 
-// findNode returns the worker's place in the cluster, if that is current.
+// findNode returns the worker's index in the cluster. It returns false if the
+// cluster has to be rebuilt.
 func (c *Core) findNode(id string) (int, bool) {
 	if c.clusterStale || c.cluster == nil {
 		return 0, false
--- a/internal/planner/core_test.go
+++ b/internal/planner/core_test.go
@@ -30,8 +30,8 @@
 	return fmt.Sprintf("%s:\n  - name: %s\n    team: %s\n    tasks: %d\n    resources: {cpu: %d, memory: 1GiB}\n%s", list, name, team, tasks, cpu, more)
 }
 
-// TestNeverRunnable: a job that no worker can hold says so at once, with the
-// nearest worker and what is missing, and blocks nobody.
+// TestNeverRunnable: a job that fits no worker reports so at once, with the
+// nearest worker and what it lacks, and does not delay other runs.
 func TestNeverRunnable(t *testing.T) {
 	s := newSite(t, 2, fourCores, teams+work("jobs", "huge", "a", 1, 64, "    urgency: urgent\n")+work("batches", "small", "a", 8, 1, ""))
 	s.steps(2)
@@ -47,7 +47,7 @@
 }
 
 // TestQuota: a team that may not borrow stays within its quota; one that may
-// uses what others leave, and gives way when they come.
+// borrow uses what other teams leave unused and yields when they need it.
 func TestQuota(t *testing.T) {
 	s := newSite(t, 4, fourCores, teams+work("batches", "strict", "c", 10, 1, "")+"  - name: greedy\n    team: a\n    tasks: 20\n    resources: {cpu: 1, memory: 1GiB}\n")
 	s.steps(3)
@@ -58,7 +58,7 @@
 	}
 }
 
-// Failure: everything fails although one worker of four is bad.
+// Guards against all runs failing although only one worker of 4 is faulty.
 func TestFailingWorkerIsQuarantined(t *testing.T) {
 	text := teams
 	list := "batches:\n"
@@ -88,7 +88,8 @@
 	}
 }
 
-// TestFailingJobQuarantinesNoWorker: a job that fails everywhere takes no worker out.
+// TestFailingJobQuarantinesNoWorker: a job that fails on every worker must not
+// cause any of them to be quarantined.
 func TestFailingJobQuarantinesNoWorker(t *testing.T) {
 	s := newSite(t, 3, fourCores, teams+work("batches", "bad", "a", 6, 1, "    retries: 3\n")+"  - name: good\n    team: a\n    tasks: 12\n    resources: {cpu: 1, memory: 1GiB}\n    start: on-submit\n")
 	for range 400 {
@@ -101,7 +102,8 @@
 	s.expectRunning("good", 12)
 }
 
-// Failure: a letter is sent twice, or its run is called a failure that did not happen.
+// Guards against a second execution of a task that is not idempotent, and
+// against reporting an unknown outcome as a failure.
 func TestNonIdempotentTaskIsNotRetried(t *testing.T) {
 	s := newSite(t, 2, fourCores, teams+work("batches", "letters", "a", 2, 4, "    idempotent: false\n    retries: 5\n"))
 	s.steps(2)
@@ -120,7 +122,8 @@
 	}
 }
 
-// TestDependencies: a run waits for services to run and for batches to succeed.
+// TestDependencies: a run waits until its services run and its batches have
+// succeeded.
 func TestDependencies(t *testing.T) {
 	text := teams + "services:\n  - name: desk\n    team: a\n    resources: {cpu: 1, memory: 1GiB}\n" +
 		work("batches", "first", "a", 1, 1, "    depends_on: [desk]\n") + work("jobs", "second", "a", 1, 1, "    depends_on: [first]\n")
@@ -135,8 +138,8 @@
 	s.expectRunning("second", 1)
 }
 
-// TestMemoryOveruse: a task that uses more memory than it was given is moved and
-// gets its true size; one that must not be repeated is throttled and left.
+// TestMemoryOveruse: a repeatable task that uses more memory than it was given
+// is restarted with its actual size.
 func TestMemoryOveruse(t *testing.T) {
 	s := newSite(t, 2, fourCores, teams+work("batches", "grows", "a", 1, 1, ""))
 	s.steps(2)
@@ -158,7 +161,7 @@
 	}
 }
 
-// TestRollingUpdate: a changed service is replaced a part at a time.
+// TestRollingUpdate: the replicas of a changed service are replaced gradually.
 func TestRollingUpdate(t *testing.T) {
 	text := teams + "services:\n  - name: desk\n    team: a\n    replicas: 8\n    resources: {cpu: 1, memory: 1GiB}\n"
 	s := newSite(t, 4, fourCores, text)
@@ -179,8 +182,8 @@
 	}
 }
 
-// TestConfigIsAppliedOnce: the same text, planned again by another planner,
-// starts nothing twice; an old text changes nothing.
+// TestConfigIsAppliedOnce: applying the same configuration again starts nothing
+// twice, and an older configuration changes nothing.
 func TestConfigIsAppliedOnce(t *testing.T) {
 	text := teams + work("batches", "once", "a", 2, 1, "")
 	s := newSite(t, 2, fourCores, text)
@@ -197,8 +200,8 @@
 	}
 }
 
-// TestCancellationWave: a wave of cancellations costs time linear in the wave;
-// tasks that had not started are not started.
+// TestCancellationWave: cancelling many runs at once takes time linear in their
+// number and starts none of their pending tasks.
 func TestCancellationWave(t *testing.T) {
 	s := newSite(t, 2, fourCores, teams+work("batches", "many", "a", 50, 1, "    start: on-submit\n"))
 	for i := range 40 {
@@ -221,7 +224,9 @@
 	}
 }
 
-// Failure: tasks of a restarted worker start a second time while they run.
+// Guards against a second start of tasks that are running on a restarted
+// worker. It would happen if a report from before the restart, delivered late,
+// were accepted.
 func TestOutdatedReportIsDropped(t *testing.T) {
 	s := newSite(t, 1, fourCores, teams+work("batches", "plain", "a", 2, 1, ""))
 	s.steps(3)
@@ -244,7 +249,8 @@
 	}
 }
 
-// Failure: a task runs that no row tells of, and a successor starts it again.
+// Guards against a running task without a row, which a new planner would start
+// again.
 func TestStartWaitsForItsRow(t *testing.T) {
 	s := newSite(t, 2, fourCores, teams+work("batches", "plain", "a", 2, 1, "")+"  - name: letters\n    team: a\n    idempotent: false\n    resources: {cpu: 1, memory: 1GiB}\n")
 	s.now = s.now.Add(time.Second)
--- a/internal/planner/decide.go
+++ b/internal/planner/decide.go
@@ -4,24 +4,25 @@
 	"time"
 )
 
-// The bounds of one cycle.
+// Limits of one cycle.
 const (
-	// maxPlacementsPerCycle bounds the tasks placed in one Decide, so that reports
-	// and cancellations are never kept waiting for long.
+	// maxPlacementsPerCycle bounds the tasks placed by one Decide, so that
+	// reports and cancellations are not delayed for long.
 	maxPlacementsPerCycle = 1000
-	// quantum is how many tasks of a run are placed before the next run's
-	// turn, so that teams share fairly within a cycle.
+	// quantum is the number of tasks placed for one run before the next run
+	// gets its turn, so that teams share fairly within a cycle.
 	quantum = 16
 )
 
-// Decide places pending tasks and reports whether it should run again at once
-// because it reached its bound.
+// Decide places pending tasks. It returns true if it reached its placement
+// limit and should run again at once.
 //
-// The cycle: gather the runs with work that may start, order them, place a
-// quantum of each in turn until nothing more fits; then reserve room for the
-// first gang that did not fit, and make room for urgent work.
+// A cycle collects the runs with tasks that may start, updates the reservation
+// for the first gang that does not fit, places a quantum of each run in turn
+// until nothing more fits, and then preempts tasks for urgent work.
 //
-// In a confirmed outage of the table only work that may be repeated is placed.
+// During a confirmed outage of the table only work that may be repeated is
+// placed.
 func (c *Core) Decide(now time.Time, outage bool) bool {
 	c.outage = outage
 	for _, e := range c.active {
@@ -43,7 +44,7 @@
 	return placed >= maxPlacementsPerCycle
 }
 
-// endQuarantines puts workers back whose quarantine has ended.
+// endQuarantines makes workers schedulable again whose quarantine has ended.
 func (c *Core) endQuarantines(now time.Time) {
 	if c.clusterStale || c.cluster == nil {
 		return
--- a/internal/planner/end.go
+++ b/internal/planner/end.go
@@ -8,7 +8,7 @@
 	"gentianstand/internal/worker"
 )
 
-// endRun ends a run: what is pending is cancelled, what runs is stopped.
+// endRun cancels the pending tasks of a run and stops its running ones.
 func (c *Core) endRun(e *entry, by string, now time.Time) {
 	if e.run.State == run.Stopping {
 		return
@@ -31,9 +31,9 @@
 	c.updateRunState(e, now)
 }
 
-// cancelPending ends a task that waits. While the planner recovers, an attempt
-// of it may be running unknown to the books; the report of its worker then
-// shows a stray attempt, which is stopped.
+// cancelPending cancels a pending task. During recovery an attempt of it may be
+// running that the planner has not recorded; the report of its worker then
+// shows an orphaned attempt, which is stopped.
 func (c *Core) cancelPending(e *entry, index int) {
 	c.finishTask(e, index, run.TaskCancelled)
 }
--- a/internal/planner/entry.go
+++ b/internal/planner/entry.go
@@ -9,35 +9,39 @@
 	"gentianstand/internal/worker"
 )
 
-// entry is a run in the planner's memory.
+// entry is the planner's in-memory state of a run.
 type entry struct {
 	run *run.Run
-	// head and chunks tell what has changed since the last write.
+	// head and chunks mark what has changed since the last write.
 	head   bool
 	chunks map[int]bool
-	// stored is how many chunks the table has.
+	// stored is the number of chunks in the table.
 	stored int
-	// pending counts tasks that wait for a worker.
+	// pending is the number of tasks that wait for a worker.
 	pending int
-	// inherited says that an earlier planner may have started tasks of the run
-	// unwritten in an outage; pending ones wait for recovery.
+	// inherited is true if a previous planner may have started tasks of the run
+	// during an outage without recording them. Pending tasks of such a run wait
+	// for recovery.
 	inherited bool
-	// readySince is when the run's work became ready; reason why it waits.
+	// readySince is when the run's work became ready; reason is why it waits.
 	readySince time.Time
 	reason     string
-	// infeasible says that no worker could hold the run, as of fleetVersion.
+	// infeasible is true if no worker could hold a task of the run, as of
+	// fleetVersion.
 	infeasible   bool
 	fleetVersion int
-	// writing says that rows of the run are being written; acks wait for that.
+	// writing is true while rows of the run are being written; acks are held
+	// back until then.
 	writing bool
 	acks    []ack
-	// removed says that the rows of the finished run are to go.
+	// removed is true if the rows of the finished run are to be deleted.
 	removed bool
-	// waiters are told when the run has been written.
+	// waiters are called with the result once the run has been written.
 	waiters []func(error)
 }
 
-// ack is an ended attempt that its worker may forget once that is kept.
+// ack is an ended attempt that its worker may forget once the end has been
+// written.
 type ack struct {
 	worker, boot string
 	ref          worker.TaskRef
@@ -53,8 +57,8 @@
 	return e
 }
 
-// repeatable reports whether a task of the run may be executed once more after
-// an attempt whose end is not known.
+// repeatable reports whether a task of the run may be executed again after an
+// attempt with an unknown outcome.
 func (e *entry) repeatable() bool {
 	return e.run.Workload.Kind == spec.Service || e.run.Workload.Idempotent
 }
@@ -70,8 +74,8 @@
 
 func (e *entry) dirty() bool { return e.head || len(e.chunks) > 0 }
 
-// need is what each task of the run gets: what is declared, or more if tasks
-// of this workload have shown to use more.
+// need returns the resources given to each task of the run: the declared ones,
+// or more if earlier tasks of the workload used more.
 func (c *Core) need(e *entry) resource.Amount {
 	declared := e.run.Workload.Need
 	if h, ok := c.history[e.run.Workload.Name]; ok {
@@ -82,5 +86,6 @@
 	return declared
 }
 
-// minSizeConfidence is how far history must be trusted before it enlarges a task.
+// minSizeConfidence is the confidence in the usage history from which it may
+// increase a task's resources.
 const minSizeConfidence = 0.5
--- a/internal/planner/environment.go
+++ b/internal/planner/environment.go
@@ -6,12 +6,12 @@
 	"gentianstand/internal/platform"
 )
 
-// Environment is what a planner looks at besides its own state.
+// Environment gives the planner access to state outside the Core.
 type Environment struct {
 	// View returns the watched rows as last read.
 	View func() live.View
-	// Directory returns the platform's list as last read.
+	// Directory returns the platform's list of instances as last read.
 	Directory func() []platform.Instance
-	// Config is the configuration in force here.
+	// Config is the configuration in force on this instance.
 	Config *config.Current
 }
--- a/internal/planner/event.go
+++ b/internal/planner/event.go
@@ -1,6 +1,6 @@
 package planner
 
-// Event is something that belongs in the log: one line of key=value pairs.
+// Event is an occurrence to be logged and counted.
 type Event struct {
 	Name   string
 	Run    string
@@ -13,7 +13,7 @@
 	c.events = append(c.events, Event{Name: name, Run: runID, Task: task, Worker: workerID, Detail: detail})
 }
 
-// Events returns what happened since the last call.
+// Events returns the events since the last call and clears them.
 func (c *Core) Events() []Event {
 	events := c.events
 	c.events = nil
--- a/internal/planner/fleet.go
+++ b/internal/planner/fleet.go
@@ -7,7 +7,8 @@
 	"gentianstand/internal/resource"
 )
 
-// snapshot returns the cluster to place on, rebuilt if workers have changed.
+// snapshot returns the cluster to place tasks on. It is rebuilt if workers have
+// changed.
 func (c *Core) snapshot(now time.Time) *cluster.Cluster {
 	if !c.clusterStale && c.cluster != nil {
 		return c.cluster
@@ -37,7 +38,8 @@
 	}
 }
 
-// allocateAssigned takes what the books and orphans use on a worker.
+// allocateAssigned allocates the resources of a worker's recorded tasks and
+// orphaned attempts.
 func (c *Core) allocateAssigned(i int, v *workerView) {
 	for key := range v.tasks {
 		e := c.runs[key.run]
@@ -48,7 +50,7 @@
 	}
 }
 
-// total returns the capacity of all usable workers.
+// total returns the total capacity of all usable workers.
 func (c *Core) total() resource.Amount {
 	var sum resource.Amount
 	for i := range c.cluster.Len() {
--- a/internal/planner/gangs_test.go
+++ b/internal/planner/gangs_test.go
@@ -19,7 +19,7 @@
 	s.expectRunning("gang", 4)
 }
 
-// Failure: a job goes on with some of its tasks.
+// Guards against a job that continues with only some of its tasks.
 func TestGangRestartsTogether(t *testing.T) {
 	s := newSite(t, 4, fourCores, teams+work("jobs", "gang", "a", 4, 2, ""))
 	s.steps(3)
@@ -39,8 +39,8 @@
 	}
 }
 
-// Failure: a job for the whole site never starts while small work keeps coming. Cause
-// to be ruled out: every hole is filled at once by the next small task.
+// Guards against starvation of a job that needs all workers: without a
+// reservation, the next small task uses any capacity that becomes free.
 func TestGangIsNotStarved(t *testing.T) {
 	text := teams + work("jobs", "gang", "a", 8, 2, "    run_time: 30s\n") + work("batches", "small", "a", 1, 2, "    run_time: 1m\n    start: on-submit\n")
 	s := newSite(t, 4, fourCores, text)
--- a/internal/planner/metrics.go
+++ b/internal/planner/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// plannerMetrics counts what a planner does.
+// plannerMetrics holds the metrics of a planner.
 type plannerMetrics struct {
 	cycles  *metrics.Histogram
 	commits *metrics.Counter
--- a/internal/planner/mix_baseline_test.go
+++ b/internal/planner/mix_baseline_test.go
@@ -8,11 +8,11 @@
 	"gentianstand/internal/resource"
 )
 
-// baseline is a plain scheduler: it walks the queue in the order of arrival,
-// places what fits by one rule and passes over what does not.
+// baseline is a simple scheduler. It scans the queue in order of arrival,
+// places what fits by a single rule and skips the rest.
 type baseline struct {
 	name string
-	// better tells whether worker a is preferred over b.
+	// better reports whether worker a is preferred over b.
 	better func(a, b *cluster.Node) bool
 }
 
@@ -45,7 +45,7 @@
 	return best
 }
 
-// run feeds the stream to the baseline.
+// run executes the stream with the baseline.
 func (b baseline) run(u mixUser, stream mixStream) mixResult {
 	s := newMixSite(u, stream)
 	s.cluster = cluster.New(mixNodes(u))
@@ -67,7 +67,8 @@
 	return s.result()
 }
 
-// place starts whole runs: all their tasks or, for a batch, as many as fit.
+// place starts queued runs: all tasks of a job or none, and as many tasks of a
+// batch as fit. It returns the runs that are not fully started.
 func (b baseline) place(s *mixSite, queue []int, now time.Duration) []int {
 	var left []int
 	for _, job := range queue {
--- a/internal/planner/mix_ours_test.go
+++ b/internal/planner/mix_ours_test.go
@@ -12,8 +12,8 @@
 	"gentianstand/internal/worker"
 )
 
-// coreDriver feeds a stream to the planner's core, pretending to be the owners
-// of all workers.
+// coreDriver executes a stream with the planner's Core and plays the part of
+// all owners of workers.
 type coreDriver struct {
 	*mixSite
 	core     *planner.Core
@@ -108,7 +108,7 @@
 	}
 }
 
-// decide lets the core work until it has nothing more to do in this tick.
+// decide runs four cycles of the Core within one tick.
 func (d *coreDriver) decide(now time.Duration) {
 	for range 4 {
 		d.core.Decide(d.epoch.Add(now), false)
--- a/internal/planner/mix_site_test.go
+++ b/internal/planner/mix_site_test.go
@@ -7,7 +7,7 @@
 	"gentianstand/internal/placement/cluster"
 )
 
-// mixTask is one task in the driver.
+// mixTask is one started task.
 type mixTask struct {
 	job, index int
 	submitted  time.Duration
@@ -17,7 +17,8 @@
 	left       time.Duration
 }
 
-// mixSite runs a stream with one scheduler and measures.
+// mixSite executes a stream with one scheduler and measures waiting times and
+// utilization.
 type mixSite struct {
 	user    mixUser
 	stream  mixStream
@@ -25,8 +26,8 @@
 	running map[[2]int]*mixTask
 	waits   map[string][]time.Duration
 	started map[[2]int]bool
-	// busy is core-seconds used while work was waiting, open the same of all
-	// cores.
+	// busy is the core-seconds used while work was waiting; open is the
+	// core-seconds available in that time.
 	busy, open float64
 }
 
@@ -45,7 +46,8 @@
 	return string(w.Urgency)
 }
 
-// start notes that a task has begun; only its first start counts as waiting.
+// start records the start of a task. Only the first start of each task counts
+// towards waiting time.
 func (s *mixSite) start(t *mixTask, now time.Duration) {
 	t.started, t.ends = now, now+t.left
 	key := [2]int{t.job, t.index}
@@ -58,7 +60,7 @@
 	}
 }
 
-// measure adds one tick to the measure of packing.
+// measure adds one tick to the utilization figures.
 func (s *mixSite) measure(waiting bool) {
 	if !waiting {
 		return
@@ -69,7 +71,7 @@
 	s.open += float64(s.user.workers) * float64(s.user.capacity.MilliCPU) / 1000
 }
 
-// mixResult is what one scheduler did with a stream.
+// mixResult holds the measurements of one scheduler on a stream.
 type mixResult struct {
 	p99    map[string]time.Duration
 	mean   map[string]time.Duration
--- a/internal/planner/mix_stream_test.go
+++ b/internal/planner/mix_stream_test.go
@@ -10,7 +10,8 @@
 	"gentianstand/internal/spec"
 )
 
-// mixUser is one user's site and stream, as far as the brief states it.
+// mixUser describes the workers and the load of one example user, as far as
+// they are specified.
 type mixUser struct {
 	name     string
 	workers  int
@@ -20,8 +21,8 @@
 	urgent, gangs float64
 	// night is the share of the load that is a batch due in the morning.
 	night float64
-	// load is the offered load as a share of the processors; the noon peak
-	// adds half of it again for a fifth of the time.
+	// load is the offered load as a share of the cores. During the noon peak, a
+	// fifth of the time, it is 50% higher.
 	load float64
 }
 
@@ -30,13 +31,13 @@
 	{"jaatelolinkki", 50, 6, resource.Amount{MilliCPU: 32_000, MemoryMiB: 64 << 10}, 0.05, 0.10, 0, 0.95},
 }
 
-// mixKinds is how many different workloads a stream has, mixLength how long it
-// lasts.
+// mixKinds is the number of different workloads in a stream, mixLength its
+// duration.
 const (
 	mixKinds  = 24
 	mixLength = 2 * time.Hour
 	mixTick   = time.Second
-	// mixPatience ends a run that does not come to its end.
+	// mixPatience is the time limit after which the simulation stops.
 	mixPatience = 3 * mixLength
 )
 
@@ -47,7 +48,7 @@
 	tasks    []time.Duration
 }
 
-// mixStream is a seeded draw of workloads and runs.
+// mixStream is a set of workloads and runs drawn from a seed.
 type mixStream struct {
 	workloads []spec.Workload
 	jobs      []mixJob
@@ -73,7 +74,8 @@
 	return s
 }
 
-// drawWorkload draws a size and a declared run time that may be far off.
+// drawWorkload draws a size and a declared run time, which may be far from the
+// actual run times.
 func drawWorkload(u mixUser, r *rand.Rand, k int) spec.Workload {
 	size := int64(1)
 	for size < 16 && r.IntN(2) == 0 {
@@ -96,8 +98,8 @@
 	return w
 }
 
-// drawJob draws true run times: around a mean that differs from what is
-// declared by up to three times, with a heavy tail.
+// drawJob draws actual run times. Their mean differs from the declared one by a
+// factor of up to 3, and they have a heavy tail.
 func drawJob(r *rand.Rand, w spec.Workload, k int, at time.Duration) mixJob {
 	job := mixJob{at: at, workload: k}
 	off := math.Pow(3, float64(k%5-2)/2)
@@ -108,7 +110,7 @@
 	return job
 }
 
-// jobWork is the core-seconds of a run.
+// jobWork returns the core-seconds of a run.
 func jobWork(w spec.Workload, job mixJob) float64 {
 	sum := 0.0
 	for _, d := range job.tasks {
--- a/internal/planner/mix_test.go
+++ b/internal/planner/mix_test.go
@@ -5,11 +5,10 @@
 	"time"
 )
 
-// BenchmarkMix feeds the same seeded stream of each user to three plain
-// schedulers and to the planner's core, in one run, and reports waiting time
-// and packing of each as ratios: waits of the baseline divided by ours (above
-// 1: ours waits less), and the share of the processors in use while work was
-// waiting.
+// BenchmarkMix executes the same seeded stream of each user with three simple
+// schedulers and with the planner's Core. It reports waiting times as the
+// baseline's divided by ours (above 1: ours waits less), and utilization as the
+// share of the cores in use while work was waiting.
 func BenchmarkMix(b *testing.B) {
 	for _, u := range mixUsers {
 		b.Run(u.name, func(b *testing.B) {
--- a/internal/planner/outbox.go
+++ b/internal/planner/outbox.go
@@ -6,7 +6,7 @@
 	"gentianstand/internal/worker"
 )
 
-// outbox gathers what to tell the owners of workers.
+// outbox collects assignments for the owners of workers.
 type outbox struct {
 	byWorker map[string]*fleet.Assignment
 }
@@ -47,8 +47,9 @@
 	a.Ack = append(a.Ack, ref)
 }
 
-// Outbox returns what to tell owners and empties it. What does not arrive is
-// noticed from the next report and sent again.
+// Outbox returns the collected assignments and empties the outbox. An
+// assignment that does not arrive is detected from the worker's next report and
+// sent again.
 func (c *Core) Outbox() []fleet.Assignment {
 	list := make([]fleet.Assignment, 0, len(c.outbox.byWorker))
 	for _, id := range sortedKeys(c.outbox.byWorker) {
@@ -60,7 +61,8 @@
 	return list
 }
 
-// resend puts back what could not be brought, as far as it is still wanted.
+// resend queues undelivered assignments again. Starts that are no longer wanted
+// are dropped.
 func (c *Core) resend(list []fleet.Assignment) {
 	for _, a := range list {
 		for _, s := range a.Start {
@@ -87,7 +89,7 @@
 	}
 }
 
-// sendStart puts the start of a booked task in the outbox.
+// sendStart queues the start of an assigned task.
 func (c *Core) sendStart(key taskKey) {
 	e, ok := c.active[key.run]
 	if !ok {
@@ -104,7 +106,7 @@
 	})
 }
 
-// stopTask asks for the end of a booked task.
+// stopTask marks an assigned task as stopping and queues the stop.
 func (c *Core) stopTask(e *entry, index int, action worker.StopAction) {
 	t := &e.run.Tasks[index]
 	t.Stopping = true
--- a/internal/planner/owners.go
+++ b/internal/planner/owners.go
@@ -6,10 +6,10 @@
 	"gentianstand/internal/fleet"
 )
 
-// Owners is how the planner reaches the owners of workers.
+// Owners sends orders to the owners of workers.
 type Owners interface {
-	// Assign brings an order to the Owner of an instance. It returns a
-	// NotOwner fault if that owner has met a later planner, and a Conflict if
-	// it has taken a later order.
+	// Assign sends an order to the Owner of an instance. It returns a NotOwner
+	// fault if that owner knows a planner with a higher epoch or no longer owns
+	// some of the workers, and a Conflict if it has accepted a later order.
 	Assign(ctx context.Context, instance string, order fleet.Order) error
 }
--- a/internal/planner/persist.go
+++ b/internal/planner/persist.go
@@ -8,12 +8,13 @@
 // maxRows bounds the rows of one write.
 const maxRows = 400
 
-// Batch is one group commit: rows of many runs, and what may be done once they
-// are written.
+// Batch is one group commit: rows of many runs, and the actions that become
+// possible once they are written.
 type Batch struct {
 	Puts    []platform.Put
 	Deletes []string
-	// starts wait for the rows; waiters want to hear; acks are for owners.
+	// starts are released after the write, waiters are called with its result,
+	// and acks are then sent to the owners.
 	starts  []start
 	waiters []func(error)
 	acks    []ack
@@ -24,8 +25,8 @@
 // Empty reports whether there is nothing to write.
 func (b *Batch) Empty() bool { return len(b.Puts)+len(b.Deletes) == 0 }
 
-// Changes returns the rows to write next and what hangs on them. At most one
-// batch may be under way; a batch that fails goes to Failed.
+// Changes returns the next batch to write. At most one batch may be in
+// progress. Pass its result to Committed or CommitFailed.
 func (c *Core) Changes() (*Batch, error) {
 	b := &Batch{}
 	for _, id := range sortedKeys(c.changed) {
@@ -87,7 +88,8 @@
 	b.runs = append(b.runs, e.run.ID)
 }
 
-// takeStarts returns the decided starts whose runs are in the batch.
+// takeStarts removes and returns the decided starts whose runs are in the
+// batch.
 func (c *Core) takeStarts(runs []string) []start {
 	in := make(map[string]bool, len(runs))
 	for _, id := range runs {
@@ -105,8 +107,8 @@
 	return now
 }
 
-// Committed notes that a batch has been written: its starts may leave, and
-// workers may forget what it holds.
+// Committed records that a batch has been written. Its starts are released, and
+// workers may forget the attempts whose ends it holds.
 func (c *Core) Committed(b *Batch) {
 	c.clearWriting(b)
 	c.releaseStarts(b.starts)
@@ -121,10 +123,10 @@
 	}
 }
 
-// CommitFailed puts a batch back that may not have been written. In a confirmed
-// outage its starts may leave all the same: nobody else can plan now, and
-// whoever does later accounts for the workers first. Who waits to hear that
-// something new is kept is told that it is not known.
+// CommitFailed queues the rows of a batch again that may not have been written.
+// In a confirmed outage its repeatable starts are released all the same: no
+// other planner can act then, and a later planner accounts for the workers
+// first. Waiters get the error, because the outcome of the write is not known.
 func (c *Core) CommitFailed(b *Batch, outage bool, err error) {
 	c.clearWriting(b)
 	for _, id := range b.runs {
@@ -156,8 +158,8 @@
 	}
 }
 
-// releaseStarts lets starts leave. A start whose task has moved on to another
-// attempt since stays: the row of that attempt has not been written yet.
+// releaseStarts queues starts for sending. A start whose task has a newer
+// attempt is skipped, because the row of that attempt has not been written yet.
 func (c *Core) releaseStarts(starts []start) {
 	for _, s := range starts {
 		if c.unwritten[s.task] == s.attempt {
@@ -167,10 +169,10 @@
 	}
 }
 
-// ReleaseUnwritten lets decided starts leave in a confirmed outage, when
-// nothing can be written. Only work that may be repeated goes: if its worker
-// restarts and this planner dies, nobody is left who knows that it was
-// started, and a successor starts it once more.
+// ReleaseUnwritten releases decided starts in a confirmed outage, when nothing
+// can be written. It releases only repeatable work: if the worker restarts and
+// this planner dies, no record of the start is left, and the next planner
+// starts the task again.
 func (c *Core) ReleaseUnwritten() {
 	var kept []start
 	for _, s := range c.decided {
@@ -188,5 +190,5 @@
 	return ok && e.repeatable()
 }
 
-// Dirty reports whether something waits to be written.
+// Dirty reports whether there are changes to write.
 func (c *Core) Dirty() bool { return len(c.changed) > 0 }
--- a/internal/planner/place.go
+++ b/internal/planner/place.go
@@ -13,14 +13,14 @@
 	"gentianstand/internal/spec"
 )
 
-// policies names the policy of each kind of workload.
+// policies maps each kind of workload to its placement policy.
 var policies = map[spec.Kind]policy.Policy{
 	spec.Service: service.Policy{},
 	spec.Batch:   batch.Policy{},
 	spec.Job:     gang.Policy{},
 }
 
-// placeAll places a quantum of each run in turn and returns how many tasks it
+// placeAll places a quantum of each run in turn. It returns the number of tasks
 // placed.
 func (c *Core) placeAll(cl *cluster.Cluster, items []order.Item, now time.Time) int {
 	placed := 0
@@ -47,8 +47,8 @@
 	return shares
 }
 
-// placeRun places up to a quantum of the run's tasks; again says that more of
-// it may fit.
+// placeRun places up to a quantum of the run's tasks. It returns again = true
+// if more of them may fit.
 func (c *Core) placeRun(cl *cluster.Cluster, e *entry, now time.Time) (placed int, again bool) {
 	if e.run.Workload.Kind == spec.Job {
 		return c.placeGang(cl, e, now), false
@@ -56,7 +56,8 @@
 	withinQuotaAtStart := !c.overQuota(e)
 	for placed < quantum {
 		if withinQuotaAtStart && c.overQuota(e) {
-			// The team borrows from here on: others may come before it now.
+			// The team uses borrowed quota from here on, so other teams may go
+			// first.
 			return placed, true
 		}
 		index := c.nextReady(e, now)
@@ -101,8 +102,8 @@
 	return ok && !c.used[team.Name].Fits(team.Quota)
 }
 
-// withinQuota reports whether the team may take n more tasks of the run. A
-// team that may borrow is held back by order, not here.
+// withinQuota reports whether the team may start n more tasks of the run. A
+// team that may borrow is limited by the order of runs, not here.
 func (c *Core) withinQuota(e *entry, n int64) bool {
 	team, ok := c.text.Team(e.run.Workload.Team)
 	if !ok || team.Borrow {
@@ -119,8 +120,8 @@
 	return req
 }
 
-// avoid keeps a run off workers that are being cleared for urgent ones, and
-// off workers on trial that already have a task.
+// avoid returns a filter that keeps a run off workers claimed for other urgent
+// runs, and off workers on probation that already have a task.
 func (c *Core) avoid(e *entry) func(string) bool {
 	return func(id string) bool {
 		for runID, cl := range c.claims {
@@ -132,7 +133,7 @@
 	}
 }
 
-// assign books a pending task on a worker as its next attempt.
+// assign assigns a pending task to a worker as its next attempt.
 func (c *Core) assign(cl *cluster.Cluster, e *entry, index, node int) {
 	t := &e.run.Tasks[index]
 	n := cl.Node(node)
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -16,8 +16,9 @@
 	"gentianstand/internal/run"
 )
 
-// Planner runs a Core while this process owns the planner shard. It is safe
-// for concurrent use. Every call returns a NotOwner fault at other times.
+// Planner runs a Core while this process owns the planner shard. It is safe for
+// concurrent use. At other times, calls that need the Core return a NotOwner
+// fault.
 type Planner struct {
 	table   platform.Table
 	objects platform.Objects
@@ -29,19 +30,19 @@
 
 	mu      sync.Mutex
 	current *term
-	// lastCycle belongs to the running term.
+	// lastCycle is used only by the running term.
 	lastCycle time.Time
 }
 
-// New returns a Planner that is not in office.
+// New returns a Planner without a running term.
 func New(table platform.Table, objects platform.Objects, owners Owners, rights Rights, around Environment, set *metrics.Set, log *logrus.Entry) *Planner {
 	p := &Planner{table: table, objects: objects, owners: owners, rights: rights, env: around, log: log, metrics: newPlannerMetrics(set)}
 	set.NewGauge("gentianstand_planner", func() float64 { return float64(p.Epoch()) })
 	return p
 }
 
-// SetShard starts or ends the term: shard is the planner's row if this process
-// owns it, else nil.
+// SetShard starts or ends the term. shard is the planner's row if this process
+// owns it, otherwise nil.
 func (p *Planner) SetShard(shard *live.Shard) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -73,7 +74,7 @@
 	}
 }
 
-// Epoch returns the epoch of the running term, 0 if there is none.
+// Epoch returns the epoch of the running term, or 0 if there is none.
 func (p *Planner) Epoch() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,7 +84,7 @@
 	return p.current.shard.Epoch
 }
 
-// do runs f on the core of the running term and waits for it.
+// do runs f on the Core of the running term and waits until it has returned.
 func (p *Planner) do(ctx context.Context, f func(*Core)) error {
 	p.mu.Lock()
 	t := p.current
@@ -110,8 +111,8 @@
 	}
 }
 
-// Report takes in an owner's reports; full says that they are all it has. It
-// returns the epoch of the planner.
+// Report records an owner's reports; full means that they cover all its
+// workers. It returns the epoch of the planner.
 func (p *Planner) Report(ctx context.Context, owner string, full bool, reports []fleet.Report) (uint64, error) {
 	err := p.do(ctx, func(c *Core) {
 		now := time.Now()
@@ -125,8 +126,8 @@
 	return p.Epoch(), err
 }
 
-// Submit starts a run of a workload and returns its id once it is kept. The
-// same key gives the same run.
+// Submit creates a run of a workload and returns its ID once the run has been
+// written. It is idempotent: the same key yields the same run.
 func (p *Planner) Submit(ctx context.Context, workload, key, by string) (string, error) {
 	if p.rights.Outage(time.Now()) {
 		return "", fault.New(fault.PlatformUnavailable, "the table service is down, so a new run could not be kept")
@@ -145,8 +146,8 @@
 	return id, p.await(ctx, result)
 }
 
-// Cancel ends runs by id, or all of a workload, and returns how many were
-// concerned once that is kept.
+// Cancel cancels runs by ID, or all runs of a workload if one is named. It
+// returns the number of runs affected once their rows have been written.
 func (p *Planner) Cancel(ctx context.Context, ids []string, workload, by string) (int, error) {
 	if p.rights.Outage(time.Now()) {
 		return 0, fault.New(fault.PlatformUnavailable, "the table service is down, so a cancellation could not be kept")
--- a/internal/planner/ready.go
+++ b/internal/planner/ready.go
@@ -10,8 +10,8 @@
 	"gentianstand/internal/spec"
 )
 
-// gatherReady returns the runs with tasks that may start now, and notes why the
-// others wait.
+// gatherReady returns the runs with tasks that may start now, and records why
+// the others wait.
 func (c *Core) gatherReady(now time.Time) []order.Item {
 	var items []order.Item
 	for _, id := range sortedKeys(c.active) {
@@ -55,8 +55,9 @@
 	return "", true
 }
 
-// neverFits tells work that no worker could hold even when empty. It is asked
-// again only when the fleet changes, and blocks nobody meanwhile.
+// neverFits reports whether no worker could hold the run's tasks even when
+// empty. The answer is computed again only when the fleet changes, and such a
+// run does not delay others.
 func (c *Core) neverFits(e *entry) bool {
 	if e.fleetVersion == c.fleetVersion && e.fleetVersion > 0 {
 		return e.infeasible
@@ -78,8 +79,8 @@
 	return never
 }
 
-// dependenciesReady reports whether services that the run depends on have a
-// running replica, and batch runs and jobs have succeeded.
+// dependenciesReady reports whether all dependencies of the run are met:
+// services have a running replica, and batch runs and jobs have succeeded.
 func (c *Core) dependenciesReady(e *entry) bool {
 	for _, name := range e.run.Workload.DependsOn {
 		w, ok := c.text.Workload(name)
@@ -116,13 +117,14 @@
 	return false
 }
 
-// gangStopped reports whether a gang has no task left running from before.
+// gangStopped reports whether all tasks of a gang are pending, so that none is
+// left running from before. It returns true for other kinds of runs.
 func (c *Core) gangStopped(e *entry) bool {
 	return e.run.Workload.Kind != spec.Job || e.pending == len(e.run.Tasks)
 }
 
-// nextReady returns the first pending task whose wait is over, or -1. A task of
-// which a stray attempt is still being stopped has to wait for that.
+// nextReady returns the first pending task whose retry delay is over, or -1. A
+// task with an orphaned attempt waits until that has stopped.
 func (c *Core) nextReady(e *entry, now time.Time) int {
 	for i := range e.run.Tasks {
 		t := &e.run.Tasks[i]
--- a/internal/planner/recovery.go
+++ b/internal/planner/recovery.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// recovery tells when a new planner knows of everything that an earlier one
-// may have started without writing it down.
+// recovery tracks whether a new planner knows all attempts that a previous
+// planner may have started without recording them.
 //
 // In a confirmed outage a planner starts accepted tasks although the table
-// cannot take the record. If it then dies, its successor finds those tasks
-// pending in the table. Starting them would run them twice. The workers know
-// what they run, so the successor waits until every owner has reported all
-// its workers and every one of them has answered or is lost for certain. Once
-// an owner has reported to the new planner it refuses starts of the old one.
+// cannot store their assignment. If that planner then dies, its successor reads
+// those tasks as pending. Starting them would run them twice. The successor
+// therefore waits until every owner has reported all its workers and every
+// worker has answered or is certainly lost. Once an owner has reported to the
+// new planner it refuses starts from the previous one.
 type recovery struct {
 	since time.Time
 	done  bool
@@ -22,7 +22,7 @@
 	return recovery{since: now, owners: map[string]bool{}}
 }
 
-// OwnerReported notes that an owner has reported all its workers.
+// OwnerReported records that an owner has reported all its workers.
 func (c *Core) OwnerReported(instance string) { c.recovery.owners[instance] = true }
 
 // CheckRecovery ends the recovery once all owners in the table have reported
@@ -54,7 +54,8 @@
 }
 
 // reportWait is how long a new planner waits for workers to be reported before
-// it places anything. What it placed on the first few would stand too close.
+// it places anything. Without it, all tasks would be packed onto the first few
+// workers reported.
 const reportWait = 2 * time.Second
 
 // waitingForReports reports whether it is too early to place anything.
@@ -62,5 +63,5 @@
 	return !c.recovery.done && now.Sub(c.recovery.since) < reportWait
 }
 
-// Recovered reports whether the recovery is over.
+// Recovered reports whether the recovery is complete.
 func (c *Core) Recovered() bool { return c.recovery.done }
--- a/internal/planner/report.go
+++ b/internal/planner/report.go
@@ -9,9 +9,9 @@
 	"gentianstand/internal/worker"
 )
 
-// Report takes in an owner's word on a worker. A report of a lower epoch than
-// seen before comes from an owner that was overtaken, one of a lower sequence
-// was overtaken on its way; both are dropped.
+// Report handles an owner's report on a worker. A report with a lower epoch
+// than the last one comes from a superseded owner, and one with a lower
+// sequence number arrived out of order; both are dropped.
 func (c *Core) Report(r fleet.Report, now time.Time) {
 	v := c.workerView(r.Worker)
 	if r.Epoch < v.report.Epoch || (r.Epoch == v.report.Epoch && r.Sequence < v.report.Sequence) {
@@ -45,7 +45,7 @@
 	}
 }
 
-// handleStatus takes in what a worker says of one attempt.
+// handleStatus handles the reported status of one attempt.
 func (c *Core) handleStatus(v *workerView, status worker.TaskStatus, now time.Time) {
 	key := taskKey{status.Ref.Run, status.Ref.Index}
 	e, known := c.active[key.run]
@@ -70,9 +70,9 @@
 	c.attemptEnded(e, key.index, status, now)
 }
 
-// startedInOutage tells an attempt that an earlier planner started without
-// being able to write it down. That planner knew the attempts before it to be
-// over, so a later attempt stands for an earlier one that the table names.
+// startedInOutage reports whether a previous planner started the attempt
+// without being able to record it. That planner knew that all earlier attempts
+// had ended, so a higher attempt number supersedes the attempt in the table.
 func (c *Core) startedInOutage(t *run.Task, status worker.TaskStatus) bool {
 	return !t.State.Final() && status.Ref.Attempt > t.Attempt && status.State != worker.Refused
 }
@@ -95,8 +95,8 @@
 	c.event("task_adopted", e.run.ID, index, t.Worker, "")
 }
 
-// handleOrphan handles an attempt that the books do not have: it is stopped if it
-// runs, and may be forgotten if it has ended.
+// handleOrphan handles an attempt that the planner has not recorded. A running
+// one is stopped; the worker may forget an ended one.
 func (c *Core) handleOrphan(v *workerView, status worker.TaskStatus) {
 	if status.State != worker.Running {
 		c.ackOrphan(v, status.Ref)
@@ -121,8 +121,9 @@
 	}
 }
 
-// handleMissing handles booked attempts that a report does not hold: they have not
-// arrived yet, or went with the worker's process.
+// handleMissing handles recorded attempts that a report does not contain:
+// either their start has not arrived yet, or they ended with the worker's
+// process.
 func (c *Core) handleMissing(v *workerView, reported map[worker.TaskRef]bool, now time.Time) {
 	for key := range v.tasks {
 		e := c.runs[key.run]
@@ -145,8 +146,9 @@
 	}
 }
 
-// ackOrphan lets a worker forget an ended attempt, unless what is known of its
-// run has not been written yet: the worker is then the only one to remember.
+// ackOrphan lets a worker forget an ended attempt. It does nothing while
+// changes of the run are still unwritten, because the worker then holds the
+// only record of the attempt.
 func (c *Core) ackOrphan(v *workerView, ref worker.TaskRef) {
 	if e, ok := c.runs[ref.Run]; ok && (e.dirty() || e.writing) {
 		return
@@ -154,8 +156,8 @@
 	c.outbox.ack(v.report.Worker, v.report.Boot, ref)
 }
 
-// drainWorker ends what can be moved from a worker that is to stop. Tasks that must
-// not be repeated are left to finish.
+// drainWorker stops the tasks on a draining worker that can be moved. Tasks
+// that must not be repeated are left to finish.
 func (c *Core) drainWorker(v *workerView) {
 	for key := range v.tasks {
 		e := c.runs[key.run]
--- a/internal/planner/reserve.go
+++ b/internal/planner/reserve.go
@@ -14,37 +14,41 @@
 	"gentianstand/internal/spec"
 )
 
-// reservation holds room for the first gang that does not fit. Small work
-// flows around it: what ends before the gang can start may use the room, what
-// does not may use only what the gang leaves (EASY backfill: Lifka, JSSPP
-// 1995). Without it a stream of small tasks starves every gang.
+// reservation reserves capacity for the first gang that does not fit. Smaller
+// work is backfilled around it: tasks that end before the gang can start may
+// use the reserved capacity, others only what the gang leaves free (EASY
+// backfill: Lifka, JSSPP 1995). Without it a stream of small tasks starves
+// every gang.
 type reservation struct {
 	run string
 	// at is when the gang is expected to fit.
 	at time.Time
-	// madeAt bounds how often it is worked out anew.
+	// madeAt is when the reservation was computed; it limits how often that is
+	// done.
 	madeAt time.Time
 	fleet  int
 }
 
-// The bounds of reservations.
+// Limits of reservations.
 const (
 	reservationPeriod = time.Second
-	// gangReservationDelay is how long a gang waits before room is held for it. Holding
-	// costs packing, and most gangs fit soon without.
+	// gangReservationDelay is how long a gang waits before capacity is reserved
+	// for it. A reservation lowers utilization, and most gangs fit soon without
+	// one.
 	gangReservationDelay = time.Minute
-	// unknownRunTime is assumed of tasks that declare none.
+	// unknownRunTime is assumed for tasks that declare no run time.
 	unknownRunTime = time.Hour
 )
 
-// release is room that a running task is expected to give back.
+// release is capacity that a running task is expected to free.
 type release struct {
 	at   time.Time
 	node int
 	need resource.Amount
 }
 
-// updateReservation keeps the reservation of the first gang in order up to date.
+// updateReservation keeps the reservation for the first gang in order up to
+// date.
 func (c *Core) updateReservation(cl *cluster.Cluster, items []order.Item, now time.Time) {
 	first := c.firstGang(items, now)
 	if first == nil {
@@ -78,8 +82,8 @@
 	}
 }
 
-// reserve finds the earliest time at which the gang fits, as running tasks are
-// expected to end, and holds the workers it would get then.
+// reserve computes the earliest time at which the gang fits, assuming that
+// running tasks end as expected, and reserves the workers it would get then.
 func (c *Core) reserve(cl *cluster.Cluster, e *entry, now time.Time) {
 	need := c.need(e)
 	free := make([]resource.Amount, cl.Len())
@@ -116,8 +120,8 @@
 	return seats
 }
 
-// placeOn returns how many tasks of the gang each worker would get if free was
-// what workers have.
+// placeOn returns how many tasks of the gang each worker would get with the
+// given free capacity.
 func placeOn(cl *cluster.Cluster, free []resource.Amount, need resource.Amount, tasks int) map[int]int64 {
 	nodes := make([]cluster.Node, cl.Len())
 	for i := range nodes {
@@ -133,7 +137,8 @@
 	return counts
 }
 
-// releases returns when running tasks are expected to end, earliest first.
+// releases returns when running tasks are expected to free their capacity,
+// earliest first.
 func (c *Core) releases(cl *cluster.Cluster, now time.Time) []release {
 	var list []release
 	for _, e := range c.active {
--- a/internal/planner/restarts.go
+++ b/internal/planner/restarts.go
@@ -8,17 +8,18 @@
 )
 
 const (
-	// maxRestarts is under how many workers in a row that restarted a task is given up:
-	// two may be bad luck.
+	// maxRestarts is the number of successive worker restarts during a task's
+	// startup after which the task fails for good. 2 may be a coincidence.
 	maxRestarts = 3
-	// startupPeriod is how long a task must have run for the restart of its worker to have
-	// another cause. Owners report every second or two.
+	// startupPeriod is how long a task must have run before a restart of its
+	// worker is attributed to another cause. Owners report every 1 to 2 s.
 	startupPeriod = 10 * time.Second
 )
 
-// handleWorkerRestart handles an attempt that went with its worker's process. The task may be what
-// crashes its workers, so such restarts are counted with it; it waits before it starts
-// again, and unless it is a service it is given up.
+// handleWorkerRestart handles an attempt that ended because its worker's
+// process restarted. The task may be what crashes its workers, so such restarts
+// are counted per task. The task is retried with backoff and fails after
+// maxRestarts, unless it is a service.
 func (c *Core) handleWorkerRestart(e *entry, index int, now time.Time) {
 	t := &e.run.Tasks[index]
 	if !t.StartedAt.IsZero() && now.Sub(t.StartedAt) >= startupPeriod {
--- a/internal/planner/restarts_test.go
+++ b/internal/planner/restarts_test.go
@@ -9,8 +9,8 @@
 	"gentianstand/internal/worker"
 )
 
-// restartUnder has each worker that runs a workload's task start anew, and returns how
-// many did.
+// restartUnder restarts each worker that runs a task of the workload. It
+// returns the number of restarted workers.
 func (s *site) restartUnder(workload string) int {
 	restarts := 0
 	for id, tasks := range s.tasks {
@@ -27,7 +27,8 @@
 	return restarts
 }
 
-// Failure: a task that restarts its workers is started again at once, without a limit.
+// Guards against immediate, unlimited restarts of a task that crashes its
+// workers.
 func TestTaskThatRestartsItsWorkersFails(t *testing.T) {
 	s := newSite(t, 4, fourCores, teams+work("batches", "bad", "a", 1, 1, "    retries: 5\n"))
 	restarts := 0
@@ -41,8 +42,9 @@
 	s.expectState("bad", run.Failed)
 }
 
-// A service is never given up, so one that restarts its workers is started with longer and
-// longer waits between, up to a minute: at most seven times in the first minute.
+// A service never fails permanently, so one that crashes its workers is
+// restarted with exponential backoff up to 1 min: at most 7 times in the first
+// minute.
 func TestServiceThatRestartsItsWorkersBacksOff(t *testing.T) {
 	s := newSite(t, 4, fourCores, teams+"services:\n  - name: bad\n    team: a\n    resources: {cpu: 1, memory: 1GiB}\n")
 	restarts := 0
@@ -55,8 +57,9 @@
 	}
 }
 
-// A worker restarts under tasks that have worked there for a while, three times in a row
-// on different workers: they are not at fault, and the batch is done in the end.
+// Workers restart 3 times in a row under tasks that have been running for a
+// while. Such restarts are not counted against the tasks, and the batch
+// succeeds.
 func TestRestartAfterStartupIsNotCounted(t *testing.T) {
 	s := newSite(t, 4, fourCores, teams+work("batches", "good", "a", 2, 1, "    retries: 0\n"))
 	for range 4 {
--- a/internal/planner/rights.go
+++ b/internal/planner/rights.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// Rights tells what this process may do.
+// Rights reports whether this process may act as planner.
 type Rights interface {
-	// MayAct is asked right before anything leaves for the owners.
+	// MayAct reports whether messages may be sent to owners. It is checked
+	// right before each send.
 	MayAct(now time.Time) bool
-	// Outage reports whether that right rests on a confirmed outage of the
-	// table.
+	// Outage reports whether the right to act is based on a confirmed outage of
+	// the table.
 	Outage(now time.Time) bool
 }
--- a/internal/planner/sequence.go
+++ b/internal/planner/sequence.go
@@ -11,25 +11,26 @@
 	"gentianstand/internal/platform"
 )
 
-// sequenceKey is the row that every write of a planner moves on.
+// sequenceKey is the row that every write of a planner checks and replaces.
 const sequenceKey = "planner/sequence"
 
-// errSuperseded says that a later planner writes now.
+// errSuperseded means that a planner with a higher epoch writes now.
 var errSuperseded = errors.New("a later planner has taken over")
 
-// sequence orders the writes of planners. Each write checks and replaces one
-// row. A write that is late on the wire, of this planner or of one before,
-// then finds the row changed and has no effect; otherwise it could bring back
-// an older state of a run and have a task run twice.
+// sequence serializes the writes of all planners. Each write checks and
+// replaces one row. A write of this or a previous planner that is delayed in
+// the network then finds the row changed and has no effect. Without this check
+// it could restore an older state of a run and cause a task to run twice.
 type sequence struct {
 	table   platform.Table
 	epoch   uint64
 	version uint64
-	// unconfirmed says that a write got no answer, so version may be old.
+	// unconfirmed is true after a write without an answer; version may then be
+	// out of date.
 	unconfirmed bool
 }
 
-// open fences all earlier planners. It must succeed before runs are read. The
+// open fences all previous planners. It must succeed before runs are read. The
 // write also checks that the planner's shard still has this epoch.
 func (s *sequence) open(ctx context.Context, epoch uint64) error {
 	s.epoch = epoch
@@ -57,8 +58,8 @@
 	return s.refresh(ctx)
 }
 
-// commit writes rows. It returns errOvertaken if a later planner has opened
-// the sequence, and wraps platform.ErrUnavailable if the result is not known.
+// commit writes rows. It returns errSuperseded if a later planner has opened
+// the sequence, and wraps platform.ErrUnavailable if the outcome is not known.
 func (s *sequence) commit(ctx context.Context, puts []platform.Put, deletes []string) error {
 	if s.unconfirmed {
 		if err := s.refresh(ctx); err != nil {
@@ -91,7 +92,8 @@
 	}
 }
 
-// refresh reads the row's version and finds out about later planners.
+// refresh reads the row's version. It returns errSuperseded if a later planner
+// has written the row.
 func (s *sequence) refresh(ctx context.Context) error {
 	row, err := s.table.Get(ctx, sequenceKey)
 	if err != nil {
@@ -108,7 +110,7 @@
 	return nil
 }
 
-// sequenceRow is the value of the row.
+// sequenceRow is the value stored under sequenceKey.
 type sequenceRow struct {
 	Epoch uint64 `json:"epoch"`
 }
--- a/internal/planner/sequence_test.go
+++ b/internal/planner/sequence_test.go
@@ -11,8 +11,8 @@
 	standplatform "gentianstand/internal/standin/platform"
 )
 
-// holdingTable keeps the next write back instead of bringing it, as a network
-// may, and gives no answer.
+// holdingTable holds back the next write, as a network may, and returns no
+// answer for it.
 type holdingTable struct {
 	*standplatform.Store
 	hold bool
@@ -56,7 +56,8 @@
 	}
 }
 
-// Failure: a run falls back to an earlier state, and a task that has ended runs again.
+// Guards against a delayed write that restores an earlier state of a run, so
+// that a completed task runs again.
 func TestLateWriteHasNoEffect(t *testing.T) {
 	ctx := context.Background()
 	h := newHoldingTable(t, 1)
@@ -77,7 +78,7 @@
 	h.expect(t, "succeeded")
 }
 
-// Failure: two planners write runs.
+// Guards against two planners writing runs at the same time.
 func TestSupersededPlannerCannotWrite(t *testing.T) {
 	ctx := context.Background()
 	h := newHoldingTable(t, 1)
--- a/internal/planner/site_test.go
+++ b/internal/planner/site_test.go
@@ -13,8 +13,8 @@
 	"gentianstand/internal/worker"
 )
 
-// site drives a Core by hand: it pretends to be the owners of workers and
-// carries out orders at once.
+// site drives a Core step by step. It plays the part of the owners of workers
+// and executes orders immediately.
 type site struct {
 	t        *testing.T
 	core     *planner.Core
@@ -65,7 +65,7 @@
 	s.core.Report(r, s.now)
 }
 
-// step lets the core decide and write, and carries out its orders.
+// step runs one decision and one write of the Core and executes its orders.
 func (s *site) step() {
 	s.t.Helper()
 	s.now = s.now.Add(100 * time.Millisecond)
@@ -125,7 +125,8 @@
 	}
 }
 
-// end ends the running tasks of a workload for which pick says so.
+// end ends the running tasks of a workload that pick selects, or all if pick is
+// nil.
 func (s *site) end(workload string, state worker.TaskState, pick func(worker string, ref worker.TaskRef) bool) {
 	for id, tasks := range s.tasks {
 		changed := false
--- a/internal/planner/sort.go
+++ b/internal/planner/sort.go
@@ -12,5 +12,5 @@
 	slices.SortFunc(nodes, func(a, b cluster.Node) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// sortedKeys makes walks over a map the same every time.
+// sortedKeys returns the keys of m in a deterministic order.
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/planner/status.go
+++ b/internal/planner/status.go
@@ -2,7 +2,7 @@
 
 import "gentianstand/internal/run"
 
-// Run returns a copy of a run as callers see it.
+// Run returns a copy of a run with its current wait reason.
 func (c *Core) Run(id string) (run.Run, bool) {
 	e, ok := c.runs[id]
 	if !ok {
--- a/internal/planner/submit.go
+++ b/internal/planner/submit.go
@@ -8,12 +8,12 @@
 	"gentianstand/internal/spec"
 )
 
-// maxActiveRuns bounds the runs that wait or run at a time.
+// maxActiveRuns bounds the runs that are waiting or running at a time.
 const maxActiveRuns = 50_000
 
-// Submit makes a run of a workload that starts on submission. The same id
-// gives the same run. done is called once it is known whether the run has been
-// written.
+// Submit creates a run of a workload that starts on submission. It is
+// idempotent: the same ID yields the same run. done is called with the result
+// once the run has been written or the write has failed.
 func (c *Core) Submit(workload, id, by string, now time.Time, done func(error)) {
 	w, ok := c.text.Workload(workload)
 	switch {
@@ -41,9 +41,10 @@
 	e.head = true
 }
 
-// Cancel ends the runs with the given ids, or all active runs of a workload.
-// It takes time linear in the tasks concerned. done is called for each run
-// once its end has been written; the number of runs concerned is returned.
+// Cancel ends the runs with the given IDs, or all active runs of a workload.
+// Its cost is linear in the number of tasks affected. done is called for each
+// run with the result of writing it. Cancel returns the number of runs
+// affected.
 func (c *Core) Cancel(ids []string, workload, by string, now time.Time, done func(error)) int {
 	if workload != "" {
 		ids = nil
--- a/internal/planner/summary.go
+++ b/internal/planner/summary.go
@@ -7,7 +7,7 @@
 	"gentianstand/internal/spec"
 )
 
-// Summary is a run without its tasks, as operators see it.
+// Summary describes a run without its tasks, as shown to operators.
 type Summary struct {
 	ID          string    `json:"id"`
 	Workload    string    `json:"workload"`
--- a/internal/planner/sweep.go
+++ b/internal/planner/sweep.go
@@ -9,9 +9,10 @@
 // Retention is how long the rows of a finished run are kept.
 const Retention = 24 * time.Hour
 
-// Expired returns finished runs whose rows may go: they are older than
-// Retention and the text in force does not name them. A run that the text
-// names must stay known, or planning the same text would run it once more.
+// Expired returns finished runs whose rows may be deleted: they are older than
+// Retention and not named by the configuration in force. A run that the
+// configuration names must stay known, because applying the same configuration
+// again would otherwise run it again.
 func (c *Core) Expired(now time.Time) []*run.Run {
 	named := map[string]bool{}
 	for _, w := range c.text.Workloads {
@@ -27,14 +28,15 @@
 	return list
 }
 
-// Forget drops a finished run whose rows are gone.
+// Forget drops a finished run whose rows have been deleted.
 func (c *Core) Forget(id string) {
 	if e, ok := c.runs[id]; ok && e.run.State.Final() {
 		delete(c.runs, id)
 	}
 }
 
-// removeRows has the rows of a finished run deleted with the next write.
+// removeRows schedules the rows of a finished run for deletion with the next
+// write.
 func (c *Core) removeRows(id string) {
 	e, ok := c.runs[id]
 	if !ok || !e.run.State.Final() || e.dirty() || e.writing {
--- a/internal/planner/task_key.go
+++ b/internal/planner/task_key.go
@@ -1,12 +1,12 @@
 package planner
 
-// taskKey names a task of a run.
+// taskKey identifies a task of a run.
 type taskKey struct {
 	run   string
 	index int
 }
 
-// start names an attempt whose start waits for its row.
+// start identifies an attempt that starts after its row has been written.
 type start struct {
 	task    taskKey
 	attempt int
--- a/internal/planner/term.go
+++ b/internal/planner/term.go
@@ -12,14 +12,14 @@
 	"gentianstand/internal/run"
 )
 
-// The periods of a term.
+// Timing of a term.
 const (
-	// workPeriod is the least time between two cycles, and so between two
-	// group commits; what happens meanwhile goes together.
+	// workPeriod is the minimum time between two cycles and thus between two
+	// group commits. Changes that arrive in between are committed together.
 	workPeriod = 25 * time.Millisecond
-	// idlePeriod is how often an idle planner looks around.
+	// idlePeriod is the cycle interval of an idle planner.
 	idlePeriod = 250 * time.Millisecond
-	// sweepPeriod is how often finished runs are looked through.
+	// sweepPeriod is how often finished runs are scanned for expired ones.
 	sweepPeriod = 10 * time.Minute
 	// commitTimeout bounds a group commit, assignTimeout a call to an owner.
 	commitTimeout = 2 * time.Second
@@ -27,7 +27,7 @@
 	loadPage      = 1000
 )
 
-// term is the time in which this process is the planner under one epoch.
+// term is the period during which this process is the planner under one epoch.
 type term struct {
 	planner *Planner
 	shard   live.Shard
@@ -37,10 +37,10 @@
 	calls   chan func(*Core)
 	results chan commitResult
 	writing bool
-	// retryAt is when to write again after a write that failed.
+	// retryAt is the earliest time of the next write after a failed one.
 	retryAt time.Time
 	sweptAt time.Time
-	// orders counts the orders of this term.
+	// orders is the sequence number of the last order of this term.
 	orders uint64
 	quit   context.CancelFunc
 	done   chan struct{}
@@ -72,8 +72,8 @@
 	}
 }
 
-// begin fences earlier planners and reads the runs, until that has worked or
-// the term ends.
+// begin fences previous planners and reads the runs. It retries until that
+// succeeds or the term ends.
 func (t *term) begin(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		err := t.load(ctx)
@@ -124,8 +124,8 @@
 	}
 }
 
-// drainCalls takes in whatever else has arrived, so that a wave of calls
-// costs one cycle.
+// drainCalls executes up to 1000 further queued calls, so that a burst of calls
+// costs only one cycle.
 func (t *term) drainCalls() {
 	for range 1000 {
 		select {
@@ -137,7 +137,7 @@
 	}
 }
 
-// cycle decides, writes and sends, and returns when to look again.
+// cycle decides, writes and sends. It returns the delay until the next cycle.
 func (t *term) cycle(ctx context.Context) time.Duration {
 	now := time.Now()
 	if now.Sub(t.planner.lastCycle) < workPeriod {
@@ -160,9 +160,9 @@
 	return idlePeriod
 }
 
-// applyConfig brings the text in force to the core. It reports false while the
-// table names a later one than this instance has: planning an old text could
-// bring back what a later one ended.
+// applyConfig passes the configuration in force to the Core. It returns false
+// while the table names a later configuration than this instance has: an
+// outdated configuration could restart runs that a later one ended.
 func (t *term) applyConfig(now time.Time) bool {
 	rec, text := t.planner.env.Config.Get()
 	if rec.Number < t.planner.env.View().Config.Number {
--- a/internal/planner/term_archive.go
+++ b/internal/planner/term_archive.go
@@ -9,8 +9,8 @@
 	"gentianstand/internal/run"
 )
 
-// sweep moves finished runs from the table to the object store, a few at a
-// time.
+// sweep moves expired runs from the table to the object store, at most loadPage
+// per sweep.
 func (t *term) sweep(ctx context.Context, now time.Time) {
 	if t.writing || now.Sub(t.sweptAt) < sweepPeriod || t.planner.rights.Outage(now) {
 		return
@@ -27,8 +27,8 @@
 	go t.archive(ctx, archived)
 }
 
-// archive writes runs to the object store and then asks for the removal of
-// their rows; a run whose object could not be written keeps its rows.
+// archive writes runs to the object store and then requests the deletion of
+// their rows. A run whose object could not be written keeps its rows.
 func (t *term) archive(ctx context.Context, runs []*run.Run) {
 	for _, r := range runs {
 		data, err := json.Marshal(r)
--- a/internal/planner/term_commit.go
+++ b/internal/planner/term_commit.go
@@ -13,8 +13,9 @@
 	err   error
 }
 
-// write starts a group commit if none is under way. In a confirmed outage
-// starts leave unwritten, and the rows wait until the table is back.
+// write starts a group commit if none is in progress. In a confirmed outage,
+// starts of repeatable work are released without being written, and rows wait
+// until the table is available again.
 func (t *term) write(ctx context.Context, now time.Time) {
 	if t.writing {
 		return
@@ -43,7 +44,8 @@
 	}()
 }
 
-// finishCommit reports false if the term is over.
+// finishCommit handles the result of a group commit. It returns false if the
+// term is over.
 func (t *term) finishCommit(result commitResult) bool {
 	t.writing = false
 	t.planner.metrics.commits.Inc()
--- a/internal/planner/term_send.go
+++ b/internal/planner/term_send.go
@@ -7,8 +7,8 @@
 	"gentianstand/internal/fleet"
 )
 
-// send brings the outbox to the owners, each in its own goroutine so that a
-// silent one delays nobody.
+// send sends the outbox to the owners, each in its own goroutine so that an
+// unresponsive owner does not delay the others.
 func (t *term) send(ctx context.Context) {
 	assignments := t.core.Outbox()
 	if len(assignments) == 0 {
@@ -28,9 +28,9 @@
 	}
 }
 
-// assign makes one call. After a failure the core decides anew what is still
-// to be sent: repeating the message itself could start a task that has run to
-// its end meanwhile.
+// assign makes one call. After a failure the Core decides again what has to be
+// sent. Repeating the message itself could start a task that has completed in
+// the meantime.
 func (t *term) assign(ctx context.Context, owner string, order fleet.Order) {
 	if !t.planner.rights.MayAct(time.Now()) {
 		return
--- a/internal/planner/text.go
+++ b/internal/planner/text.go
@@ -8,10 +8,10 @@
 	"gentianstand/internal/worker"
 )
 
-// Apply takes in the text in force. Every workload that starts on apply has
-// one run with an id that follows from its definition, so applying the same
-// text again, here or at another planner, starts nothing twice. Runs that the
-// text no longer asks for are ended.
+// Apply applies the configuration in force. Every workload that starts on apply
+// has one run with an ID derived from its definition, so applying the same
+// configuration again, on this or another planner, starts nothing twice. Runs
+// that the configuration no longer contains are ended.
 func (c *Core) Apply(number uint64, text *spec.Text, author string, now time.Time) {
 	if number < c.number {
 		return
@@ -60,8 +60,8 @@
 	return e
 }
 
-// updateService takes over a changed definition. Replicas that run an older
-// one are replaced step by step in Decide.
+// updateService applies a changed definition. Replicas that run an older one
+// are replaced gradually by Decide.
 func (c *Core) updateService(e *entry, w spec.Workload, now time.Time) {
 	if e.run.State == run.Stopping {
 		e.run.State, e.run.CancelledBy = run.Waiting, ""
@@ -82,7 +82,8 @@
 	c.shrink(e)
 }
 
-// shrink ends replicas beyond the wanted number and drops them once ended.
+// shrink stops replicas beyond the wanted number and removes them once they
+// have ended.
 func (c *Core) shrink(e *entry) {
 	for len(e.run.Tasks) > e.run.Workload.Tasks {
 		last := len(e.run.Tasks) - 1
@@ -104,12 +105,12 @@
 	}
 }
 
-// rollingUpdateDivisor bounds how many replicas of a service are replaced at a time,
-// as one part of all.
+// rollingUpdateDivisor limits a rolling update: at most 1/10 of a service's
+// replicas, but at least 1, are replaced at a time.
 const rollingUpdateDivisor = 10
 
-// rollingUpdate replaces replicas that run an older definition, a few at a time and
-// only while the others run.
+// rollingUpdate replaces replicas that run an older definition, a few at a time
+// and only while the others are running.
 func (c *Core) rollingUpdate(e *entry) {
 	if e.run.Workload.Kind != spec.Service || e.run.State == run.Stopping {
 		return
--- a/internal/planner/transitions.go
+++ b/internal/planner/transitions.go
@@ -9,18 +9,19 @@
 	"gentianstand/internal/worker"
 )
 
-// The waits between attempts of a task that failed.
+// Bounds of the delay between attempts of a task that failed.
 const (
 	minRetryDelay = time.Second
 	maxRetryDelay = time.Minute
 )
 
-// retryDelay returns how long a task waits before it starts again after so many failures.
+// retryDelay returns the delay before the next attempt of a task after the
+// given number of failures.
 func retryDelay(failures int) time.Duration {
 	return min(minRetryDelay<<min(failures-1, 10), maxRetryDelay)
 }
 
-// attemptEnded takes in the end of a booked attempt.
+// attemptEnded handles the end of a recorded attempt.
 func (c *Core) attemptEnded(e *entry, index int, status worker.TaskStatus, now time.Time) {
 	t := &e.run.Tasks[index]
 	t.EndedAt, t.Result, t.Reason = now, status.Result, status.Reason
@@ -65,7 +66,8 @@
 	c.requeue(e, index, now)
 }
 
-// attemptStopped handles an attempt that was ended before its work was complete.
+// attemptStopped handles an attempt that was stopped before its work was
+// complete.
 func (c *Core) attemptStopped(e *entry, index int, now time.Time) {
 	if !e.repeatable() && e.run.CancelledBy == "" {
 		c.finishTask(e, index, run.TaskUnknown)
@@ -74,8 +76,8 @@
 	c.requeue(e, index, now)
 }
 
-// attemptLost handles an attempt that certainly runs no more and whose end is not
-// known. Only work that may be repeated is.
+// attemptLost handles an attempt that certainly no longer runs and whose
+// outcome is not known. It is retried only if its work may be repeated.
 func (c *Core) attemptLost(e *entry, index int, why string, now time.Time) {
 	t := &e.run.Tasks[index]
 	c.removeAssignment(e, index)
@@ -89,7 +91,7 @@
 	c.updateRunState(e, now)
 }
 
-// requeue makes a task pending, or ends it if its run is to end.
+// requeue makes a task pending again, or cancels it if its run is stopping.
 func (c *Core) requeue(e *entry, index int, now time.Time) {
 	t := &e.run.Tasks[index]
 	t.Stopping, t.Seen, t.StartedAt = false, false, time.Time{}
@@ -114,7 +116,7 @@
 	c.event("task_"+string(state), e.run.ID, index, t.Worker, t.Reason)
 }
 
-// updateRunState moves the run on after one of its tasks has.
+// updateRunState advances the run after a change of one of its tasks.
 func (c *Core) updateRunState(e *entry, now time.Time) {
 	if e.run.State.Final() {
 		return
@@ -133,9 +135,9 @@
 	c.finishRun(e, now)
 }
 
-// updateGangState keeps a gang together: its tasks run all at once or not at all,
-// so when one has to start anew the others stop and start anew with it, and
-// when one has failed for good the others end.
+// updateGangState keeps the tasks of a gang together, because they run all at
+// once or not at all. When one task has to restart, the others stop and restart
+// with it; when one has failed permanently, the others end.
 func (c *Core) updateGangState(e *entry, now time.Time) {
 	failed := e.run.Count(run.TaskFailed)+e.run.Count(run.TaskUnknown) > 0
 	if failed && e.run.State != run.Stopping {
--- a/internal/planner/urgent.go
+++ b/internal/planner/urgent.go
@@ -12,16 +12,17 @@
 	"gentianstand/internal/worker"
 )
 
-// claim keeps a worker for an urgent run while victims make room there.
+// claim reserves a worker for an urgent run while preempted tasks stop there.
 type claim struct {
 	worker string
 	until  time.Time
 }
 
-// claimDuration is how long a worker is kept; victims need a beat to stop.
+// claimDuration is how long a worker stays reserved. Preempted tasks need one
+// heartbeat to stop.
 const claimDuration = 4 * time.Second
 
-// preemptForUrgent stops running tasks for urgent runs that found no room.
+// preemptForUrgent stops running tasks for urgent runs that do not fit.
 func (c *Core) preemptForUrgent(cl *cluster.Cluster, items []order.Item, now time.Time) {
 	for id, cm := range c.claims {
 		if now.After(cm.until) {
@@ -44,8 +45,8 @@
 	}
 }
 
-// preemptFor stops the cheapest victims for one task of a run and returns
-// the victims that are left.
+// preemptFor stops the cheapest victims for one task of a run and returns the
+// remaining victims.
 func (c *Core) preemptFor(cl *cluster.Cluster, e *entry, item order.Item, victims []preempt.Victim, now time.Time) []preempt.Victim {
 	node, chosen := preempt.Choose(cl, c.need(e), item.Rank, item.Team, victims)
 	if node < 0 || len(chosen) == 0 {
@@ -67,7 +68,7 @@
 	return left
 }
 
-// victims returns the running tasks that may be stopped.
+// victims returns the running tasks that preemption may consider.
 func (c *Core) victims(cl *cluster.Cluster, now time.Time) []preempt.Victim {
 	shares := c.shares()
 	var list []preempt.Victim
--- a/internal/planner/urgent_test.go
+++ b/internal/planner/urgent_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// TestUrgentPreempts: an urgent task on a full site starts by stopping what
-// loses least, and never another team's protected work.
+// TestUrgentPreempts: when all workers are full, an urgent task starts by
+// preempting the tasks that lose least work, and never another team's protected
+// ones.
 func TestUrgentPreempts(t *testing.T) {
 	text := teams + work("batches", "plain", "a", 8, 1, "") + "  - name: guarded\n    team: b\n    tasks: 8\n    resources: {cpu: 1, memory: 1GiB}\n" +
 		"  - name: rush\n    team: a\n    urgency: urgent\n    tasks: 2\n    resources: {cpu: 1, memory: 1GiB}\n    start: on-submit\n"
@@ -24,8 +25,8 @@
 	s.expectRunning("plain", 6)
 }
 
-// TestUrgentNeverStopsUnrepeatable: work that must not be repeated is never
-// stopped for urgent work.
+// TestUrgentNeverStopsUnrepeatable: a task that must not be repeated is never
+// preempted for urgent work.
 func TestUrgentNeverStopsUnrepeatable(t *testing.T) {
 	text := teams + work("batches", "letters", "a", 4, 1, "    idempotent: false\n") + "  - name: rush\n    team: a\n    urgency: urgent\n    resources: {cpu: 1, memory: 1GiB}\n    start: on-submit\n"
 	s := newSite(t, 1, fourCores, text)
--- a/internal/planner/usage.go
+++ b/internal/planner/usage.go
@@ -8,11 +8,12 @@
 	"gentianstand/internal/worker"
 )
 
-// handleOveruse handles a task that uses more than it was given. Too much processor
-// time is throttled. Too much memory cannot be: a task that may be repeated is
-// checkpointed and started anew with its true size, elsewhere if need be; one
-// that may not is throttled and left. Either way the worker is not oversold,
-// because nothing more is placed on what the task was not given.
+// handleOveruse handles a task that uses more than it was given. CPU overuse is
+// throttled. Memory overuse cannot be: a batch task that may be repeated is
+// checkpointed and restarted with its actual size, on another worker if
+// necessary; any other task is throttled and left running. The worker is not
+// overcommitted in either case, because nothing else is placed on capacity
+// beyond what the task was given.
 func (c *Core) handleOveruse(e *entry, index int, status worker.TaskStatus) {
 	t := &e.run.Tasks[index]
 	c.recordPeak(e, status)
@@ -28,8 +29,8 @@
 	c.outbox.stop(t.Worker, t.Boot, worker.TaskStop{Ref: status.Ref, Action: worker.Throttle})
 }
 
-// recordPeak notes a usage above what was declared as if enough tasks had shown
-// it, so that the next attempt gets it.
+// recordPeak records usage above the declared amount with full confidence, so
+// that the next attempt gets it.
 func (c *Core) recordPeak(e *entry, status worker.TaskStatus) {
 	h, ok := c.history[e.run.Workload.Name]
 	if !ok {
@@ -39,7 +40,7 @@
 	h.Outgrown(status.Used)
 }
 
-// endsBefore reports whether a task of the run can be trusted to end before
+// endsBefore reports whether a task of the run can be expected to end before
 // when.
 func (c *Core) endsBefore(e *entry, now, when time.Time) bool {
 	w := e.run.Workload
@@ -53,7 +54,8 @@
 	return expected > 0 && !now.Add(expected).After(when)
 }
 
-// expectedRunTime returns the corrected run time of a task, 0 if unknown.
+// expectedRunTime returns the run time of a task corrected by its history, or 0
+// if unknown.
 func (c *Core) expectedRunTime(e *entry) time.Duration {
 	h, ok := c.history[e.run.Workload.Name]
 	if !ok {
--- a/internal/planner/worker_view.go
+++ b/internal/planner/worker_view.go
@@ -5,14 +5,15 @@
 	"gentianstand/internal/worker"
 )
 
-// workerView is a worker in the planner's memory.
+// workerView is the planner's in-memory state of a worker.
 type workerView struct {
 	report fleet.Report
-	// tasks are the attempts that the books have on this worker.
+	// tasks holds the tasks recorded as assigned to this worker.
 	tasks map[taskKey]bool
-	// orphans are attempts that run there but are not in the books.
+	// orphans holds attempts that run there but are not recorded.
 	orphans map[worker.TaskRef]worker.TaskStatus
-	// seen says that it has been reported since this planner took over.
+	// seen is true once the worker has been reported since this planner took
+	// over.
 	seen bool
 }
 
@@ -20,7 +21,7 @@
 	return v.report.State == fleet.Ready && !v.report.Draining
 }
 
-// accounted reports whether it is known what runs there.
+// accounted reports whether the attempts running on the worker are known.
 func (v *workerView) accounted() bool {
 	return v.seen && (v.report.State == fleet.Ready || v.report.State == fleet.Lost)
 }
