--- a/internal/membership/model_test.go
+++ b/internal/membership/model_test.go
@@ -235,7 +235,7 @@
 func TestModelTakeOver(t *testing.T) {
 	states, unsafe := explore(variant{})
 	if unsafe {
-		t.Fatalf("the protocol is unsafe (%d states)", states)
+		t.Fatalf("the protocol is unsafe (found after %d states)", states)
 	}
 	t.Logf("%d states", states)
 }
@@ -252,7 +252,7 @@
 	for _, v := range variants {
 		t.Run(v.name, func(t *testing.T) {
 			if states, unsafe := explore(v); !unsafe {
-				t.Errorf("nothing found in %d states", states)
+				t.Errorf("no violation found in %d states", states)
 			}
 		})
 	}
--- a/internal/owner/handover_test.go
+++ b/internal/owner/handover_test.go
@@ -50,13 +50,13 @@
 		req := routing.Request{ID: "q", Deadline: time.Now().Add(time.Minute)}
 		g := o.router.TryAcquire(context.Background(), "desk", req, time.Now())
 		if g == nil {
-			t.Fatal("no slot")
+			t.Fatal("TryAcquire returned no slot")
 		}
 		agent.taken = true
 		o.SetHeld(nil)
 		time.Sleep(unansweredAfter + 2*syncPeriod)
 		if cause := context.Cause(g.Context()); !errors.Is(cause, routing.ErrNeverArrived) {
-			t.Errorf("after the hand-over: %v", cause)
+			t.Errorf("cause after the handover: %v, want ErrNeverArrived", cause)
 		}
 		g.Done(routing.Failed, time.Now())
 		time.Sleep(syncPeriod)
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -17,9 +17,9 @@
 	defer o.mu.Unlock()
 	switch {
 	case order.PlannerEpoch < o.plannerEpoch:
-		return fault.New(fault.NotOwner, "planner epoch %d was overtaken by %d", order.PlannerEpoch, o.plannerEpoch)
+		return fault.New(fault.NotOwner, "planner epoch %d was superseded by epoch %d", order.PlannerEpoch, o.plannerEpoch)
 	case order.PlannerEpoch == o.orderEpoch && order.Sequence <= o.orderSequence:
-		return fault.New(fault.Conflict, "order %d was overtaken by %d", order.Sequence, o.orderSequence)
+		return fault.New(fault.Conflict, "order %d is not later than accepted order %d", order.Sequence, o.orderSequence)
 	}
 	o.plannerEpoch = order.PlannerEpoch
 	o.orderEpoch, o.orderSequence = order.PlannerEpoch, order.Sequence
@@ -33,7 +33,7 @@
 		m.assign(a)
 	}
 	if missed > 0 {
-		return fault.New(fault.NotOwner, "%d of %d workers are not held here under that epoch", missed, len(order.Assignments))
+		return fault.New(fault.NotOwner, "%d of %d workers are not owned here under the epoch of their assignment", missed, len(order.Assignments))
 	}
 	return nil
 }
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -140,12 +140,12 @@
 		return
 	}
 	ctx, quit := context.WithCancel(o.base)
-	site := OwnedWorker{Instance: inst, Shard: inst.Rack, Epoch: h.Shard.Epoch}
+	owned := OwnedWorker{Instance: inst, Shard: inst.Rack, Epoch: h.Shard.Epoch}
 	_, draining := o.drains[inst.ID]
 	m = &workerLoop{
 		id: inst.ID, epoch: h.Shard.Epoch, address: inst.Address, shard: inst.Rack,
 		owner: o, agent: o.dial(inst.Address), wakeup: make(chan struct{}, 1), quit: quit, draining: draining,
-		tracker: NewTracker(site, o.id, o.timing, h.OldLeasesEnd(o.timing)), held: h, dirty: true,
+		tracker: NewTracker(owned, o.id, o.timing, h.OldLeasesEnd(o.timing)), held: h, dirty: true,
 	}
 	o.loops[inst.ID] = m
 	go m.run(ctx)
@@ -156,9 +156,9 @@
 func (m *workerLoop) refresh(inst platform.Instance, h ownership.HeldShard, drains map[string]live.Drain) {
 	_, draining := drains[inst.ID]
 	m.mu.Lock()
-	changed := m.draining != draining || m.tracker.site.Instance.Leaving != inst.Leaving
+	changed := m.draining != draining || m.tracker.owned.Instance.Leaving != inst.Leaving
 	m.draining = draining
-	m.tracker.site.Instance = inst
+	m.tracker.owned.Instance = inst
 	m.held = h
 	m.tracker.SetOldLeasesEnd(h.OldLeasesEnd(m.owner.timing))
 	m.dirty = m.dirty || changed
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -16,17 +16,18 @@
 	"gentianstand/internal/worker"
 )
 
-type nobody struct{}
+// fakeDeps is a gate that always permits actions and a planner that accepts all reports.
+type fakeDeps struct{}
 
-func (nobody) MayAct(time.Time) bool { return true }
+func (fakeDeps) MayAct(time.Time) bool { return true }
 
-func (nobody) Report(context.Context, bool, []fleet.Report) (uint64, error) { return 0, nil }
+func (fakeDeps) Report(context.Context, bool, []fleet.Report) (uint64, error) { return 0, nil }
 
 func newTestOwner() *Owner {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	dial := func(string) worker.Agent { return nil }
-	return New("o", membership.DefaultTiming(), nobody{}, dial, routing.NewRouter(), nobody{}, metrics.NewSet(), logrus.NewEntry(log))
+	return New("o", membership.DefaultTiming(), fakeDeps{}, dial, routing.NewRouter(), fakeDeps{}, metrics.NewSet(), logrus.NewEntry(log))
 }
 
 // Guards against a start that is lost until the next full report because its
@@ -34,7 +35,7 @@
 func TestOrderForReassignedWorker(t *testing.T) {
 	order := fleet.Order{PlannerEpoch: 1, Sequence: 1, Assignments: []fleet.Assignment{{Worker: "w", Epoch: 1}}}
 	if err := newTestOwner().Assign(order); !fault.Is(err, fault.NotOwner) {
-		t.Errorf("got %v", err)
+		t.Errorf("Assign: got %v, want a NotOwner fault", err)
 	}
 }
 
@@ -48,11 +49,11 @@
 		want            fault.Kind
 	}{
 		{"first", 1, 2, ""},
-		{"overtaken on the wire", 1, 1, fault.Conflict},
+		{"delivered late", 1, 1, fault.Conflict},
 		{"repeated", 1, 2, fault.Conflict},
 		{"next", 1, 3, ""},
-		{"a later planner begins anew", 2, 1, ""},
-		{"the planner before", 1, 9, fault.NotOwner},
+		{"first of a later planner", 2, 1, ""},
+		{"previous planner", 1, 9, fault.NotOwner},
 	}
 	for _, s := range steps {
 		err := o.Assign(fleet.Order{PlannerEpoch: s.epoch, Sequence: s.sequence})
--- a/internal/owner/removed_worker.go
+++ b/internal/owner/removed_worker.go
@@ -26,17 +26,17 @@
 }
 
 func (m *workerLoop) resolveUnanswered(ctx context.Context, rest *routing.RemovedWorker) {
-	doubt := rest.Unanswered(time.Now().Add(-unansweredAfter))
-	if len(doubt) == 0 {
+	unanswered := rest.Unanswered(time.Now().Add(-unansweredAfter))
+	if len(unanswered) == 0 {
 		return
 	}
-	states, err := m.agent.Ask(ctx, doubt)
+	states, err := m.agent.Ask(ctx, unanswered)
 	if err != nil {
-		m.log().WithError(err).WithField("requests", len(doubt)).Warn("requests_not_asked_about")
+		m.log().WithError(err).WithField("requests", len(unanswered)).Warn("requests_not_asked_about")
 		return
 	}
 	now := time.Now()
 	for i, state := range states {
-		rest.Resolve(doubt[i], state, now)
+		rest.Resolve(unanswered[i], state, now)
 	}
 }
--- a/internal/owner/tracker.go
+++ b/internal/owner/tracker.go
@@ -17,7 +17,7 @@
 // Tracker holds an owner's state of one worker. It is not safe for concurrent
 // use and has no clock.
 type Tracker struct {
-	site   OwnedWorker
+	owned  OwnedWorker
 	owner  string
 	timing membership.Timing
 
@@ -44,8 +44,8 @@
 }
 
 // NewTracker returns the Tracker of a worker that has not been claimed yet.
-func NewTracker(site OwnedWorker, owner string, timing membership.Timing, oldLeasesEnd time.Time) *Tracker {
-	t := &Tracker{site: site, owner: owner, timing: timing, state: fleet.Claiming, oldLeasesEnd: oldLeasesEnd}
+func NewTracker(owned OwnedWorker, owner string, timing membership.Timing, oldLeasesEnd time.Time) *Tracker {
+	t := &Tracker{owned: owned, owner: owner, timing: timing, state: fleet.Claiming, oldLeasesEnd: oldLeasesEnd}
 	t.reset()
 	return t
 }
@@ -71,10 +71,10 @@
 // NextRequest returns the next message to the worker. The lease it requests is
 // counted from the worker's own clock in its last reply, so it ends at most
 // WorkerLease after that reply was received, however late the message arrives.
-func (t *Tracker) NextRequest(doubt []string) worker.SyncRequest {
+func (t *Tracker) NextRequest(unanswered []string) worker.SyncRequest {
 	t.seq++
 	req := worker.SyncRequest{
-		Owner: t.owner, Epoch: t.site.Epoch, Seq: t.seq, Boot: t.boot, Since: t.version, Doubt: doubt,
+		Owner: t.owner, Epoch: t.owned.Epoch, Seq: t.seq, Boot: t.boot, Since: t.version, Doubt: unanswered,
 	}
 	if t.boot != "" {
 		req.LeaseUntil = t.workerClock + t.timing.WorkerLease.Milliseconds()
--- a/internal/owner/tracker_report.go
+++ b/internal/owner/tracker_report.go
@@ -9,9 +9,9 @@
 
 // Report returns the worker's state as a report to the planner.
 func (t *Tracker) Report() fleet.Report {
-	inst := t.site.Instance
+	inst := t.owned.Instance
 	r := fleet.Report{
-		Worker: inst.ID, Shard: t.site.Shard, Epoch: t.site.Epoch,
+		Worker: inst.ID, Shard: t.owned.Shard, Epoch: t.owned.Epoch,
 		Region: inst.Region, Zone: inst.Zone, Rack: inst.Rack,
 		Capacity: t.capacity, State: t.state, Draining: inst.Leaving, Boot: t.boot,
 	}
--- a/internal/owner/tracker_test.go
+++ b/internal/owner/tracker_test.go
@@ -32,8 +32,8 @@
 // owner returns a Tracker that has claimed the worker under an epoch.
 func (r *rig) owner(epoch uint64) *Tracker {
 	r.t.Helper()
-	site := OwnedWorker{Instance: platform.Instance{ID: "w"}, Shard: "rack", Epoch: epoch}
-	tr := NewTracker(site, "owner", membership.DefaultTiming(), r.now)
+	owned := OwnedWorker{Instance: platform.Instance{ID: "w"}, Shard: "rack", Epoch: epoch}
+	tr := NewTracker(owned, "owner", membership.DefaultTiming(), r.now)
 	r.deliver(tr, tr.NextRequest(nil))
 	return tr
 }
@@ -58,10 +58,10 @@
 func (r *rig) expectRunning(want int) {
 	r.t.Helper()
 	if got := len(r.worker.RunningTasks()); got != want {
-		r.t.Fatalf("%d tasks run, want %d", got, want)
+		r.t.Fatalf("%d tasks are running, want %d", got, want)
 	}
 	if broken := standworker.Violations(r.record.Events()); len(broken) > 0 {
-		r.t.Fatalf("broken: %v", broken)
+		r.t.Fatalf("violations: %v", broken)
 	}
 }
 
@@ -77,10 +77,10 @@
 	late := old.NextRequest(nil)
 	r.owner(2)
 	if err := r.deliver(old, late); !errors.Is(err, worker.ErrStaleEpoch) {
-		t.Errorf("the late message got %v", err)
+		t.Errorf("late message: got %v, want ErrStaleEpoch", err)
 	}
 	if !old.Superseded() {
-		t.Error("the old owner does not know that it was overtaken")
+		t.Error("the previous owner is not marked as superseded")
 	}
 	r.expectRunning(0)
 }
@@ -131,17 +131,17 @@
 	for r.now.Before(started.Add(timing.Longer(timing.WorkerLease))) {
 		tr.Tick(r.now, true)
 		if tr.State() == fleet.Lost {
-			t.Fatalf("lost after %s", r.now.Sub(started))
+			t.Fatalf("Lost after only %s", r.now.Sub(started))
 		}
 		r.now = r.now.Add(100 * time.Millisecond)
 	}
 	tr.Tick(r.now, false)
 	if tr.State() != fleet.Silent {
-		t.Fatalf("without the right to act: %s", tr.State())
+		t.Fatalf("state %s without the right to act, want silent", tr.State())
 	}
 	tr.Tick(r.now, true)
 	if tr.State() != fleet.Lost {
-		t.Fatalf("state %s", tr.State())
+		t.Fatalf("state %s, want lost", tr.State())
 	}
 	r.expectRunning(0)
 }
@@ -153,11 +153,11 @@
 	tr := NewTracker(OwnedWorker{Epoch: 2}, "o", membership.DefaultTiming(), now.Add(time.Minute))
 	tr.Tick(now.Add(59*time.Second), true)
 	if tr.State() == fleet.Lost {
-		t.Error("lost while old leases may run")
+		t.Error("Lost before the leases of previous owners have expired")
 	}
 	tr.Tick(now.Add(time.Minute), true)
 	if tr.State() != fleet.Lost {
-		t.Errorf("state %s", tr.State())
+		t.Errorf("state %s, want lost", tr.State())
 	}
 }
 
@@ -178,7 +178,7 @@
 		}
 	}
 	if refused != 2 {
-		t.Errorf("%d refused", refused)
+		t.Errorf("%d starts refused, want 2", refused)
 	}
 }
 
@@ -189,7 +189,7 @@
 	tr := r.owner(1)
 	r.order(tr, 0, 1, 1000)
 	ref := worker.TaskRef{Run: "r", Index: 0, Attempt: 1}
-	tr.NextRequest(nil) // lost on its way
+	tr.NextRequest(nil) // not delivered
 	tr.Assign(fleet.Assignment{Boot: tr.boot, Stop: []worker.TaskStop{{Ref: ref, Action: worker.Kill}}})
 	for range 3 {
 		_ = r.deliver(tr, tr.NextRequest(nil))
--- a/internal/owner/worker_loop.go
+++ b/internal/owner/worker_loop.go
@@ -91,9 +91,9 @@
 		m.tick(now)
 		return
 	}
-	doubt := m.owner.router.Unanswered(m.id, now.Add(-unansweredAfter))
+	unanswered := m.owner.router.Unanswered(m.id, now.Add(-unansweredAfter))
 	m.mu.Lock()
-	req := m.tracker.NextRequest(doubt)
+	req := m.tracker.NextRequest(unanswered)
 	m.mu.Unlock()
 	reply, err := m.agent.Sync(ctx, req)
 	m.owner.metrics.syncs.Inc()
@@ -104,8 +104,8 @@
 	}
 	m.handleReply(reply, received)
 	for i, state := range reply.Doubts {
-		if i < len(doubt) {
-			m.owner.router.Resolve(m.id, doubt[i], state, received)
+		if i < len(unanswered) {
+			m.owner.router.Resolve(m.id, unanswered[i], state, received)
 		}
 	}
 }
@@ -119,8 +119,8 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	given := m.held.HandedOverAt
-	return given.IsZero() || now.Sub(given) < m.owner.timing.HandoverGrace
+	handedOverAt := m.held.HandedOverAt
+	return handedOverAt.IsZero() || now.Sub(handedOverAt) < m.owner.timing.HandoverGrace
 }
 
 func (m *workerLoop) handleReply(reply worker.SyncReply, now time.Time) {
@@ -137,9 +137,9 @@
 	before := m.tracker.State()
 	changed := m.tracker.HandleFailure(err, now, mayAct)
 	m.dirty = m.dirty || changed
-	after, stale := m.tracker.State(), m.tracker.Superseded()
+	after, superseded := m.tracker.State(), m.tracker.Superseded()
 	m.mu.Unlock()
-	if stale {
+	if superseded {
 		m.owner.dropSuperseded(m)
 		return
 	}
@@ -160,9 +160,9 @@
 
 // publishState passes the worker's state to the router. If it changed, the
 // planner is notified as well.
-func (m *workerLoop) publishState(news bool, now time.Time) {
+func (m *workerLoop) publishState(changed bool, now time.Time) {
 	m.owner.router.SetWorker(m.info(), now)
-	if news {
+	if changed {
 		m.owner.wakeReporter()
 	}
 }
@@ -174,13 +174,13 @@
 	defer m.mu.Unlock()
 	t := m.tracker
 	return routing.WorkerInfo{
-		ID: m.id, Address: t.site.Instance.Address, Epoch: m.epoch,
+		ID: m.id, Address: t.owned.Instance.Address, Epoch: m.epoch,
 		Slots: t.slots, OlderRequests: t.older, Services: t.Services(),
 		Open: t.state == fleet.Ready && !m.closedLocked(),
 	}
 }
 
-func (m *workerLoop) closedLocked() bool { return m.draining || m.tracker.site.Instance.Leaving }
+func (m *workerLoop) closedLocked() bool { return m.draining || m.tracker.owned.Instance.Leaving }
 
 func (m *workerLoop) report() fleet.Report {
 	m.mu.Lock()
--- a/internal/ownership/held_shard.go
+++ b/internal/ownership/held_shard.go
@@ -26,8 +26,8 @@
 	end := h.TakenAt
 	for _, p := range h.Shard.Predecessors {
 		stops := h.stoppedRenewingBy(p, t)
-		if lapsed := stops.Add(t.Longer(t.WorkerLease)); lapsed.After(end) {
-			end = lapsed
+		if expired := stops.Add(t.Longer(t.WorkerLease)); expired.After(end) {
+			end = expired
 		}
 	}
 	return end
--- a/internal/ownership/keeper_offers_test.go
+++ b/internal/ownership/keeper_offers_test.go
@@ -23,22 +23,23 @@
 
 func (downTable) Commit(context.Context, platform.Tx) error { return platform.ErrUnavailable }
 
-// giving forwards offers to another keeper.
-type giving struct {
+// forwardingPeers forwards offers to another keeper.
+type forwardingPeers struct {
 	Peers
 	to *Keeper
 }
 
-func (g giving) OfferShard(_ context.Context, shard live.Shard) error {
+func (g forwardingPeers) OfferShard(_ context.Context, shard live.Shard) error {
 	g.to.ShardOffered(shard)
 	return nil
 }
 
-type heldNames struct{ names map[string]bool }
+// heldRecorder records the names of the shards that are owned and not handed over.
+type heldRecorder struct{ names map[string]bool }
 
-func (h *heldNames) ViewRead(live.View) {}
-func (h *heldNames) SessionLost()       {}
-func (h *heldNames) HeldChanged(held []HeldShard) {
+func (h *heldRecorder) ViewRead(live.View) {}
+func (h *heldRecorder) SessionLost()       {}
+func (h *heldRecorder) HeldChanged(held []HeldShard) {
 	h.names = map[string]bool{}
 	for _, one := range held {
 		if one.HandedOverAt.IsZero() {
@@ -61,9 +62,9 @@
 // it.
 func TestHandoverIsOfferedToNextOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		heard := &heldNames{}
-		next := keeperIn("next", nil, heard)
-		before := keeperIn("before", giving{to: next}, &heldNames{})
+		recorder := &heldRecorder{}
+		next := keeperIn("next", nil, recorder)
+		before := keeperIn("before", forwardingPeers{to: next}, &heldRecorder{})
 		row := live.Shard{Name: "rack-1", Owner: before.id.Process, Epoch: 1}
 		before.take(row)
 		row.Owner, row.Epoch = next.id.Process, 2
@@ -71,16 +72,16 @@
 		synctest.Wait()
 		next.acceptOffered()
 		next.publish()
-		if !heard.names["rack-1"] {
-			t.Errorf("the next owner holds %v", heard.names)
+		if !recorder.names["rack-1"] {
+			t.Errorf("the next owner holds %v, want rack-1", recorder.names)
 		}
 	})
 }
 
 // A late offer must not restore a previous owner.
 func TestLateOffersAreIgnored(t *testing.T) {
-	heard := &heldNames{}
-	k := keeperIn("next", nil, heard)
+	recorder := &heldRecorder{}
+	k := keeperIn("next", nil, recorder)
 	other := live.Process{Instance: "other", Incarnation: "1"}
 	k.view = live.View{Shards: map[string]live.Shard{"moved-on": {Name: "moved-on", Owner: other, Epoch: 5}}}
 	k.ShardOffered(live.Shard{Name: "moved-on", Owner: k.id.Process, Epoch: 4})
@@ -88,7 +89,7 @@
 	k.ShardOffered(live.Shard{Name: "of-the-process-before", Owner: live.Process{Instance: "next", Incarnation: "0"}, Epoch: 4})
 	k.acceptOffered()
 	k.publish()
-	if len(heard.names) > 0 {
-		t.Errorf("took %v", heard.names)
+	if len(recorder.names) > 0 {
+		t.Errorf("took over %v, want nothing", recorder.names)
 	}
 }
--- a/internal/planner/core_test.go
+++ b/internal/planner/core_test.go
@@ -84,7 +84,7 @@
 		s.expectState(fmt.Sprintf("kind%d", k), run.Succeeded)
 	}
 	if failures > 16 {
-		t.Errorf("%d tasks failed on the bad worker", failures)
+		t.Errorf("%d tasks failed on the faulty worker, want at most 16", failures)
 	}
 }
 
@@ -155,7 +155,7 @@
 	for _, tasks := range s.tasks {
 		for _, status := range tasks {
 			if status.State == worker.Running && status.Need.MemoryMiB != 3000 {
-				t.Errorf("runs again with %s", status.Need)
+				t.Errorf("restarted with %s, want 3000 MiB", status.Need)
 			}
 		}
 	}
@@ -171,7 +171,7 @@
 	for range 60 {
 		s.step()
 		if n := s.running("desk"); n < 7 {
-			t.Fatalf("only %d of 8 replicas run during the update", n)
+			t.Fatalf("only %d of 8 replicas running during the update", n)
 		}
 	}
 	s.expectRunning("desk", 8)
@@ -210,12 +210,12 @@
 	s.steps(2)
 	before := len(s.starts)
 	if n := s.core.Cancel(nil, "many", "test", s.now, func(error) {}); n != 40 {
-		t.Errorf("%d runs cancelled", n)
+		t.Errorf("%d runs cancelled, want 40", n)
 	}
 	s.steps(4)
 	s.expectRunning("many", 0)
 	if after := len(s.starts); after != before {
-		t.Errorf("%d tasks were started after the cancellation", after-before)
+		t.Errorf("%d tasks started after the cancellation", after-before)
 	}
 	for _, sum := range s.core.Summaries() {
 		if sum.State != run.Cancelled {
@@ -244,7 +244,7 @@
 	s.steps(3)
 	for task, n := range s.starts {
 		if n != 2 {
-			t.Errorf("%s was started %d times, not once before and once after the restart", task, n)
+			t.Errorf("%s was started %d times, want 2: before and after the restart", task, n)
 		}
 	}
 }
@@ -263,14 +263,14 @@
 	s.expectStarts("being written", 0)
 	s.report("w0", fleet.Ready)
 	s.report("w1", fleet.Ready)
-	s.expectStarts("reported meanwhile", 0)
+	s.expectStarts("reported during the write", 0)
 	s.core.CommitFailed(batch, false, nil)
-	s.expectStarts("not written", 0)
+	s.expectStarts("write failed", 0)
 	s.core.ReleaseUnwritten()
 	s.expectStarts("in a confirmed outage", 2)
 	batch, _ = s.core.Changes()
 	s.core.Committed(batch)
-	s.expectStarts("written at last", 1)
+	s.expectStarts("written", 1)
 }
 
 func (s *site) expectStarts(when string, want int) {
@@ -280,6 +280,6 @@
 		n += len(a.Start)
 	}
 	if n != want {
-		s.t.Errorf("%s: %d starts leave, want %d", when, n, want)
+		s.t.Errorf("%s: %d starts sent, want %d", when, n, want)
 	}
 }
--- a/internal/planner/gangs_test.go
+++ b/internal/planner/gangs_test.go
@@ -34,7 +34,7 @@
 	s.expectRunning("gang", 4)
 	for task, n := range s.starts {
 		if n != 2 {
-			t.Errorf("%s was started %d times, not twice with the others", task, n)
+			t.Errorf("%s was started %d times, want 2", task, n)
 		}
 	}
 }
--- a/internal/planner/mix_baseline_test.go
+++ b/internal/planner/mix_baseline_test.go
@@ -51,7 +51,7 @@
 	s.cluster = cluster.New(mixNodes(u))
 	var queue []int
 	next := 0
-	for now := time.Duration(0); now < mixPatience && (next < len(stream.jobs) || len(queue) > 0 || len(s.running) > 0); now += mixTick {
+	for now := time.Duration(0); now < mixTimeLimit && (next < len(stream.jobs) || len(queue) > 0 || len(s.running) > 0); now += mixTick {
 		for key, t := range s.running {
 			if t.ends <= now {
 				s.cluster.Release(t.node, "", stream.workloads[stream.jobs[t.job].workload].Need)
--- a/internal/planner/mix_ours_test.go
+++ b/internal/planner/mix_ours_test.go
@@ -38,7 +38,7 @@
 		d.dirty[n.ID] = true
 	}
 	next := 0
-	for now := time.Duration(0); now < mixPatience && (next < len(stream.jobs) || d.waiting > 0 || len(d.running) > 0); now += mixTick {
+	for now := time.Duration(0); now < mixTimeLimit && (next < len(stream.jobs) || d.waiting > 0 || len(d.running) > 0); now += mixTick {
 		d.endTasks(now)
 		d.report(now)
 		for ; next < len(stream.jobs) && stream.jobs[next].at <= now; next++ {
@@ -118,14 +118,14 @@
 		}
 		d.core.Committed(batch)
 		for _, a := range d.core.Outbox() {
-			d.carryOut(a, now)
+			d.execute(a, now)
 		}
 		d.report(now)
 	}
 	d.core.Events()
 }
 
-func (d *coreDriver) carryOut(a fleet.Assignment, now time.Duration) {
+func (d *coreDriver) execute(a fleet.Assignment, now time.Duration) {
 	for _, s := range a.Stop {
 		t, ok := d.byWorker[a.Worker][s.Ref]
 		if !ok {
--- a/internal/planner/mix_stream_test.go
+++ b/internal/planner/mix_stream_test.go
@@ -37,8 +37,8 @@
 	mixKinds  = 24
 	mixLength = 2 * time.Hour
 	mixTick   = time.Second
-	// mixPatience is the time limit after which the simulation stops.
-	mixPatience = 3 * mixLength
+	// mixTimeLimit is the time limit after which the simulation stops.
+	mixTimeLimit = 3 * mixLength
 )
 
 // mixJob is one run of the stream.
--- a/internal/planner/persist.go
+++ b/internal/planner/persist.go
@@ -174,15 +174,15 @@
 // this planner dies, no record of the start is left, and the next planner
 // starts the task again.
 func (c *Core) ReleaseUnwritten() {
-	var kept []start
+	var remaining []start
 	for _, s := range c.decided {
 		if !c.repeatable(s.task) {
-			kept = append(kept, s)
+			remaining = append(remaining, s)
 			continue
 		}
 		c.releaseStarts([]start{s})
 	}
-	c.decided = kept
+	c.decided = remaining
 }
 
 func (c *Core) repeatable(key taskKey) bool {
--- a/internal/planner/restarts_test.go
+++ b/internal/planner/restarts_test.go
@@ -37,7 +37,7 @@
 		restarts += s.restartUnder("bad")
 	}
 	if restarts > 3 {
-		t.Errorf("%d workers restarted under the task", restarts)
+		t.Errorf("%d worker restarts before the task failed, want at most 3", restarts)
 	}
 	s.expectState("bad", run.Failed)
 }
@@ -53,7 +53,7 @@
 		restarts += s.restartUnder("bad")
 	}
 	if restarts > 7 {
-		t.Errorf("%d workers restarted under the service in a minute", restarts)
+		t.Errorf("%d worker restarts by the service in a minute, want at most 7", restarts)
 	}
 }
 
--- a/internal/planner/sequence_test.go
+++ b/internal/planner/sequence_test.go
@@ -73,7 +73,7 @@
 		t.Fatal(err)
 	}
 	if err := h.Store.Commit(ctx, h.held[0]); !errors.Is(err, platform.ErrConflict) {
-		t.Errorf("the late write got %v", err)
+		t.Errorf("late write: got %v, want ErrConflict", err)
 	}
 	h.expect(t, "succeeded")
 }
@@ -96,13 +96,13 @@
 		t.Fatal(err)
 	}
 	if err := h.Store.Commit(ctx, h.held[0]); !errors.Is(err, platform.ErrConflict) {
-		t.Errorf("the late write got %v", err)
+		t.Errorf("late write: got %v, want ErrConflict", err)
 	}
 	if err := old.commit(ctx, put("old"), nil); !errors.Is(err, errSuperseded) {
-		t.Errorf("the old planner's write got %v", err)
+		t.Errorf("write of the previous planner: got %v, want errSuperseded", err)
 	}
 	if err := old.open(ctx, 1); !errors.Is(err, errSuperseded) {
-		t.Errorf("the old planner began again: %v", err)
+		t.Errorf("open by the previous planner: got %v, want errSuperseded", err)
 	}
 	h.expect(t, "next")
 }
--- a/internal/planner/site_test.go
+++ b/internal/planner/site_test.go
@@ -76,7 +76,7 @@
 	}
 	s.core.Committed(batch)
 	for _, a := range s.core.Outbox() {
-		s.carryOut(a)
+		s.execute(a)
 		s.report(a.Worker, fleet.Ready)
 	}
 }
@@ -87,7 +87,7 @@
 	}
 }
 
-func (s *site) carryOut(a fleet.Assignment) {
+func (s *site) execute(a fleet.Assignment) {
 	tasks := s.tasks[a.Worker]
 	for _, ref := range a.Ack {
 		delete(tasks, ref)
@@ -121,7 +121,7 @@
 		}
 	}
 	if !used.Fits(s.capacity) {
-		s.t.Fatalf("worker %s is oversold: %s", id, used)
+		s.t.Fatalf("worker %s is overcommitted: %s", id, used)
 	}
 }
 
@@ -169,7 +169,7 @@
 func (s *site) expectRunning(workload string, want int) {
 	s.t.Helper()
 	if got := s.running(workload); got != want {
-		s.t.Fatalf("%d tasks of %s run, want %d (%+v)", got, workload, want, s.summary(workload))
+		s.t.Fatalf("%d tasks of %s running, want %d (%+v)", got, workload, want, s.summary(workload))
 	}
 }
 
