--- a/internal/idempotency/loader.go
+++ b/internal/idempotency/loader.go
@@ -9,8 +9,8 @@
 	"gentianstand/internal/platform"
 )
 
-// loadShards reads the keys of shards that were taken over, once the owners
-// before have certainly stopped.
+// loadShards reads the keys of shards that were taken over, once previous
+// owners have certainly stopped.
 func (r *Registry) loadShards(ctx context.Context) {
 	now := time.Now()
 	for name, s := range r.unready(now) {
@@ -41,7 +41,7 @@
 // load reads the rows of a shard and the objects of earlier epochs.
 func (r *Registry) load(ctx context.Context, shard string, epoch uint64) (map[string]*Record, error) {
 	records := map[string]*Record{}
-	for e := epochsBack(epoch); e < epoch; e++ {
+	for e := firstEpochToLoad(epoch); e < epoch; e++ {
 		if err := r.loadSegments(ctx, shard, e, records); err != nil {
 			return nil, err
 		}
@@ -62,11 +62,11 @@
 	}
 }
 
-// maxEpochsBack bounds how many earlier epochs are looked through; an epoch
-// lasts much longer than Retention divided by it.
+// maxEpochsBack bounds how many earlier epochs are read. An epoch lasts much
+// longer than Retention divided by it.
 const maxEpochsBack = 16
 
-func epochsBack(epoch uint64) uint64 {
+func firstEpochToLoad(epoch uint64) uint64 {
 	if epoch <= maxEpochsBack {
 		return 0
 	}
--- a/internal/idempotency/shard.go
+++ b/internal/idempotency/shard.go
@@ -6,22 +6,22 @@
 	"gentianstand/internal/ownership"
 )
 
-// shardKeys is what this process knows of the keys of one shard that it owns.
-// The Register's lock guards it.
+// shardKeys holds the keys of one shard that this process owns. It is guarded
+// by the Registry's lock.
 type shardKeys struct {
 	held    ownership.HeldShard
 	ready   bool
 	records map[string]*Record
-	// dirty holds names whose records are to be written to the table.
+	// dirty holds the names of records to be written to the table.
 	dirty map[string]bool
-	// gone holds names whose rows are to be deleted.
-	gone map[string]bool
-	// segments counts the objects written in an outage.
+	// removed holds the names of rows to be deleted.
+	removed map[string]bool
+	// segments is the number of objects written during outages.
 	segments int
 }
 
 func newShardKeys(held ownership.HeldShard) *shardKeys {
-	return &shardKeys{held: held, records: map[string]*Record{}, dirty: map[string]bool{}, gone: map[string]bool{}}
+	return &shardKeys{held: held, records: map[string]*Record{}, dirty: map[string]bool{}, removed: map[string]bool{}}
 }
 
 // expire drops keys older than Retention.
@@ -30,7 +30,7 @@
 		if now.Sub(r.At) > Retention {
 			delete(s.records, name)
 			delete(s.dirty, name)
-			s.gone[name] = true
+			s.removed[name] = true
 		}
 	}
 }
--- a/internal/owner/handover_test.go
+++ b/internal/owner/handover_test.go
@@ -14,8 +14,8 @@
 	"gentianstand/internal/worker"
 )
 
-// handedOver is the agent of a worker that serves one service, has seen no
-// request, and belongs to a later owner as soon as taken is set.
+// handedOver is the agent of a worker that serves one service and has received
+// no request. Once taken is set, it belongs to a later owner.
 type handedOver struct{ taken bool }
 
 func (a *handedOver) Sync(_ context.Context, req worker.SyncRequest) (worker.SyncReply, error) {
@@ -36,9 +36,9 @@
 	return states, nil
 }
 
-// Failure: a request hangs until its deadline, half a minute, although the worker is
-// well.
-func TestSilentConnectionAcrossAHandOver(t *testing.T) {
+// Guards against a request that hangs until its deadline of 30 s although the
+// worker is healthy. It would happen if nobody asked about it after a handover.
+func TestUnresponsiveConnectionAcrossHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		agent := &handedOver{}
 		o := newTestOwner()
@@ -50,15 +50,15 @@
 		req := routing.Request{ID: "q", Deadline: time.Now().Add(time.Minute)}
 		g := o.router.TryAcquire(context.Background(), "desk", req, time.Now())
 		if g == nil {
-			t.Fatal("no slot")
+			t.Fatal("TryAcquire returned no slot")
 		}
 		agent.taken = true
 		o.SetHeld(nil)
-		time.Sleep(doubtAfter + 2*beatPeriod)
+		time.Sleep(unansweredAfter + 2*syncPeriod)
 		if cause := context.Cause(g.Context()); !errors.Is(cause, routing.ErrNeverArrived) {
-			t.Errorf("after the hand-over: %v", cause)
+			t.Errorf("cause after the handover: %v, want ErrNeverArrived", cause)
 		}
 		g.Done(routing.Failed, time.Now())
-		time.Sleep(beatPeriod)
+		time.Sleep(syncPeriod)
 	})
 }
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -7,25 +7,25 @@
 	"gentianstand/internal/fleet"
 )
 
-// Assign takes in what the planner decided. An order of a planner that was
-// overtaken, or one that a later order has overtaken, is refused with NotOwner
-// or Conflict, however late it arrives. NotOwner also says that some workers
-// have changed hands; the planner then decides anew what is still to be sent,
-// instead of learning of it from a later report.
+// Assign handles an order of the planner. An order of a superseded planner is
+// refused with NotOwner, and one that is older than the last accepted order
+// with Conflict, however late it arrives. NotOwner is also returned if some of
+// the workers have a new owner, so that the planner decides again at once what
+// is still to be sent instead of waiting for a later report.
 func (o *Owner) Assign(order fleet.Order) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch {
 	case order.PlannerEpoch < o.plannerEpoch:
-		return fault.New(fault.NotOwner, "planner epoch %d was overtaken by %d", order.PlannerEpoch, o.plannerEpoch)
+		return fault.New(fault.NotOwner, "planner epoch %d was superseded by epoch %d", order.PlannerEpoch, o.plannerEpoch)
 	case order.PlannerEpoch == o.orderEpoch && order.Sequence <= o.orderSequence:
-		return fault.New(fault.Conflict, "order %d was overtaken by %d", order.Sequence, o.orderSequence)
+		return fault.New(fault.Conflict, "order %d is not later than accepted order %d", order.Sequence, o.orderSequence)
 	}
 	o.plannerEpoch = order.PlannerEpoch
 	o.orderEpoch, o.orderSequence = order.PlannerEpoch, order.Sequence
 	missed := 0
 	for _, a := range order.Assignments {
-		m, ok := o.minders[a.Worker]
+		m, ok := o.loops[a.Worker]
 		if !ok || m.epoch != a.Epoch {
 			missed++
 			continue
@@ -33,21 +33,21 @@
 		m.assign(a)
 	}
 	if missed > 0 {
-		return fault.New(fault.NotOwner, "%d of %d workers are not held here under that epoch", missed, len(order.Assignments))
+		return fault.New(fault.NotOwner, "%d of %d workers are not owned here under the epoch of their assignment", missed, len(order.Assignments))
 	}
 	return nil
 }
 
-func (m *minder) assign(a fleet.Assignment) {
+func (m *workerLoop) assign(a fleet.Assignment) {
 	m.mu.Lock()
 	changed := m.tracker.Assign(a)
 	waiting := m.tracker.NeedsSync()
 	m.dirty = m.dirty || changed
 	m.mu.Unlock()
 	if changed && waiting {
-		m.wake()
+		m.requestSync()
 	}
 	if changed {
-		m.changed(true, time.Now())
+		m.publishState(true, time.Now())
 	}
 }
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -18,15 +18,15 @@
 	"gentianstand/internal/routing"
 )
 
-// reportPeriod is how often all workers are reported although nothing
-// changed; it repairs whatever got lost.
+// reportPeriod is the interval of full reports of all workers, which repair the
+// effects of lost reports.
 const reportPeriod = 15 * time.Second
 
-// reportRetry is the wait after a report that did not arrive.
+// reportRetry is the delay after a report that could not be delivered.
 const reportRetry = 200 * time.Millisecond
 
-// Owner looks after all workers of the shards that this process holds. It is
-// safe for concurrent use.
+// Owner manages all workers of the shards that this process owns. It is safe
+// for concurrent use.
 type Owner struct {
 	id      string
 	timing  membership.Timing
@@ -36,21 +36,21 @@
 	planner Planner
 	log     *logrus.Entry
 	metrics ownerMetrics
-	news    chan struct{}
+	changes chan struct{}
 	base    context.Context
 	quit    context.CancelFunc
-	// all asks for a report of all workers next.
-	all atomic.Bool
-	// sequence orders all reports of this process.
+	// fullReport makes the next report cover all workers.
+	fullReport atomic.Bool
+	// sequence numbers all reports of this process.
 	sequence atomic.Uint64
 
 	mu           sync.Mutex
-	minders      map[string]*minder
+	loops        map[string]*workerLoop
 	held         map[string]ownership.HeldShard
 	directory    []platform.Instance
 	drains       map[string]live.Drain
 	plannerEpoch uint64
-	// orderEpoch and orderSequence name the last order taken.
+	// orderEpoch and orderSequence identify the last accepted order.
 	orderEpoch    uint64
 	orderSequence uint64
 }
@@ -60,13 +60,13 @@
 	reports *metrics.Counter
 }
 
-// New returns an Owner that holds nothing. id is this instance's.
+// New returns an Owner without shards. id is the ID of this instance.
 func New(id string, timing membership.Timing, gate Gate, dial Dialer, router *routing.Router, planner Planner, set *metrics.Set, log *logrus.Entry) *Owner {
 	base, quit := context.WithCancel(context.Background())
 	o := &Owner{
 		id: id, timing: timing, gate: gate, dial: dial, router: router, planner: planner, log: log,
-		news: make(chan struct{}, 1), base: base, quit: quit,
-		minders: map[string]*minder{}, held: map[string]ownership.HeldShard{}, drains: map[string]live.Drain{},
+		changes: make(chan struct{}, 1), base: base, quit: quit,
+		loops: map[string]*workerLoop{}, held: map[string]ownership.HeldShard{}, drains: map[string]live.Drain{},
 		metrics: ownerMetrics{
 			syncs:   set.NewCounter("gentianstand_worker_syncs_total"),
 			reports: set.NewCounter("gentianstand_reports_sent_total"),
@@ -77,7 +77,7 @@
 	return o
 }
 
-// SetHeld takes in which shards this process holds now.
+// SetHeld sets the shards that this process owns.
 func (o *Owner) SetHeld(held []ownership.HeldShard) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -90,9 +90,9 @@
 	o.reconcileLocked()
 }
 
-// SetDirectory takes in the platform's list of instances. It lags, so it adds
-// workers and marks leaving ones; a worker that is no longer listed is kept
-// until its leases have lapsed.
+// SetDirectory sets the platform's list of instances. The list lags behind, so
+// it only adds workers and marks leaving ones; a worker that is no longer
+// listed is kept until its leases have expired.
 func (o *Owner) SetDirectory(list []platform.Instance) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -100,7 +100,7 @@
 	o.reconcileLocked()
 }
 
-// SetDrains takes in which planned stops are asked for.
+// SetDrains sets the requested drains of workers.
 func (o *Owner) SetDrains(drains map[string]live.Drain) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -116,19 +116,19 @@
 		}
 		listed[inst.ID] = true
 		if h, ok := o.held[inst.Rack]; ok {
-			o.mindLocked(inst, h)
+			o.ensureLoopLocked(inst, h)
 		}
 	}
-	for id, m := range o.minders {
-		if m.over(o.held, listed[id]) {
+	for id, m := range o.loops {
+		if m.finished(o.held, listed[id]) {
 			o.dropLocked(id, m)
 		}
 	}
 }
 
-// mindLocked starts or refreshes the minder of a worker.
-func (o *Owner) mindLocked(inst platform.Instance, h ownership.HeldShard) {
-	m, ok := o.minders[inst.ID]
+// ensureLoopLocked starts or updates the loop of a worker.
+func (o *Owner) ensureLoopLocked(inst platform.Instance, h ownership.HeldShard) {
+	m, ok := o.loops[inst.ID]
 	if ok && m.epoch == h.Shard.Epoch && m.address == inst.Address {
 		m.refresh(inst, h, o.drains)
 		return
@@ -140,36 +140,37 @@
 		return
 	}
 	ctx, quit := context.WithCancel(o.base)
-	site := OwnedWorker{Instance: inst, Shard: inst.Rack, Epoch: h.Shard.Epoch}
+	owned := OwnedWorker{Instance: inst, Shard: inst.Rack, Epoch: h.Shard.Epoch}
 	_, draining := o.drains[inst.ID]
-	m = &minder{
+	m = &workerLoop{
 		id: inst.ID, epoch: h.Shard.Epoch, address: inst.Address, shard: inst.Rack,
-		owner: o, agent: o.dial(inst.Address), kick: make(chan struct{}, 1), quit: quit, draining: draining,
-		tracker: NewTracker(site, o.id, o.timing, h.OldLeasesEnd(o.timing)), held: h, dirty: true,
+		owner: o, agent: o.dial(inst.Address), wakeup: make(chan struct{}, 1), quit: quit, draining: draining,
+		tracker: NewTracker(owned, o.id, o.timing, h.OldLeasesEnd(o.timing)), held: h, dirty: true,
 	}
-	o.minders[inst.ID] = m
+	o.loops[inst.ID] = m
 	go m.run(ctx)
 }
 
-// refresh takes in what may have changed around a worker.
-func (m *minder) refresh(inst platform.Instance, h ownership.HeldShard, drains map[string]live.Drain) {
+// refresh updates the loop after changes of the directory, the shard or the
+// drains.
+func (m *workerLoop) refresh(inst platform.Instance, h ownership.HeldShard, drains map[string]live.Drain) {
 	_, draining := drains[inst.ID]
 	m.mu.Lock()
-	changed := m.draining != draining || m.tracker.site.Instance.Leaving != inst.Leaving
+	changed := m.draining != draining || m.tracker.owned.Instance.Leaving != inst.Leaving
 	m.draining = draining
-	m.tracker.site.Instance = inst
+	m.tracker.owned.Instance = inst
 	m.held = h
 	m.tracker.SetOldLeasesEnd(h.OldLeasesEnd(m.owner.timing))
 	m.dirty = m.dirty || changed
 	m.mu.Unlock()
 	if changed {
-		m.changed(true, time.Now())
+		m.publishState(true, time.Now())
 	}
 }
 
-// over reports whether the worker needs no minding any more: its shard is not
-// held, or it left the list and nothing of it can be running.
-func (m *minder) over(held map[string]ownership.HeldShard, listed bool) bool {
+// finished reports whether the loop can end: its shard is no longer owned, or
+// the worker is no longer listed and nothing can be running there.
+func (m *workerLoop) finished(held map[string]ownership.HeldShard, listed bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	h, ok := held[m.shard]
@@ -179,29 +180,29 @@
 	return !listed && m.tracker.State() == fleet.Lost && !m.dirty
 }
 
-func (o *Owner) dropLocked(id string, m *minder) {
+func (o *Owner) dropLocked(id string, m *workerLoop) {
 	m.quit()
-	delete(o.minders, id)
+	delete(o.loops, id)
 	if rest := o.router.RemoveWorker(id); rest != nil {
-		go m.askUntilEnded(o.base, rest)
+		go m.resolveUntilIdle(o.base, rest)
 	}
 }
 
-// overtaken drops a worker that a later owner has claimed.
-func (o *Owner) overtaken(m *minder) {
+// dropSuperseded drops a worker that a later owner has claimed.
+func (o *Owner) dropSuperseded(m *workerLoop) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.minders[m.id] == m {
+	if o.loops[m.id] == m {
 		o.dropLocked(m.id, m)
 		m.log().Info("worker_overtaken")
 	}
 }
 
-func (o *Owner) list() []*minder {
+func (o *Owner) list() []*workerLoop {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	list := make([]*minder, 0, len(o.minders))
-	for _, m := range o.minders {
+	list := make([]*workerLoop, 0, len(o.loops))
+	for _, m := range o.loops {
 		list = append(list, m)
 	}
 	return list
@@ -219,7 +220,8 @@
 	return n
 }
 
-// MaxCapacity returns the most of each dimension that any worker here has.
+// MaxCapacity returns, for each resource, the largest capacity of any worker
+// here.
 func (o *Owner) MaxCapacity() resource.Amount {
 	var largest resource.Amount
 	for _, r := range o.Reports() {
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -16,29 +16,32 @@
 	"gentianstand/internal/worker"
 )
 
-type nobody struct{}
+// fakeDeps is a gate that always permits actions and a planner that accepts all reports.
+type fakeDeps struct{}
 
-func (nobody) MayAct(time.Time) bool { return true }
+func (fakeDeps) MayAct(time.Time) bool { return true }
 
-func (nobody) Report(context.Context, bool, []fleet.Report) (uint64, error) { return 0, nil }
+func (fakeDeps) Report(context.Context, bool, []fleet.Report) (uint64, error) { return 0, nil }
 
 func newTestOwner() *Owner {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	dial := func(string) worker.Agent { return nil }
-	return New("o", membership.DefaultTiming(), nobody{}, dial, routing.NewRouter(), nobody{}, metrics.NewSet(), logrus.NewEntry(log))
+	return New("o", membership.DefaultTiming(), fakeDeps{}, dial, routing.NewRouter(), fakeDeps{}, metrics.NewSet(), logrus.NewEntry(log))
 }
 
-// Failure: a start gets lost for as long as the time between two full reports.
-func TestOrderForAWorkerThatWentOn(t *testing.T) {
+// Guards against a start that is lost until the next full report because its
+// worker has a new owner.
+func TestOrderForReassignedWorker(t *testing.T) {
 	order := fleet.Order{PlannerEpoch: 1, Sequence: 1, Assignments: []fleet.Assignment{{Worker: "w", Epoch: 1}}}
 	if err := newTestOwner().Assign(order); !fault.Is(err, fault.NotOwner) {
-		t.Errorf("got %v", err)
+		t.Errorf("Assign: got %v, want a NotOwner fault", err)
 	}
 }
 
-// Failure: a task that has ended and been forgotten runs again.
-func TestOrdersAreTakenInOrder(t *testing.T) {
+// Guards against a delayed order that starts a completed and forgotten task
+// again.
+func TestOrdersAreAcceptedInSequence(t *testing.T) {
 	o := newTestOwner()
 	steps := []struct {
 		name            string
@@ -46,11 +49,11 @@
 		want            fault.Kind
 	}{
 		{"first", 1, 2, ""},
-		{"overtaken on the wire", 1, 1, fault.Conflict},
+		{"delivered late", 1, 1, fault.Conflict},
 		{"repeated", 1, 2, fault.Conflict},
 		{"next", 1, 3, ""},
-		{"a later planner begins anew", 2, 1, ""},
-		{"the planner before", 1, 9, fault.NotOwner},
+		{"first of a later planner", 2, 1, ""},
+		{"previous planner", 1, 9, fault.NotOwner},
 	}
 	for _, s := range steps {
 		err := o.Assign(fleet.Order{PlannerEpoch: s.epoch, Sequence: s.sequence})
--- a/internal/owner/tracker_report.go
+++ b/internal/owner/tracker_report.go
@@ -7,11 +7,11 @@
 	"gentianstand/internal/worker"
 )
 
-// Report returns the owner's word on the worker.
+// Report returns the worker's state as a report to the planner.
 func (t *Tracker) Report() fleet.Report {
-	inst := t.site.Instance
+	inst := t.owned.Instance
 	r := fleet.Report{
-		Worker: inst.ID, Shard: t.site.Shard, Epoch: t.site.Epoch,
+		Worker: inst.ID, Shard: t.owned.Shard, Epoch: t.owned.Epoch,
 		Region: inst.Region, Zone: inst.Zone, Rack: inst.Rack,
 		Capacity: t.capacity, State: t.state, Draining: inst.Leaving, Boot: t.boot,
 	}
@@ -39,7 +39,8 @@
 	return slices.Compact(names)
 }
 
-// NeedsSync reports whether there is something to send before the next beat.
+// NeedsSync reports whether there is something to send before the next periodic
+// sync.
 func (t *Tracker) NeedsSync() bool {
 	return t.state == fleet.Claiming || len(t.start)+len(t.stop) > 0
 }
--- a/internal/owner/tracker_test.go
+++ b/internal/owner/tracker_test.go
@@ -14,7 +14,7 @@
 	"gentianstand/internal/worker"
 )
 
-// rig is one stand-in worker under a controlled clock.
+// rig is a simulated worker under a controlled clock.
 type rig struct {
 	t      *testing.T
 	now    time.Time
@@ -29,16 +29,16 @@
 	return r
 }
 
-// owner returns a tracker under an epoch that has claimed the worker.
+// owner returns a Tracker that has claimed the worker under an epoch.
 func (r *rig) owner(epoch uint64) *Tracker {
 	r.t.Helper()
-	site := OwnedWorker{Instance: platform.Instance{ID: "w"}, Shard: "rack", Epoch: epoch}
-	tr := NewTracker(site, "owner", membership.DefaultTiming(), r.now)
+	owned := OwnedWorker{Instance: platform.Instance{ID: "w"}, Shard: "rack", Epoch: epoch}
+	tr := NewTracker(owned, "owner", membership.DefaultTiming(), r.now)
 	r.deliver(tr, tr.NextRequest(nil))
 	return tr
 }
 
-// deliver brings a message to the worker and the answer back.
+// deliver sends a message to the worker and passes the reply back.
 func (r *rig) deliver(tr *Tracker, req worker.SyncRequest) error {
 	reply, err := r.worker.Sync(context.Background(), req)
 	if err != nil {
@@ -58,15 +58,16 @@
 func (r *rig) expectRunning(want int) {
 	r.t.Helper()
 	if got := len(r.worker.RunningTasks()); got != want {
-		r.t.Fatalf("%d tasks run, want %d", got, want)
+		r.t.Fatalf("%d tasks are running, want %d", got, want)
 	}
 	if broken := standworker.Violations(r.record.Events()); len(broken) > 0 {
-		r.t.Fatalf("broken: %v", broken)
+		r.t.Fatalf("violations: %v", broken)
 	}
 }
 
-// Failure: a task runs that nobody asked for any more.
-func TestLateStartOfOvertakenOwner(t *testing.T) {
+// Guards against a delayed start from a superseded owner, which would run a
+// task that is no longer wanted.
+func TestLateStartOfSupersededOwner(t *testing.T) {
 	r := newRig(t)
 	old := r.owner(1)
 	for range 5 {
@@ -76,15 +77,15 @@
 	late := old.NextRequest(nil)
 	r.owner(2)
 	if err := r.deliver(old, late); !errors.Is(err, worker.ErrStaleEpoch) {
-		t.Errorf("the late message got %v", err)
+		t.Errorf("late message: got %v, want ErrStaleEpoch", err)
 	}
 	if !old.Superseded() {
-		t.Error("the old owner does not know that it was overtaken")
+		t.Error("the previous owner is not marked as superseded")
 	}
 	r.expectRunning(0)
 }
 
-// Failure: a task that has ended runs again.
+// Guards against a delayed message that starts a completed task again.
 func TestLateMessageOfSameOwner(t *testing.T) {
 	r := newRig(t)
 	tr := r.owner(1)
@@ -101,7 +102,8 @@
 	r.expectRunning(0)
 }
 
-// Failure: tasks run on after their lease.
+// Guards against a delayed message that extends a lease, so that tasks run on
+// after the lease has expired.
 func TestLateMessageDoesNotExtendLease(t *testing.T) {
 	r := newRig(t)
 	tr := r.owner(1)
@@ -117,8 +119,8 @@
 	r.expectRunning(0)
 }
 
-// TestLostOnlyAfterLeases: a worker that stops answering is silent at first and
-// lost only once no lease can be running, and only to an owner that may act.
+// TestLostOnlyAfterLeases: a worker that stops answering is first Silent, and
+// Lost only once no lease can be running, and only to an owner that may act.
 func TestLostOnlyAfterLeases(t *testing.T) {
 	r := newRig(t)
 	timing := membership.DefaultTiming()
@@ -129,38 +131,38 @@
 	for r.now.Before(started.Add(timing.Longer(timing.WorkerLease))) {
 		tr.Tick(r.now, true)
 		if tr.State() == fleet.Lost {
-			t.Fatalf("lost after %s", r.now.Sub(started))
+			t.Fatalf("Lost after only %s", r.now.Sub(started))
 		}
 		r.now = r.now.Add(100 * time.Millisecond)
 	}
 	tr.Tick(r.now, false)
 	if tr.State() != fleet.Silent {
-		t.Fatalf("without the right to act: %s", tr.State())
+		t.Fatalf("state %s without the right to act, want silent", tr.State())
 	}
 	tr.Tick(r.now, true)
 	if tr.State() != fleet.Lost {
-		t.Fatalf("state %s", tr.State())
+		t.Fatalf("state %s, want lost", tr.State())
 	}
 	r.expectRunning(0)
 }
 
 // TestNewOwnerWaitsForOldLeases: a worker that a new owner cannot reach is lost
-// only when leases of owners before it have ended.
+// only when the leases of previous owners have expired.
 func TestNewOwnerWaitsForOldLeases(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tr := NewTracker(OwnedWorker{Epoch: 2}, "o", membership.DefaultTiming(), now.Add(time.Minute))
 	tr.Tick(now.Add(59*time.Second), true)
 	if tr.State() == fleet.Lost {
-		t.Error("lost while old leases may run")
+		t.Error("Lost before the leases of previous owners have expired")
 	}
 	tr.Tick(now.Add(time.Minute), true)
 	if tr.State() != fleet.Lost {
-		t.Errorf("state %s", tr.State())
+		t.Errorf("state %s, want lost", tr.State())
 	}
 }
 
-// TestOwnerChecksCapacity: an owner refuses what its worker has no room for,
-// whatever the planner thought.
+// TestOwnerChecksCapacity: an owner refuses starts that exceed its worker's
+// free capacity, whatever the planner assigned.
 func TestOwnerChecksCapacity(t *testing.T) {
 	r := newRig(t)
 	tr := r.owner(1)
@@ -176,18 +178,18 @@
 		}
 	}
 	if refused != 2 {
-		t.Errorf("%d refused", refused)
+		t.Errorf("%d starts refused, want 2", refused)
 	}
 }
 
-// TestStopTravelsWithStart: a stop that reaches the worker together with its
-// own start still ends the task.
-func TestStopTravelsWithStart(t *testing.T) {
+// TestStopSentWithItsStart: a stop that reaches the worker in the same message
+// as its start still ends the task.
+func TestStopSentWithItsStart(t *testing.T) {
 	r := newRig(t)
 	tr := r.owner(1)
 	r.order(tr, 0, 1, 1000)
 	ref := worker.TaskRef{Run: "r", Index: 0, Attempt: 1}
-	tr.NextRequest(nil) // lost on its way
+	tr.NextRequest(nil) // not delivered
 	tr.Assign(fleet.Assignment{Boot: tr.boot, Stop: []worker.TaskStop{{Ref: ref, Action: worker.Kill}}})
 	for range 3 {
 		_ = r.deliver(tr, tr.NextRequest(nil))
@@ -195,9 +197,9 @@
 	r.expectRunning(0)
 }
 
-// TestRestartedWorkerForgets: starts meant for a worker's earlier process do
-// not reach its successor.
-func TestRestartedWorkerForgets(t *testing.T) {
+// TestRestartedWorkerDropsStarts: starts meant for a worker's previous process
+// do not reach the new one.
+func TestRestartedWorkerDropsStarts(t *testing.T) {
 	r := newRig(t)
 	tr := r.owner(1)
 	r.order(tr, 0, 1, 1000)
--- a/internal/ownership/keeper.go
+++ b/internal/ownership/keeper.go
@@ -15,49 +15,50 @@
 // scanLimit bounds one read of the watched rows.
 const scanLimit = 10_000
 
-// Keeper holds this process's session and shards. Run is its only loop; the
-// other methods may be called from anywhere.
+// Keeper maintains this process's session and its shards. Run is its only loop;
+// the other methods may be called from any goroutine.
 type Keeper struct {
-	id       Identity
-	timing   membership.Timing
-	table    platform.Table
-	peers    Peers
-	places   func() []ShardLocation
-	listener Listener
-	session  *membership.Session
-	log      *logrus.Entry
-	kick     chan struct{}
+	id        Identity
+	timing    membership.Timing
+	table     platform.Table
+	peers     Peers
+	locations func() []ShardLocation
+	listener  Listener
+	session   *membership.Session
+	log       *logrus.Entry
+	wakeup    chan struct{}
 
 	mu            sync.Mutex
 	stopping      bool
 	configVersion uint64
 	view          live.View
 	electors      [][]live.Process
-	// offered are rows that other instances say name this process.
+	// offered holds rows reported by other instances that name this process as
+	// owner.
 	offered []live.Shard
 
-	// The fields below belong to Run.
-	observer *membership.Observer
-	beat     uint64
-	rights   string
-	replaced live.Predecessor
-	held     map[string]HeldShard
-	given    map[string]HeldShard
-	// doubted holds the row versions of hand-overs whose answers were lost.
-	doubted map[string]uint64
+	// The fields below are used only by Run.
+	observer   *membership.Observer
+	beat       uint64
+	rights     string
+	replaced   live.Predecessor
+	held       map[string]HeldShard
+	handedOver map[string]HeldShard
+	// unconfirmed holds the row versions of handovers whose answers were lost.
+	unconfirmed map[string]uint64
 }
 
-// NewKeeper returns a Keeper. places lists the shards that should exist.
+// NewKeeper returns a Keeper. locations lists the shards that should exist.
 func NewKeeper(id Identity, timing membership.Timing, table platform.Table, peers Peers, session *membership.Session, places func() []ShardLocation, listener Listener, log *logrus.Entry) *Keeper {
 	return &Keeper{
-		id: id, timing: timing, table: table, peers: peers, places: places, listener: listener, session: session, log: log,
-		kick:     make(chan struct{}, 1),
+		id: id, timing: timing, table: table, peers: peers, locations: places, listener: listener, session: session, log: log,
+		wakeup:   make(chan struct{}, 1),
 		observer: membership.NewObserver(timing),
-		held:     map[string]HeldShard{}, given: map[string]HeldShard{}, doubted: map[string]uint64{},
+		held:     map[string]HeldShard{}, handedOver: map[string]HeldShard{}, unconfirmed: map[string]uint64{},
 	}
 }
 
-// Run keeps the session until ctx ends or the session is lost.
+// Run maintains the session until ctx ends or the session is lost.
 func (k *Keeper) Run(ctx context.Context) {
 	ticker := time.NewTicker(k.timing.Poll)
 	defer ticker.Stop()
@@ -66,20 +67,20 @@
 		select {
 		case <-ctx.Done():
 		case <-ticker.C:
-		case <-k.kick:
+		case <-k.wakeup:
 		}
 	}
 }
 
-// Kick makes Run read the table now, because a peer says it changed.
+// Kick makes Run read the table immediately, because a peer reported a change.
 func (k *Keeper) Kick() {
 	select {
-	case k.kick <- struct{}{}:
+	case k.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// SetStopping asks Run to hand everything over.
+// SetStopping makes Run hand over all shards.
 func (k *Keeper) SetStopping() {
 	k.mu.Lock()
 	k.stopping = true
@@ -87,7 +88,8 @@
 	k.Kick()
 }
 
-// SetConfigVersion notes the configuration in force, for the session's row.
+// SetConfigVersion sets the version of the configuration in force, which is
+// written to the session's row.
 func (k *Keeper) SetConfigVersion(v uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -101,25 +103,25 @@
 	return k.view
 }
 
-// cycle is one round: read, renew, change what should change. When the table
-// does not answer it asks the electors instead.
+// cycle reads the table, renews the session and writes due changes. When the
+// table does not answer, it asks the electors instead.
 func (k *Keeper) cycle(ctx context.Context) {
 	view, err := k.read(ctx)
 	k.acceptOffered()
 	if err == nil {
-		// What was lost to others is dropped before the session counts as
-		// valid again, or this process would act on it in between.
-		k.adopt(view)
+		// Drop shards that now belong to others before the session is valid
+		// again. Otherwise this process would act on them in between.
+		k.syncShards(view)
 		k.publish()
 		err = k.renew(ctx, view)
 	}
 	if err != nil {
 		k.confirmOutage(ctx)
 	} else {
-		k.change(ctx, view)
+		k.applyDecisions(ctx, view)
 	}
 	k.fencePredecessors(ctx)
-	k.settle(ctx)
+	k.clearPredecessors(ctx)
 	k.publish()
-	k.noteRights(time.Now())
+	k.logRightsChange(time.Now())
 }
--- a/internal/planner/core_test.go
+++ b/internal/planner/core_test.go
@@ -30,8 +30,8 @@
 	return fmt.Sprintf("%s:\n  - name: %s\n    team: %s\n    tasks: %d\n    resources: {cpu: %d, memory: 1GiB}\n%s", list, name, team, tasks, cpu, more)
 }
 
-// TestNeverRunnable: a job that no worker can hold says so at once, with the
-// nearest worker and what is missing, and blocks nobody.
+// TestNeverRunnable: a job that fits no worker reports so at once, with the
+// nearest worker and what it lacks, and does not delay other runs.
 func TestNeverRunnable(t *testing.T) {
 	s := newSite(t, 2, fourCores, teams+work("jobs", "huge", "a", 1, 64, "    urgency: urgent\n")+work("batches", "small", "a", 8, 1, ""))
 	s.steps(2)
@@ -47,7 +47,7 @@
 }
 
 // TestQuota: a team that may not borrow stays within its quota; one that may
-// uses what others leave, and gives way when they come.
+// borrow uses what other teams leave unused and yields when they need it.
 func TestQuota(t *testing.T) {
 	s := newSite(t, 4, fourCores, teams+work("batches", "strict", "c", 10, 1, "")+"  - name: greedy\n    team: a\n    tasks: 20\n    resources: {cpu: 1, memory: 1GiB}\n")
 	s.steps(3)
@@ -58,8 +58,8 @@
 	}
 }
 
-// Failure: everything fails although one worker of four is bad.
-func TestFailingWorkerIsTakenOut(t *testing.T) {
+// Guards against all runs failing although only one worker of 4 is faulty.
+func TestFailingWorkerIsQuarantined(t *testing.T) {
 	text := teams
 	list := "batches:\n"
 	for k := range 4 {
@@ -84,12 +84,13 @@
 		s.expectState(fmt.Sprintf("kind%d", k), run.Succeeded)
 	}
 	if failures > 16 {
-		t.Errorf("%d tasks failed on the bad worker", failures)
+		t.Errorf("%d tasks failed on the faulty worker, want at most 16", failures)
 	}
 }
 
-// TestBadJobIsNotABadWorker: a job that fails everywhere takes no worker out.
-func TestBadJobIsNotABadWorker(t *testing.T) {
+// TestFailingJobQuarantinesNoWorker: a job that fails on every worker must not
+// cause any of them to be quarantined.
+func TestFailingJobQuarantinesNoWorker(t *testing.T) {
 	s := newSite(t, 3, fourCores, teams+work("batches", "bad", "a", 6, 1, "    retries: 3\n")+"  - name: good\n    team: a\n    tasks: 12\n    resources: {cpu: 1, memory: 1GiB}\n    start: on-submit\n")
 	for range 400 {
 		s.step()
@@ -101,8 +102,9 @@
 	s.expectRunning("good", 12)
 }
 
-// Failure: a letter is sent twice, or its run is called a failure that did not happen.
-func TestUnrepeatableEndsHonestly(t *testing.T) {
+// Guards against a second execution of a task that is not idempotent, and
+// against reporting an unknown outcome as a failure.
+func TestNonIdempotentTaskIsNotRetried(t *testing.T) {
 	s := newSite(t, 2, fourCores, teams+work("batches", "letters", "a", 2, 4, "    idempotent: false\n    retries: 5\n"))
 	s.steps(2)
 	s.report("w0", fleet.Lost)
@@ -120,7 +122,8 @@
 	}
 }
 
-// TestDependencies: a run waits for services to run and for batches to succeed.
+// TestDependencies: a run waits until its services run and its batches have
+// succeeded.
 func TestDependencies(t *testing.T) {
 	text := teams + "services:\n  - name: desk\n    team: a\n    resources: {cpu: 1, memory: 1GiB}\n" +
 		work("batches", "first", "a", 1, 1, "    depends_on: [desk]\n") + work("jobs", "second", "a", 1, 1, "    depends_on: [first]\n")
@@ -135,9 +138,9 @@
 	s.expectRunning("second", 1)
 }
 
-// TestOutgrownTask: a task that uses more memory than it was given is moved and
-// gets its true size; one that must not be repeated is throttled and left.
-func TestOutgrownTask(t *testing.T) {
+// TestMemoryOveruse: a repeatable task that uses more memory than it was given
+// is restarted with its actual size.
+func TestMemoryOveruse(t *testing.T) {
 	s := newSite(t, 2, fourCores, teams+work("batches", "grows", "a", 1, 1, ""))
 	s.steps(2)
 	for id, tasks := range s.tasks {
@@ -152,13 +155,13 @@
 	for _, tasks := range s.tasks {
 		for _, status := range tasks {
 			if status.State == worker.Running && status.Need.MemoryMiB != 3000 {
-				t.Errorf("runs again with %s", status.Need)
+				t.Errorf("restarted with %s, want 3000 MiB", status.Need)
 			}
 		}
 	}
 }
 
-// TestRollingUpdate: a changed service is replaced a part at a time.
+// TestRollingUpdate: the replicas of a changed service are replaced gradually.
 func TestRollingUpdate(t *testing.T) {
 	text := teams + "services:\n  - name: desk\n    team: a\n    replicas: 8\n    resources: {cpu: 1, memory: 1GiB}\n"
 	s := newSite(t, 4, fourCores, text)
@@ -168,7 +171,7 @@
 	for range 60 {
 		s.step()
 		if n := s.running("desk"); n < 7 {
-			t.Fatalf("only %d of 8 replicas run during the update", n)
+			t.Fatalf("only %d of 8 replicas running during the update", n)
 		}
 	}
 	s.expectRunning("desk", 8)
@@ -179,9 +182,9 @@
 	}
 }
 
-// TestTextIsPlannedOnce: the same text, planned again by another planner,
-// starts nothing twice; an old text changes nothing.
-func TestTextIsPlannedOnce(t *testing.T) {
+// TestConfigIsAppliedOnce: applying the same configuration again starts nothing
+// twice, and an older configuration changes nothing.
+func TestConfigIsAppliedOnce(t *testing.T) {
 	text := teams + work("batches", "once", "a", 2, 1, "")
 	s := newSite(t, 2, fourCores, text)
 	s.steps(2)
@@ -197,8 +200,8 @@
 	}
 }
 
-// TestCancellationWave: a wave of cancellations costs time linear in the wave;
-// tasks that had not started are not started.
+// TestCancellationWave: cancelling many runs at once takes time linear in their
+// number and starts none of their pending tasks.
 func TestCancellationWave(t *testing.T) {
 	s := newSite(t, 2, fourCores, teams+work("batches", "many", "a", 50, 1, "    start: on-submit\n"))
 	for i := range 40 {
@@ -207,12 +210,12 @@
 	s.steps(2)
 	before := len(s.starts)
 	if n := s.core.Cancel(nil, "many", "test", s.now, func(error) {}); n != 40 {
-		t.Errorf("%d runs cancelled", n)
+		t.Errorf("%d runs cancelled, want 40", n)
 	}
 	s.steps(4)
 	s.expectRunning("many", 0)
 	if after := len(s.starts); after != before {
-		t.Errorf("%d tasks were started after the cancellation", after-before)
+		t.Errorf("%d tasks started after the cancellation", after-before)
 	}
 	for _, sum := range s.core.Summaries() {
 		if sum.State != run.Cancelled {
@@ -221,8 +224,10 @@
 	}
 }
 
-// Failure: tasks of a restarted worker start a second time while they run.
-func TestOvertakenReportIsDropped(t *testing.T) {
+// Guards against a second start of tasks that are running on a restarted
+// worker. It would happen if a report from before the restart, delivered late,
+// were accepted.
+func TestOutdatedReportIsDropped(t *testing.T) {
 	s := newSite(t, 1, fourCores, teams+work("batches", "plain", "a", 2, 1, ""))
 	s.steps(3)
 	old := s.sequence
@@ -239,12 +244,13 @@
 	s.steps(3)
 	for task, n := range s.starts {
 		if n != 2 {
-			t.Errorf("%s was started %d times, not once before and once after the restart", task, n)
+			t.Errorf("%s was started %d times, want 2: before and after the restart", task, n)
 		}
 	}
 }
 
-// Failure: a task runs that no row tells of, and a successor starts it again.
+// Guards against a running task without a row, which a new planner would start
+// again.
 func TestStartWaitsForItsRow(t *testing.T) {
 	s := newSite(t, 2, fourCores, teams+work("batches", "plain", "a", 2, 1, "")+"  - name: letters\n    team: a\n    idempotent: false\n    resources: {cpu: 1, memory: 1GiB}\n")
 	s.now = s.now.Add(time.Second)
@@ -257,14 +263,14 @@
 	s.expectStarts("being written", 0)
 	s.report("w0", fleet.Ready)
 	s.report("w1", fleet.Ready)
-	s.expectStarts("reported meanwhile", 0)
+	s.expectStarts("reported during the write", 0)
 	s.core.CommitFailed(batch, false, nil)
-	s.expectStarts("not written", 0)
+	s.expectStarts("write failed", 0)
 	s.core.ReleaseUnwritten()
 	s.expectStarts("in a confirmed outage", 2)
 	batch, _ = s.core.Changes()
 	s.core.Committed(batch)
-	s.expectStarts("written at last", 1)
+	s.expectStarts("written", 1)
 }
 
 func (s *site) expectStarts(when string, want int) {
@@ -274,6 +280,6 @@
 		n += len(a.Start)
 	}
 	if n != want {
-		s.t.Errorf("%s: %d starts leave, want %d", when, n, want)
+		s.t.Errorf("%s: %d starts sent, want %d", when, n, want)
 	}
 }
--- a/internal/planner/gangs_test.go
+++ b/internal/planner/gangs_test.go
@@ -19,7 +19,7 @@
 	s.expectRunning("gang", 4)
 }
 
-// Failure: a job goes on with some of its tasks.
+// Guards against a job that continues with only some of its tasks.
 func TestGangRestartsTogether(t *testing.T) {
 	s := newSite(t, 4, fourCores, teams+work("jobs", "gang", "a", 4, 2, ""))
 	s.steps(3)
@@ -34,13 +34,13 @@
 	s.expectRunning("gang", 4)
 	for task, n := range s.starts {
 		if n != 2 {
-			t.Errorf("%s was started %d times, not twice with the others", task, n)
+			t.Errorf("%s was started %d times, want 2", task, n)
 		}
 	}
 }
 
-// Failure: a job for the whole site never starts while small work keeps coming. Cause
-// to be ruled out: every hole is filled at once by the next small task.
+// Guards against starvation of a job that needs all workers: without a
+// reservation, the next small task uses any capacity that becomes free.
 func TestGangIsNotStarved(t *testing.T) {
 	text := teams + work("jobs", "gang", "a", 8, 2, "    run_time: 30s\n") + work("batches", "small", "a", 1, 2, "    run_time: 1m\n    start: on-submit\n")
 	s := newSite(t, 4, fourCores, text)
--- a/internal/planner/mix_ours_test.go
+++ b/internal/planner/mix_ours_test.go
@@ -12,8 +12,8 @@
 	"gentianstand/internal/worker"
 )
 
-// coreDriver feeds a stream to the planner's core, pretending to be the owners
-// of all workers.
+// coreDriver executes a stream with the planner's Core and plays the part of
+// all owners of workers.
 type coreDriver struct {
 	*mixSite
 	core     *planner.Core
@@ -38,7 +38,7 @@
 		d.dirty[n.ID] = true
 	}
 	next := 0
-	for now := time.Duration(0); now < mixPatience && (next < len(stream.jobs) || d.waiting > 0 || len(d.running) > 0); now += mixTick {
+	for now := time.Duration(0); now < mixTimeLimit && (next < len(stream.jobs) || d.waiting > 0 || len(d.running) > 0); now += mixTick {
 		d.endTasks(now)
 		d.report(now)
 		for ; next < len(stream.jobs) && stream.jobs[next].at <= now; next++ {
@@ -108,7 +108,7 @@
 	}
 }
 
-// decide lets the core work until it has nothing more to do in this tick.
+// decide runs four cycles of the Core within one tick.
 func (d *coreDriver) decide(now time.Duration) {
 	for range 4 {
 		d.core.Decide(d.epoch.Add(now), false)
@@ -118,14 +118,14 @@
 		}
 		d.core.Committed(batch)
 		for _, a := range d.core.Outbox() {
-			d.carryOut(a, now)
+			d.execute(a, now)
 		}
 		d.report(now)
 	}
 	d.core.Events()
 }
 
-func (d *coreDriver) carryOut(a fleet.Assignment, now time.Duration) {
+func (d *coreDriver) execute(a fleet.Assignment, now time.Duration) {
 	for _, s := range a.Stop {
 		t, ok := d.byWorker[a.Worker][s.Ref]
 		if !ok {
--- a/internal/planner/outbox.go
+++ b/internal/planner/outbox.go
@@ -6,7 +6,7 @@
 	"gentianstand/internal/worker"
 )
 
-// outbox gathers what to tell the owners of workers.
+// outbox collects assignments for the owners of workers.
 type outbox struct {
 	byWorker map[string]*fleet.Assignment
 }
@@ -47,20 +47,22 @@
 	a.Ack = append(a.Ack, ref)
 }
 
-// Outbox returns what to tell owners and empties it. What does not arrive is
-// noticed from the next report and sent again.
+// Outbox returns the collected assignments and empties the outbox. An
+// assignment that does not arrive is detected from the worker's next report and
+// sent again.
 func (c *Core) Outbox() []fleet.Assignment {
 	list := make([]fleet.Assignment, 0, len(c.outbox.byWorker))
 	for _, id := range sortedKeys(c.outbox.byWorker) {
 		a := c.outbox.byWorker[id]
-		a.Epoch = c.view(id).report.Epoch
+		a.Epoch = c.workerView(id).report.Epoch
 		list = append(list, *a)
 	}
 	c.outbox = newOutbox()
 	return list
 }
 
-// resend puts back what could not be brought, as far as it is still wanted.
+// resend queues undelivered assignments again. Starts that are no longer wanted
+// are dropped.
 func (c *Core) resend(list []fleet.Assignment) {
 	for _, a := range list {
 		for _, s := range a.Start {
@@ -87,7 +89,7 @@
 	}
 }
 
-// sendStart puts the start of a booked task in the outbox.
+// sendStart queues the start of an assigned task.
 func (c *Core) sendStart(key taskKey) {
 	e, ok := c.active[key.run]
 	if !ok {
@@ -95,7 +97,7 @@
 	}
 	w := e.run.Workload
 	t := &e.run.Tasks[key.index]
-	if t.State != run.TaskAssigned || !c.view(t.Worker).tasks[key] || t.Stopping {
+	if t.State != run.TaskAssigned || !c.workerView(t.Worker).tasks[key] || t.Stopping {
 		return
 	}
 	c.outbox.start(t.Worker, t.Boot, worker.TaskStart{
@@ -104,7 +106,7 @@
 	})
 }
 
-// stopTask asks for the end of a booked task.
+// stopTask marks an assigned task as stopping and queues the stop.
 func (c *Core) stopTask(e *entry, index int, action worker.StopAction) {
 	t := &e.run.Tasks[index]
 	t.Stopping = true
--- a/internal/planner/report.go
+++ b/internal/planner/report.go
@@ -9,11 +9,11 @@
 	"gentianstand/internal/worker"
 )
 
-// Report takes in an owner's word on a worker. A report of a lower epoch than
-// seen before comes from an owner that was overtaken, one of a lower sequence
-// was overtaken on its way; both are dropped.
+// Report handles an owner's report on a worker. A report with a lower epoch
+// than the last one comes from a superseded owner, and one with a lower
+// sequence number arrived out of order; both are dropped.
 func (c *Core) Report(r fleet.Report, now time.Time) {
-	v := c.view(r.Worker)
+	v := c.workerView(r.Worker)
 	if r.Epoch < v.report.Epoch || (r.Epoch == v.report.Epoch && r.Sequence < v.report.Sequence) {
 		return
 	}
@@ -27,83 +27,83 @@
 	c.forgetOrphans(v)
 	for _, status := range r.Tasks {
 		reported[status.Ref] = true
-		c.status(v, status, now)
+		c.handleStatus(v, status, now)
 	}
-	c.missing(v, reported, now)
+	c.handleMissing(v, reported, now)
 	if r.Draining {
-		c.drain(v)
+		c.drainWorker(v)
 	}
 }
 
 func (c *Core) forgetOrphans(v *workerView) {
 	for ref, status := range v.orphans {
 		delete(v.orphans, ref)
-		c.strays[taskKey{ref.Run, ref.Index}]--
+		c.orphanCounts[taskKey{ref.Run, ref.Index}]--
 		if i, ok := c.findNode(v.report.Worker); ok {
 			c.cluster.Release(i, status.Workload, status.Need)
 		}
 	}
 }
 
-// status takes in what a worker says of one attempt.
-func (c *Core) status(v *workerView, status worker.TaskStatus, now time.Time) {
+// handleStatus handles the reported status of one attempt.
+func (c *Core) handleStatus(v *workerView, status worker.TaskStatus, now time.Time) {
 	key := taskKey{status.Ref.Run, status.Ref.Index}
 	e, known := c.active[key.run]
 	if !known || key.index >= len(e.run.Tasks) {
-		c.stray(v, status)
+		c.handleOrphan(v, status)
 		return
 	}
 	t := &e.run.Tasks[key.index]
 	if c.startedInOutage(t, status) {
-		c.adopt(e, key.index, v, status, now)
+		c.adoptAttempt(e, key.index, v, status, now)
 	}
 	if t.Attempt != status.Ref.Attempt || t.State != run.TaskAssigned || t.Worker != v.report.Worker {
-		c.stray(v, status)
+		c.handleOrphan(v, status)
 		return
 	}
 	t.Seen = true
 	if status.State == worker.Running {
-		c.running(e, key.index, status, now)
+		c.handleRunning(e, key.index, status, now)
 		return
 	}
 	e.acks = append(e.acks, ack{worker: t.Worker, boot: t.Boot, ref: status.Ref})
-	c.ended(e, key.index, status, now)
+	c.attemptEnded(e, key.index, status, now)
 }
 
-// startedInOutage tells an attempt that an earlier planner started without
-// being able to write it down. That planner knew the attempts before it to be
-// over, so a later attempt stands for an earlier one that the table names.
+// startedInOutage reports whether a previous planner started the attempt
+// without being able to record it. That planner knew that all earlier attempts
+// had ended, so a higher attempt number supersedes the attempt in the table.
 func (c *Core) startedInOutage(t *run.Task, status worker.TaskStatus) bool {
 	return !t.State.Final() && status.Ref.Attempt > t.Attempt && status.State != worker.Refused
 }
 
-func (c *Core) adopt(e *entry, index int, v *workerView, status worker.TaskStatus, now time.Time) {
+func (c *Core) adoptAttempt(e *entry, index int, v *workerView, status worker.TaskStatus, now time.Time) {
 	t := &e.run.Tasks[index]
 	if t.State == run.TaskAssigned {
-		c.unbook(e, index)
+		c.removeAssignment(e, index)
 	} else {
 		e.pending--
 	}
 	t.State, t.Attempt, t.Worker, t.Boot, t.Need = run.TaskAssigned, status.Ref.Attempt, v.report.Worker, v.report.Boot, status.Need
 	t.Definition, t.StartedAt = e.run.Definition, now
-	c.book(e, index)
+	c.recordAssignment(e, index)
 	if i, ok := c.findNode(t.Worker); ok {
 		c.cluster.Allocate(i, e.run.Workload.Name, t.Need)
 	}
 	c.setRunning(e)
-	c.touchTask(e, index)
+	c.markTaskChanged(e, index)
 	c.event("task_adopted", e.run.ID, index, t.Worker, "")
 }
 
-// stray handles an attempt that the books do not have: it is stopped if it
-// runs, and may be forgotten if it has ended.
-func (c *Core) stray(v *workerView, status worker.TaskStatus) {
+// handleOrphan handles an attempt that the planner has not recorded. A running
+// one is stopped; the worker may forget an ended one.
+func (c *Core) handleOrphan(v *workerView, status worker.TaskStatus) {
 	if status.State != worker.Running {
-		c.ackStray(v, status.Ref)
+		c.ackOrphan(v, status.Ref)
 		return
 	}
 	v.orphans[status.Ref] = status
-	c.strays[taskKey{status.Ref.Run, status.Ref.Index}]++
+	c.orphanCounts[taskKey{status.Ref.Run, status.Ref.Index}]++
 	if i, ok := c.findNode(v.report.Worker); ok {
 		c.cluster.Allocate(i, status.Workload, status.Need)
 	}
@@ -111,19 +111,20 @@
 	c.event("task_stray", status.Ref.Run, status.Ref.Index, v.report.Worker, "")
 }
 
-func (c *Core) running(e *entry, index int, status worker.TaskStatus, now time.Time) {
+func (c *Core) handleRunning(e *entry, index int, status worker.TaskStatus, now time.Time) {
 	t := &e.run.Tasks[index]
 	if t.StartedAt.IsZero() {
 		t.StartedAt = now
 	}
 	if !status.Used.Fits(t.Need) {
-		c.outgrown(e, index, status)
+		c.handleOveruse(e, index, status)
 	}
 }
 
-// missing handles booked attempts that a report does not hold: they have not
-// arrived yet, or went with the worker's process.
-func (c *Core) missing(v *workerView, reported map[worker.TaskRef]bool, now time.Time) {
+// handleMissing handles recorded attempts that a report does not contain:
+// either their start has not arrived yet, or they ended with the worker's
+// process.
+func (c *Core) handleMissing(v *workerView, reported map[worker.TaskRef]bool, now time.Time) {
 	for key := range v.tasks {
 		e := c.runs[key.run]
 		t := &e.run.Tasks[key.index]
@@ -132,10 +133,10 @@
 		}
 		switch {
 		case v.report.State == fleet.Lost:
-			c.vanished(e, key.index, "the worker was lost", now)
+			c.attemptLost(e, key.index, "the worker was lost", now)
 		case v.report.State != fleet.Ready:
 		case t.Boot != v.report.Boot:
-			c.restarted(e, key.index, now)
+			c.handleWorkerRestart(e, key.index, now)
 		case c.unwritten[key] != t.Attempt:
 			c.sendStart(key)
 			if t.Stopping {
@@ -145,18 +146,19 @@
 	}
 }
 
-// ackStray lets a worker forget an ended attempt, unless what is known of its
-// run has not been written yet: the worker is then the only one to remember.
-func (c *Core) ackStray(v *workerView, ref worker.TaskRef) {
+// ackOrphan lets a worker forget an ended attempt. It does nothing while
+// changes of the run are still unwritten, because the worker then holds the
+// only record of the attempt.
+func (c *Core) ackOrphan(v *workerView, ref worker.TaskRef) {
 	if e, ok := c.runs[ref.Run]; ok && (e.dirty() || e.writing) {
 		return
 	}
 	c.outbox.ack(v.report.Worker, v.report.Boot, ref)
 }
 
-// drain ends what can be moved from a worker that is to stop. Tasks that must
-// not be repeated are left to finish.
-func (c *Core) drain(v *workerView) {
+// drainWorker stops the tasks on a draining worker that can be moved. Tasks
+// that must not be repeated are left to finish.
+func (c *Core) drainWorker(v *workerView) {
 	for key := range v.tasks {
 		e := c.runs[key.run]
 		if e.run.Tasks[key.index].Stopping {
--- a/internal/planner/restarts_test.go
+++ b/internal/planner/restarts_test.go
@@ -9,8 +9,8 @@
 	"gentianstand/internal/worker"
 )
 
-// restartUnder has each worker that runs a workload's task start anew, and returns how
-// many did.
+// restartUnder restarts each worker that runs a task of the workload. It
+// returns the number of restarted workers.
 func (s *site) restartUnder(workload string) int {
 	restarts := 0
 	for id, tasks := range s.tasks {
@@ -27,8 +27,9 @@
 	return restarts
 }
 
-// Failure: a task that restarts its workers is started again at once, without a limit.
-func TestATaskThatRestartsItsWorkersIsGivenUp(t *testing.T) {
+// Guards against immediate, unlimited restarts of a task that crashes its
+// workers.
+func TestTaskThatRestartsItsWorkersFails(t *testing.T) {
 	s := newSite(t, 4, fourCores, teams+work("batches", "bad", "a", 1, 1, "    retries: 5\n"))
 	restarts := 0
 	for range 600 {
@@ -36,14 +37,15 @@
 		restarts += s.restartUnder("bad")
 	}
 	if restarts > 3 {
-		t.Errorf("%d workers restarted under the task", restarts)
+		t.Errorf("%d worker restarts before the task failed, want at most 3", restarts)
 	}
 	s.expectState("bad", run.Failed)
 }
 
-// A service is never given up, so one that restarts its workers is started with longer and
-// longer waits between, up to a minute: at most seven times in the first minute.
-func TestAServiceThatRestartsItsWorkersWaits(t *testing.T) {
+// A service never fails permanently, so one that crashes its workers is
+// restarted with exponential backoff up to 1 min: at most 7 times in the first
+// minute.
+func TestServiceThatRestartsItsWorkersBacksOff(t *testing.T) {
 	s := newSite(t, 4, fourCores, teams+"services:\n  - name: bad\n    team: a\n    resources: {cpu: 1, memory: 1GiB}\n")
 	restarts := 0
 	for range 600 {
@@ -51,13 +53,14 @@
 		restarts += s.restartUnder("bad")
 	}
 	if restarts > 7 {
-		t.Errorf("%d workers restarted under the service in a minute", restarts)
+		t.Errorf("%d worker restarts by the service in a minute, want at most 7", restarts)
 	}
 }
 
-// A worker restarts under tasks that have worked there for a while, three times in a row
-// on different workers: they are not at fault, and the batch is done in the end.
-func TestTasksThatWorkedAreVictimsOfARestart(t *testing.T) {
+// Workers restart 3 times in a row under tasks that have been running for a
+// while. Such restarts are not counted against the tasks, and the batch
+// succeeds.
+func TestRestartAfterStartupIsNotCounted(t *testing.T) {
 	s := newSite(t, 4, fourCores, teams+work("batches", "good", "a", 2, 1, "    retries: 0\n"))
 	for range 4 {
 		s.steps(150)
--- a/internal/planner/sequence_test.go
+++ b/internal/planner/sequence_test.go
@@ -11,8 +11,8 @@
 	standplatform "gentianstand/internal/standin/platform"
 )
 
-// holdingTable keeps the next write back instead of bringing it, as a network
-// may, and gives no answer.
+// holdingTable holds back the next write, as a network may, and returns no
+// answer for it.
 type holdingTable struct {
 	*standplatform.Store
 	hold bool
@@ -56,7 +56,8 @@
 	}
 }
 
-// Failure: a run falls back to an earlier state, and a task that has ended runs again.
+// Guards against a delayed write that restores an earlier state of a run, so
+// that a completed task runs again.
 func TestLateWriteHasNoEffect(t *testing.T) {
 	ctx := context.Background()
 	h := newHoldingTable(t, 1)
@@ -72,13 +73,13 @@
 		t.Fatal(err)
 	}
 	if err := h.Store.Commit(ctx, h.held[0]); !errors.Is(err, platform.ErrConflict) {
-		t.Errorf("the late write got %v", err)
+		t.Errorf("late write: got %v, want ErrConflict", err)
 	}
 	h.expect(t, "succeeded")
 }
 
-// Failure: two planners write runs.
-func TestOvertakenPlannerCannotWrite(t *testing.T) {
+// Guards against two planners writing runs at the same time.
+func TestSupersededPlannerCannotWrite(t *testing.T) {
 	ctx := context.Background()
 	h := newHoldingTable(t, 1)
 	old, next := &sequence{table: h}, &sequence{table: h}
@@ -95,13 +96,13 @@
 		t.Fatal(err)
 	}
 	if err := h.Store.Commit(ctx, h.held[0]); !errors.Is(err, platform.ErrConflict) {
-		t.Errorf("the late write got %v", err)
+		t.Errorf("late write: got %v, want ErrConflict", err)
 	}
-	if err := old.commit(ctx, put("old"), nil); !errors.Is(err, errOvertaken) {
-		t.Errorf("the old planner's write got %v", err)
+	if err := old.commit(ctx, put("old"), nil); !errors.Is(err, errSuperseded) {
+		t.Errorf("write of the previous planner: got %v, want errSuperseded", err)
 	}
-	if err := old.open(ctx, 1); !errors.Is(err, errOvertaken) {
-		t.Errorf("the old planner began again: %v", err)
+	if err := old.open(ctx, 1); !errors.Is(err, errSuperseded) {
+		t.Errorf("open by the previous planner: got %v, want errSuperseded", err)
 	}
 	h.expect(t, "next")
 }
--- a/internal/planner/site_test.go
+++ b/internal/planner/site_test.go
@@ -13,8 +13,8 @@
 	"gentianstand/internal/worker"
 )
 
-// site drives a Core by hand: it pretends to be the owners of workers and
-// carries out orders at once.
+// site drives a Core step by step. It plays the part of the owners of workers
+// and executes orders immediately.
 type site struct {
 	t        *testing.T
 	core     *planner.Core
@@ -65,7 +65,7 @@
 	s.core.Report(r, s.now)
 }
 
-// step lets the core decide and write, and carries out its orders.
+// step runs one decision and one write of the Core and executes its orders.
 func (s *site) step() {
 	s.t.Helper()
 	s.now = s.now.Add(100 * time.Millisecond)
@@ -76,7 +76,7 @@
 	}
 	s.core.Committed(batch)
 	for _, a := range s.core.Outbox() {
-		s.carryOut(a)
+		s.execute(a)
 		s.report(a.Worker, fleet.Ready)
 	}
 }
@@ -87,7 +87,7 @@
 	}
 }
 
-func (s *site) carryOut(a fleet.Assignment) {
+func (s *site) execute(a fleet.Assignment) {
 	tasks := s.tasks[a.Worker]
 	for _, ref := range a.Ack {
 		delete(tasks, ref)
@@ -121,11 +121,12 @@
 		}
 	}
 	if !used.Fits(s.capacity) {
-		s.t.Fatalf("worker %s is oversold: %s", id, used)
+		s.t.Fatalf("worker %s is overcommitted: %s", id, used)
 	}
 }
 
-// end ends the running tasks of a workload for which pick says so.
+// end ends the running tasks of a workload that pick selects, or all if pick is
+// nil.
 func (s *site) end(workload string, state worker.TaskState, pick func(worker string, ref worker.TaskRef) bool) {
 	for id, tasks := range s.tasks {
 		changed := false
@@ -168,7 +169,7 @@
 func (s *site) expectRunning(workload string, want int) {
 	s.t.Helper()
 	if got := s.running(workload); got != want {
-		s.t.Fatalf("%d tasks of %s run, want %d (%+v)", got, workload, want, s.summary(workload))
+		s.t.Fatalf("%d tasks of %s running, want %d (%+v)", got, workload, want, s.summary(workload))
 	}
 }
 
--- a/internal/planner/term_commit.go
+++ b/internal/planner/term_commit.go
@@ -13,8 +13,9 @@
 	err   error
 }
 
-// write starts a group commit if none is under way. In a confirmed outage
-// starts leave unwritten, and the rows wait until the table is back.
+// write starts a group commit if none is in progress. In a confirmed outage,
+// starts of repeatable work are released without being written, and rows wait
+// until the table is available again.
 func (t *term) write(ctx context.Context, now time.Time) {
 	if t.writing {
 		return
@@ -43,7 +44,8 @@
 	}()
 }
 
-// finishCommit reports false if the term is over.
+// finishCommit handles the result of a group commit. It returns false if the
+// term is over.
 func (t *term) finishCommit(result commitResult) bool {
 	t.writing = false
 	t.planner.metrics.commits.Inc()
@@ -51,21 +53,21 @@
 	switch {
 	case result.err == nil:
 		t.core.Committed(result.batch)
-	case errors.Is(result.err, errOvertaken):
+	case errors.Is(result.err, errSuperseded):
 		t.log.Warn("planner_overtaken")
-		for _, tell := range result.batch.waiters {
-			tell(doubtfulWrite(result.err))
+		for _, notify := range result.batch.waiters {
+			notify(unconfirmedWrite(result.err))
 		}
 		return false
 	default:
 		t.log.WithError(result.err).Warn("planner_commit_failed")
 		t.retryAt = time.Now().Add(idlePeriod)
-		t.core.CommitFailed(result.batch, t.planner.rights.Outage(time.Now()), doubtfulWrite(result.err))
+		t.core.CommitFailed(result.batch, t.planner.rights.Outage(time.Now()), unconfirmedWrite(result.err))
 	}
 	return true
 }
 
-func doubtfulWrite(err error) error {
+func unconfirmedWrite(err error) error {
 	return fault.New(fault.PlatformUnavailable, "the table did not say whether this was kept; ask again with the same key: %w", err).
 		WithOutcome(fault.MayHaveRun)
 }
