--- a/internal/platform/settle.go
+++ b/internal/platform/settle.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// settleBackoff is the wait between two attempts of one transaction.
-const settleBackoff = 50 * time.Millisecond
+// commitBackoff is the wait between two attempts of one transaction.
+const commitBackoff = 50 * time.Millisecond
 
 // CommitWithRetry commits tx and returns only when the result is known or ctx ends.
 //
@@ -18,30 +18,30 @@
 // transaction id in the rows it put. tx must therefore put at least one row
 // that nobody else overwrites at once.
 func CommitWithRetry(ctx context.Context, t Table, tx Tx) error {
-	doubtful := false
+	outcomeUnknown := false
 	for {
 		err := t.Commit(ctx, tx)
 		switch {
 		case err == nil:
 			return nil
 		case errors.Is(err, ErrConflict):
-			if !doubtful {
+			if !outcomeUnknown {
 				return err
 			}
-			mine, lookErr := wroteAny(ctx, t, tx)
-			if lookErr == nil && mine {
+			mine, readErr := wroteAny(ctx, t, tx)
+			if readErr == nil && mine {
 				return nil
 			}
-			if lookErr == nil {
+			if readErr == nil {
 				return err
 			}
 		default:
-			doubtful = true
+			outcomeUnknown = true
 		}
 		select {
 		case <-ctx.Done():
 			return ErrUnavailable
-		case <-time.After(settleBackoff):
+		case <-time.After(commitBackoff):
 		}
 	}
 }
--- a/internal/standin/worker/requests.go
+++ b/internal/standin/worker/requests.go
@@ -11,7 +11,7 @@
 func (w *Worker) admit(id, key, service string, epoch uint64) (refused string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.advanceLocked()
+	w.updateLocked()
 	switch {
 	case epoch < w.epoch:
 		w.record.Add(Event{At: w.now(), Worker: w.cfg.ID, Type: RefusedEpoch})
@@ -37,7 +37,7 @@
 	if len(w.finished) > finishedKept {
 		w.finished = w.finished[1:]
 	}
-	w.advanceLocked()
+	w.updateLocked()
 }
 
 func (w *Worker) servesLocked(service string) bool {
--- a/internal/standin/worker/server.go
+++ b/internal/standin/worker/server.go
@@ -41,14 +41,14 @@
 		_ = json.NewEncoder(w).Encode(s.record.Events())
 	})
 	mux.HandleFunc(PathRestart, func(http.ResponseWriter, *http.Request) { s.worker.Restart() })
-	return s.silence(mux)
+	return s.swallowSilenced(mux)
 }
 
-// silence swallows what arrives on connections that were told to go silent:
+// swallowSilenced swallows what arrives on connections that were told to go silent:
 // it neither answers nor closes, as a network element that lost its state.
-func (s *Server) silence(next http.Handler) http.Handler {
+func (s *Server) swallowSilenced(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if s.worker.silent(r.RemoteAddr) {
+		if s.worker.isSilenced(r.RemoteAddr) {
 			<-r.Context().Done()
 			return
 		}
@@ -56,24 +56,24 @@
 	})
 }
 
-// silent notes the connection and reports whether it has gone silent.
-func (w *Worker) silent(remote string) bool {
+// isSilenced notes the connection and reports whether it has gone isSilenced.
+func (w *Worker) isSilenced(remote string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.silentSeen == nil {
-		w.silentSeen = map[string]bool{}
+	if w.silenced == nil {
+		w.silenced = map[string]bool{}
 	}
-	if _, seen := w.silentSeen[remote]; !seen {
-		w.silentSeen[remote] = false
+	if _, seen := w.silenced[remote]; !seen {
+		w.silenced[remote] = false
 	}
-	return w.silentSeen[remote]
+	return w.silenced[remote]
 }
 
-func (w *Worker) silenceOpen() {
+func (w *Worker) silenceConnections() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for remote := range w.silentSeen {
-		w.silentSeen[remote] = true
+	for remote := range w.silenced {
+		w.silenced[remote] = true
 	}
 }
 
@@ -156,7 +156,7 @@
 		return
 	}
 	if f.SilenceConnections {
-		s.worker.silenceOpen()
+		s.worker.silenceConnections()
 	}
 	s.worker.SetFault(f)
 }
--- a/internal/standin/worker/sync.go
+++ b/internal/standin/worker/sync.go
@@ -14,7 +14,7 @@
 func (w *Worker) Sync(_ context.Context, req worker.SyncRequest) (worker.SyncReply, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.advanceLocked()
+	w.updateLocked()
 	if w.fault.DropAgent {
 		return worker.SyncReply{}, worker.ErrUnreachable
 	}
@@ -37,13 +37,13 @@
 	if w.fault.DropAgent {
 		return nil, worker.ErrUnreachable
 	}
-	return w.doubtsLocked(ids), nil
+	return w.requestStatesLocked(ids), nil
 }
 
-func (w *Worker) doubtsLocked(ids []string) []worker.RequestState {
+func (w *Worker) requestStatesLocked(ids []string) []worker.RequestState {
 	var states []worker.RequestState
 	for _, id := range ids {
-		states = append(states, w.doubtLocked(id))
+		states = append(states, w.requestStateLocked(id))
 	}
 	return states
 }
@@ -97,10 +97,10 @@
 // scheduleEnd reads the pretended run time and end from the command, as in
 // ["sleep", "200ms"] or ["fail", "10ms"].
 func (w *Worker) scheduleEnd(t *task, start worker.TaskStart) {
-	runs := w.cfg.Work
+	duration := w.cfg.Work
 	if len(start.Command) == 2 {
 		if d, err := time.ParseDuration(start.Command[1]); err == nil {
-			runs = d
+			duration = d
 		}
 		if start.Command[0] == "fail" {
 			t.ends = worker.Failed
@@ -108,11 +108,11 @@
 	}
 	t.status.Result = fmt.Sprintf("%s done", strings.Join(start.Command, " "))
 	limit := time.Duration(start.LimitMillis) * time.Millisecond
-	if limit > 0 && runs > limit {
-		runs, t.ends = limit, worker.Failed
+	if limit > 0 && duration > limit {
+		duration, t.ends = limit, worker.Failed
 		t.status.Result = "run-time limit reached"
 	}
-	t.endsAt = w.now().Add(runs)
+	t.endsAt = w.now().Add(duration)
 }
 
 func (w *Worker) stopLocked(stop worker.TaskStop) {
@@ -147,11 +147,11 @@
 			reply.OlderRequests++
 		}
 	}
-	reply.RequestStates = w.doubtsLocked(req.UnconfirmedRequests)
+	reply.RequestStates = w.requestStatesLocked(req.UnconfirmedRequests)
 	return reply
 }
 
-func (w *Worker) doubtLocked(id string) worker.RequestState {
+func (w *Worker) requestStateLocked(id string) worker.RequestState {
 	if _, running := w.requests[id]; running {
 		return worker.RequestRunning
 	}
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -36,7 +36,7 @@
 	requests   map[string]uint64
 	finished   []string
 	revoked    map[string]bool
-	silentSeen map[string]bool
+	silenced   map[string]bool
 }
 
 type task struct {
@@ -59,7 +59,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.tasks != nil {
-		w.advanceLocked()
+		w.updateLocked()
 	}
 	for _, t := range w.tasks {
 		w.endLocked(t, worker.Failed, "worker restarted", w.now())
@@ -85,7 +85,7 @@
 func (w *Worker) RunningTasks() []worker.TaskRef {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.advanceLocked()
+	w.updateLocked()
 	var refs []worker.TaskRef
 	for ref, t := range w.tasks {
 		if t.status.State == worker.Running {
@@ -97,25 +97,25 @@
 
 func (w *Worker) clockLocked() int64 { return w.now().Sub(w.started).Milliseconds() }
 
-// advanceLocked ends tasks whose time has come and enforces the lease. It runs
+// updateLocked ends tasks whose time has come and enforces the lease. It runs
 // whenever the worker is looked at, and dates each end at the time at which it
 // was due, so a look that comes late changes nothing.
-func (w *Worker) advanceLocked() {
+func (w *Worker) updateLocked() {
 	now := w.now()
-	lapse := w.started.Add(time.Duration(w.leaseUntil) * time.Millisecond)
-	lapsed := w.leaseUntil > 0 && !now.Before(lapse)
-	if lapsed {
+	leaseEnd := w.started.Add(time.Duration(w.leaseUntil) * time.Millisecond)
+	leaseExpired := w.leaseUntil > 0 && !now.Before(leaseEnd)
+	if leaseExpired {
 		w.leaseUntil = 0
-		w.record.Add(Event{At: lapse, Worker: w.cfg.ID, Type: LeaseExpired})
+		w.record.Add(Event{At: leaseEnd, Worker: w.cfg.ID, Type: LeaseExpired})
 	}
 	for _, t := range w.tasks {
 		due := !t.endsAt.IsZero() && !now.Before(t.endsAt)
 		switch {
 		case t.status.State != worker.Running:
-		case due && !(lapsed && lapse.Before(t.endsAt)):
+		case due && !(leaseExpired && leaseEnd.Before(t.endsAt)):
 			w.endLocked(t, t.ends, "", t.endsAt)
-		case lapsed:
-			w.endLocked(t, worker.Stopped, "lease lapsed", lapse)
+		case leaseExpired:
+			w.endLocked(t, worker.Stopped, "lease lapsed", leaseEnd)
 		case t.draining && len(w.requests) == 0:
 			w.endLocked(t, worker.Stopped, "drained", now)
 		}
