--- a/internal/standin/platform/fault.go
+++ b/internal/standin/platform/fault.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// Fault is what the stand-in does wrong at the moment.
+// Fault describes the faults that are injected into the stand-in.
 type Fault struct {
-	// TableDown and ObjectsDown make every call fail.
+	// TableDown and ObjectsDown make every call to the table or the object store fail.
 	TableDown   bool `json:"table_down"`
 	ObjectsDown bool `json:"objects_down"`
-	// Delay is added to every call, in milliseconds.
+	// DelayMillis is the latency added to every call, in milliseconds.
 	DelayMillis int64 `json:"delay_millis"`
-	// LoseAnswers is how many of the next writes take effect although their
-	// answers are lost.
+	// LoseAnswers is the number of next writes that take effect but whose responses are
+	// lost.
 	LoseAnswers int `json:"lose_answers"`
-	// Cut lists clients whose calls fail while others work.
+	// Cut lists the clients that are partitioned from the platform: their calls fail, those
+	// of others succeed.
 	Cut []string `json:"cut"`
-	// FreezeList keeps the instance list as it is now.
+	// FreezeList stops updates of the instance list.
 	FreezeList bool `json:"freeze_list"`
 }
 
--- a/internal/standin/platform/faulty_store.go
+++ b/internal/standin/platform/faulty_store.go
@@ -11,14 +11,14 @@
 	"gentianstand/internal/platform"
 )
 
-// The limits that the users name for their table service.
+// The rate limits that the users specify for their table service.
 const (
 	WritesPerSecond = 400
 	ReadsPerSecond  = 2000
 )
 
-// FaultyStore is a Store seen by one client through the current faults and the
-// service's limits.
+// FaultyStore wraps a Store for one client. It injects the current faults and enforces the
+// rate limits of the service.
 type FaultyStore struct {
 	store  *Store
 	client string
@@ -33,7 +33,8 @@
 	reads  *rate.Limiter
 }
 
-// NewFaultyStore returns a faultless view of store; For gives it to clients.
+// NewFaultyStore returns a wrapper of store without faults; ForClient returns the view of a
+// client.
 func NewFaultyStore(store *Store) *FaultyStore {
 	return &FaultyStore{store: store, state: &faultState{
 		writes: rate.NewLimiter(WritesPerSecond, WritesPerSecond),
@@ -41,7 +42,7 @@
 	}}
 }
 
-// ForClient returns the view of one named client. All views share their faults.
+// ForClient returns the view of the named client. All views share faults and limits.
 func (f *FaultyStore) ForClient(client string) *FaultyStore {
 	return &FaultyStore{store: f.store, client: client, state: f.state}
 }
@@ -115,6 +116,7 @@
 	return f.store.Instances(ctx)
 }
 
+// enterTable is enter for the table, with a rate limit.
 func (f *FaultyStore) enterTable(ctx context.Context, limit *rate.Limiter) error {
 	if err := f.enter(ctx, f.current().TableDown); err != nil {
 		return err
@@ -125,6 +127,7 @@
 	return nil
 }
 
+// enter applies delay and faults at the start of a call.
 func (f *FaultyStore) enter(ctx context.Context, down bool) error {
 	fault := f.current()
 	if fault.DelayMillis > 0 {
@@ -146,6 +149,7 @@
 	return f.state.fault
 }
 
+// loseAnswer reports whether the response to the current write is to be lost.
 func (f *FaultyStore) loseAnswer() bool {
 	f.state.mu.Lock()
 	defer f.state.mu.Unlock()
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -11,20 +11,20 @@
 	"gentianstand/internal/platform/httpwire"
 )
 
-// The control paths of the stand-in; they are no part of the platform's wire.
+// The control paths of the stand-in, which are not part of the platform's interface.
 const (
 	PathFault    = "/standin/fault"
 	PathInstance = "/standin/instance"
 	PathCounts   = "/standin/counts"
 )
 
-// Server serves a Faulty over the platform's wire.
+// Server serves a FaultyStore over the platform's HTTP interface.
 type Server struct {
 	store  *Store
 	faulty *FaultyStore
 }
 
-// NewServer returns a server of store, seen through faulty.
+// NewServer returns a server for faulty, which wraps store.
 func NewServer(store *Store, faulty *FaultyStore) *Server {
 	return &Server{store: store, faulty: faulty}
 }
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -1,5 +1,5 @@
-// Package platform is a small stand-in for the platform's table, object store
-// and instance list. It keeps everything in memory and can be told to fail.
+// Package platform simulates the platform's table, object store and instance list for tests
+// and for development. It keeps all data in memory and can inject faults.
 package platform
 
 import (
@@ -11,8 +11,8 @@
 	"gentianstand/internal/platform"
 )
 
-// Store holds the stand-in's state. It implements the interfaces of package
-// platform without any fault; Faulty adds the faults.
+// Store holds the state of the stand-in. It implements the interfaces of package platform
+// without faults; FaultyStore adds them.
 type Store struct {
 	mu        sync.Mutex
 	version   uint64
@@ -125,7 +125,7 @@
 	delete(s.instances, id)
 }
 
-// Counts returns how much the store has been used.
+// Counts returns the usage counters.
 func (s *Store) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/worker/config.go
+++ b/internal/standin/worker/config.go
@@ -6,13 +6,14 @@
 	"gentianstand/internal/resource"
 )
 
-// Config describes a stand-in worker.
+// Config holds the settings of a stand-in worker.
 type Config struct {
 	ID       string
 	Capacity resource.Amount
-	Slots    int
-	// Work is how long a task runs that says nothing else, and Serve how
-	// long a request takes.
+	// Slots is the number of requests that the worker serves concurrently.
+	Slots int
+	// Work is the run time of a task whose command sets none, and Serve the time to serve
+	// a request.
 	Work  time.Duration
 	Serve time.Duration
 }
--- a/internal/standin/worker/fault.go
+++ b/internal/standin/worker/fault.go
@@ -1,19 +1,19 @@
 package worker
 
-// Fault is what the stand-in does wrong at the moment.
+// Fault describes the faults that are injected into the stand-in.
 type Fault struct {
-	// FailAll ends every task as failed right after its start.
+	// FailAll makes every task fail immediately after its start.
 	FailAll bool `json:"fail_all"`
-	// Hang keeps requests without an answer.
+	// Hang leaves requests unanswered.
 	Hang bool `json:"hang"`
-	// ServeMillis replaces the time a request takes, when not zero.
+	// ServeMillis overrides the time to serve a request, if not 0.
 	ServeMillis int64 `json:"serve_millis"`
-	// SilenceConnections makes all connections open now go silent: what
-	// arrives on them is swallowed. New ones work.
+	// SilenceConnections makes the connections that are open now unresponsive: requests on
+	// them are never answered. New connections work.
 	SilenceConnections bool `json:"silence_connections"`
-	// Nonsense answers requests with bytes that are no HTTP.
+	// Nonsense answers requests with bytes that are not HTTP.
 	Nonsense bool `json:"nonsense"`
-	// DropAgent makes the agent's calls fail, as if the worker were cut off
-	// from its owner.
+	// DropAgent makes calls to the agent fail, as if the worker were partitioned from its
+	// owner.
 	DropAgent bool `json:"drop_agent"`
 }
--- a/internal/standin/worker/record.go
+++ b/internal/standin/worker/record.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// Record is the judge of every proof: it remembers each start and end of a
-// task and each executed request, over all workers that share it.
+// Record holds the events of all workers that share it: each start and end of a task and each
+// executed request. Tests check the scheduler's guarantees against it (see Violations).
 type Record struct {
 	mu     sync.Mutex
 	events []Event
 }
 
-// Event is one thing that happened on a worker.
+// Event is an entry of a Record.
 type Event struct {
 	At     time.Time `json:"at"`
 	Worker string    `json:"worker"`
 	Type   EventType `json:"type"`
-	// Task is run/index for tasks; Key is the idempotency key of a request.
+	// Task is run/index of a task. Key is the idempotency key of a request.
 	Task    string `json:"task,omitempty"`
 	Attempt int    `json:"attempt,omitempty"`
 	Key     string `json:"key,omitempty"`
 	Request string `json:"request,omitempty"`
 }
 
-// EventType is the kind of an Event.
+// EventType is the type of an Event.
 type EventType string
 
-// The events of a record.
+// The types of events.
 const (
 	TaskStarted  EventType = "task_started"
 	TaskEnded    EventType = "task_ended"
--- a/internal/standin/worker/requests.go
+++ b/internal/standin/worker/requests.go
@@ -7,7 +7,7 @@
 	"gentianstand/internal/worker/httpwire"
 )
 
-// admit takes a slot for a request of service, or returns why not.
+// admit occupies a slot for a request to service, or returns the reason for refusing it.
 func (w *Worker) admit(id, key, service string, epoch uint64) (refused string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -34,12 +34,14 @@
 	defer w.mu.Unlock()
 	delete(w.requests, id)
 	w.finished = append(w.finished, id)
-	if len(w.finished) > finishedKept {
+	if len(w.finished) > maxFinishedRequests {
 		w.finished = w.finished[1:]
 	}
 	w.updateLocked()
 }
 
+// servesLocked reports whether a task of service is running and not draining. The caller
+// holds w.mu.
 func (w *Worker) servesLocked(service string) bool {
 	for _, t := range w.tasks {
 		if t.status.Service && t.status.Workload == service && t.status.State == worker.Running && !t.draining {
--- a/internal/standin/worker/server.go
+++ b/internal/standin/worker/server.go
@@ -14,14 +14,14 @@
 	"gentianstand/internal/worker/httpwire"
 )
 
-// The control paths of the stand-in; they are no part of the worker's wire.
+// The control paths of the stand-in, which are not part of the worker's interface.
 const (
 	PathFault   = "/standin/fault"
 	PathRecord  = "/standin/record"
 	PathRestart = "/standin/restart"
 )
 
-// Server puts a Worker on the wire.
+// Server serves a Worker over HTTP.
 type Server struct {
 	worker *Worker
 	record *Record
@@ -44,8 +44,8 @@
 	return s.swallowSilenced(mux)
 }
 
-// swallowSilenced swallows what arrives on connections that were told to go silent:
-// it neither answers nor closes, as a network element that lost its state.
+// swallowSilenced drops requests on silenced connections without answering them or closing
+// the connection, like a network element that has lost its state.
 func (s *Server) swallowSilenced(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.worker.isSilenced(r.RemoteAddr) {
@@ -56,7 +56,7 @@
 	})
 }
 
-// isSilenced notes the connection and reports whether it has gone isSilenced.
+// isSilenced registers the connection and reports whether it is silenced.
 func (w *Worker) isSilenced(remote string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -69,6 +69,7 @@
 	return w.silenced[remote]
 }
 
+// silenceConnections silences the connections known so far.
 func (w *Worker) silenceConnections() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -133,7 +134,7 @@
 	_, _ = io.Copy(w, r.Body)
 }
 
-// work waits as long as a request takes and reports whether to answer.
+// work waits for the time to serve a request and reports whether to answer it.
 func (s *Server) work(r *http.Request) bool {
 	if s.worker.currentFault().Hang {
 		<-r.Context().Done()
--- a/internal/standin/worker/sync.go
+++ b/internal/standin/worker/sync.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// scheduleEnd reads the pretended run time and end from the command, as in
+// scheduleEnd sets the simulated run time and result of a task from its command, for example
 // ["sleep", "200ms"] or ["fail", "10ms"].
 func (w *Worker) scheduleEnd(t *task, start worker.TaskStart) {
 	duration := w.cfg.Work
@@ -151,6 +151,8 @@
 	return reply
 }
 
+// requestStateLocked returns the state of a request and revokes it if it has not arrived. The
+// caller holds w.mu.
 func (w *Worker) requestStateLocked(id string) worker.RequestState {
 	if _, running := w.requests[id]; running {
 		return worker.RequestRunning
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -1,6 +1,6 @@
-// Package worker is a small stand-in for the platform's agent on a worker. It
-// pretends to run tasks, serves requests, enforces epochs and leases, records
-// everything that happens and can be told to fail.
+// Package worker simulates the platform's agent on a worker for tests and for development. It
+// simulates task runs, serves requests, enforces epochs and leases, records all events and
+// can inject faults.
 package worker
 
 import (
@@ -13,11 +13,10 @@
 	"gentianstand/internal/worker"
 )
 
-// finishedKept is how many ended requests a worker remembers.
-const finishedKept = 256
+// maxFinishedRequests is the number of finished requests that a worker remembers.
+const maxFinishedRequests = 256
 
-// Worker is one stand-in worker. It implements worker.Agent directly, and
-// Server puts it on the wire.
+// Worker is a stand-in worker. It implements worker.Agent; Server serves it over HTTP.
 type Worker struct {
 	cfg    Config
 	record *Record
@@ -47,14 +46,14 @@
 	ends     worker.TaskState
 }
 
-// New returns a worker that uses now as its clock.
+// New returns a worker that reads the time from now and adds its events to record.
 func New(cfg Config, record *Record, now func() time.Time) *Worker {
 	w := &Worker{cfg: cfg, record: record, now: now}
 	w.Restart()
 	return w
 }
 
-// Restart makes the worker a new process with nothing running.
+// Restart simulates a restart of the worker's process; its running tasks fail.
 func (w *Worker) Restart() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -81,7 +80,7 @@
 	w.fault = f
 }
 
-// RunningTasks returns the attempts running now.
+// RunningTasks returns the attempts that are running.
 func (w *Worker) RunningTasks() []worker.TaskRef {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -97,9 +96,9 @@
 
 func (w *Worker) clockLocked() int64 { return w.now().Sub(w.started).Milliseconds() }
 
-// updateLocked ends tasks whose time has come and enforces the lease. It runs
-// whenever the worker is looked at, and dates each end at the time at which it
-// was due, so a look that comes late changes nothing.
+// updateLocked ends the tasks that are due and enforces the lease. It runs on each access to
+// the worker and records each end with the time at which it was due, so the time of the access
+// makes no difference. The caller holds w.mu.
 func (w *Worker) updateLocked() {
 	now := w.now()
 	leaseEnd := w.started.Add(time.Duration(w.leaseUntil) * time.Millisecond)
@@ -133,6 +132,7 @@
 	w.record.Add(Event{At: at, Worker: w.cfg.ID, Type: TaskEnded, Task: taskName(t.status.Ref), Attempt: t.status.Ref.Attempt})
 }
 
+// touchLocked marks a task as changed. The caller holds w.mu.
 func (w *Worker) touchLocked(t *task) {
 	w.version++
 	t.changed = w.version
--- a/test/standin/main.go
+++ b/test/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs one stand-in as a process of its own: a platform or a
-// worker. Tests use it where the death or freeze of a process is the point.
+// Command standin runs a stand-in of the platform or of a worker as a separate process. Tests
+// use it where the crash or freeze of a process matters.
 package main
 
 import (
@@ -15,13 +15,13 @@
 )
 
 func main() {
-	kind := flag.String("kind", "", "platform or worker")
-	listen := flag.String("listen", "", "host:port")
+	kind := flag.String("kind", "", "kind of stand-in: platform or worker")
+	listen := flag.String("listen", "", "address to listen on, host:port")
 	id := flag.String("id", "", "id of a worker")
-	cpu := flag.Int64("cpu", 16_000, "processor time of a worker, in thousandths of a core")
-	memory := flag.Int64("memory", 32<<10, "memory of a worker, in MiB")
-	slots := flag.Int("slots", 8, "requests that a worker serves at a time")
-	serve := flag.Duration("serve", 2*time.Millisecond, "how long a request takes")
+	cpu := flag.Int64("cpu", 16_000, "processor capacity of a worker, in thousandths of a core")
+	memory := flag.Int64("memory", 32<<10, "memory capacity of a worker, in MiB")
+	slots := flag.Int("slots", 8, "number of requests that a worker serves concurrently")
+	serve := flag.Duration("serve", 2*time.Millisecond, "time to serve a request")
 	flag.Parse()
 	var handler http.Handler
 	switch *kind {
