--- a/test/e2e/site_questions_test.go
+++ b/test/e2e/cluster_state_test.go
@@ -13,7 +13,7 @@
 )
 
 // metric returns the value of one of an instance's metrics, 0 if it has none.
-func (s *site) metric(inst *node, name string) int {
+func (s *cluster) metric(inst *node, name string) int {
 	resp, err := http.Get("http://" + inst.address + "/metrics")
 	if err != nil {
 		return 0
@@ -30,7 +30,7 @@
 }
 
 // runs returns the latest run of each workload.
-func (s *site) runs(on *node) (map[string]planner.Summary, error) {
+func (s *cluster) runs(on *node) (map[string]planner.Summary, error) {
 	var list []planner.Summary
 	if err := s.getJSON(on.address, "/v1/runs", &list); err != nil {
 		return nil, err
@@ -44,7 +44,7 @@
 	return byWorkload, nil
 }
 
-func (s *site) awaitState(on *node, workload, state string) {
+func (s *cluster) awaitState(on *node, workload, state string) {
 	s.t.Helper()
 	s.await(workload+" "+state, func() error {
 		runs, err := s.runs(on)
@@ -58,7 +58,7 @@
 	})
 }
 
-func (s *site) awaitRunning(on *node, workload string, tasks int) {
+func (s *cluster) awaitRunning(on *node, workload string, tasks int) {
 	s.t.Helper()
 	s.await(workload+" running", func() error {
 		runs, err := s.runs(on)
@@ -72,14 +72,14 @@
 	})
 }
 
-func (s *site) status(on *node) (entry.Status, error) {
+func (s *cluster) status(on *node) (entry.Status, error) {
 	var st entry.Status
 	err := s.getJSON(on.address, "/v1/status", &st)
 	return st, err
 }
 
 // planner returns the instance that plans.
-func (s *site) planner(from *node) *node {
+func (s *cluster) planner(from *node) *node {
 	s.t.Helper()
 	var found *node
 	s.await("planner known", func() error {
@@ -99,7 +99,7 @@
 }
 
 // others returns the instances but one.
-func (s *site) others(not *node) []*node {
+func (s *cluster) others(not *node) []*node {
 	var list []*node
 	for _, inst := range s.instances {
 		if inst != not {
@@ -110,7 +110,7 @@
 }
 
 // events returns the record of all workers in the order of time.
-func (s *site) events() []standworker.Event {
+func (s *cluster) events() []standworker.Event {
 	s.t.Helper()
 	var all []standworker.Event
 	for _, w := range s.workers {
@@ -122,8 +122,8 @@
 	return all
 }
 
-// judge fails the test if the workers' record shows a broken promise.
-func (s *site) judge() []standworker.Event {
+// checkRecord fails the test if the workers' record shows a broken promise.
+func (s *cluster) checkRecord() []standworker.Event {
 	s.t.Helper()
 	events := s.events()
 	if broken := standworker.Violations(events); len(broken) > 0 {
--- a/test/e2e/site_test.go
+++ b/test/e2e/cluster_test.go
@@ -22,12 +22,12 @@
 	standworker "gentianstand/internal/standin/worker"
 )
 
-// patience bounds every wait; it is far above what is expected, so that a slow
+// waitTimeout bounds every wait; it is far above what is expected, so that a slow
 // machine does not change a verdict.
-const patience = 60 * time.Second
+const waitTimeout = 60 * time.Second
 
-// site is a whole system of separate processes.
-type site struct {
+// cluster is a whole system of separate processes.
+type cluster struct {
 	t         testing.TB
 	platform  *process
 	address   string
@@ -43,9 +43,9 @@
 	args    []string
 }
 
-func newSite(t testing.TB, instances, workers, perRack int) *site {
+func newCluster(t testing.TB, instances, workers, perRack int) *cluster {
 	t.Helper()
-	s := &site{t: t, address: freePort(t)}
+	s := &cluster{t: t, address: freePort(t)}
 	s.platform = start(t, "platform", "standin", "-kind", "platform", "-listen", s.address)
 	s.await("platform", func() error { return s.getJSON(s.address, standplatform.PathCounts, &standplatform.Counts{}) })
 	for n := range workers {
@@ -60,17 +60,17 @@
 	return s
 }
 
-func (s *site) addWorker(n, perRack int) {
+func (s *cluster) addWorker(n, perRack int) {
 	id, address := fmt.Sprintf("worker-%d", n), freePort(s.t)
 	args := []string{"-kind", "worker", "-id", id, "-listen", address}
 	s.workers = append(s.workers, &node{process: start(s.t, id, "standin", args...), id: id, address: address, args: args})
 	rack := n / perRack
-	s.list(platform.Instance{
+	s.registerInstance(platform.Instance{
 		ID: id, Role: platform.RoleWorker, Address: address, Region: "r", Zone: fmt.Sprintf("z%d", rack%3), Rack: fmt.Sprintf("rack-%d", rack),
 	})
 }
 
-func (s *site) addInstance(n int) {
+func (s *cluster) addInstance(n int) {
 	id, address, peer := fmt.Sprintf("entry-%d", n), freePort(s.t), freePort(s.t)
 	zone := fmt.Sprintf("z%d", n%3)
 	args := []string{
@@ -78,24 +78,26 @@
 		"-platform", "http://" + s.address, "-platform-timeout", "500ms", "-stop-timeout", "20s",
 	}
 	s.instances = append(s.instances, &node{process: start(s.t, id, "gentianstand", args...), id: id, address: address, args: args})
-	s.list(platform.Instance{ID: id, Role: platform.RoleEntry, Address: peer, Region: "r", Zone: zone})
+	s.registerInstance(platform.Instance{ID: id, Role: platform.RoleEntry, Address: peer, Region: "r", Zone: zone})
 }
 
 // restart starts a new process in the place of a node's old one.
-func (s *site) restart(n *node) {
+func (s *cluster) restart(n *node) {
 	n.kill()
 	n.process = start(s.t, n.id+"'", "gentianstand", n.args...)
 }
 
-func (s *site) list(inst platform.Instance) {
+func (s *cluster) registerInstance(inst platform.Instance) {
 	s.post(s.address, standplatform.PathInstance, inst)
 }
 
-func (s *site) fault(f standplatform.Fault) { s.post(s.address, standplatform.PathFault, f) }
+func (s *cluster) setFault(f standplatform.Fault) { s.post(s.address, standplatform.PathFault, f) }
 
-func (s *site) workerFault(n *node, f standworker.Fault) { s.post(n.address, standworker.PathFault, f) }
+func (s *cluster) setWorkerFault(n *node, f standworker.Fault) {
+	s.post(n.address, standworker.PathFault, f)
+}
 
-func (s *site) post(address, path string, body any) {
+func (s *cluster) post(address, path string, body any) {
 	s.t.Helper()
 	data, _ := json.Marshal(body)
 	resp, err := http.Post("http://"+address+path, "application/json", bytes.NewReader(data))
@@ -105,7 +107,7 @@
 	_ = resp.Body.Close()
 }
 
-func (s *site) getJSON(address, path string, into any) error {
+func (s *cluster) getJSON(address, path string, into any) error {
 	client := http.Client{Timeout: 5 * time.Second}
 	resp, err := client.Get("http://" + address + path)
 	if err != nil {
@@ -127,7 +129,7 @@
 
 // run runs an operators' command against an instance and returns what it
 // printed.
-func (s *site) run(on *node, stdin string, args ...string) (string, error) {
+func (s *cluster) run(on *node, stdin string, args ...string) (string, error) {
 	all := append([]string{args[0], "-server", on.address}, args[1:]...)
 	cmd := exec.Command(filepath.Join(binaries, "gentianstand"), all...)
 	cmd.Stdin = strings.NewReader(stdin)
@@ -135,15 +137,15 @@
 	return string(out), err
 }
 
-func (s *site) apply(on *node, text string) {
+func (s *cluster) apply(on *node, text string) {
 	s.t.Helper()
 	if out, err := s.run(on, text, "apply", "-by", "test"); err != nil {
 		s.t.Fatalf("apply: %v\n%s", err, out)
 	}
 }
 
-// describe logs what each instance says of the system.
-func (s *site) describe() {
+// logStatus logs what each instance says of the system.
+func (s *cluster) logStatus() {
 	for _, inst := range s.instances {
 		var st json.RawMessage
 		err := s.getJSON(inst.address, "/v1/status", &st)
@@ -152,7 +154,7 @@
 }
 
 // awaitOwned waits until every worker has been claimed by an owner.
-func (s *site) awaitOwned() {
+func (s *cluster) awaitOwned() {
 	s.t.Helper()
 	s.await("all workers owned", func() error {
 		owned := 0
@@ -166,16 +168,16 @@
 	})
 }
 
-func (s *site) await(what string, f func() error) {
+func (s *cluster) await(what string, f func() error) {
 	s.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for {
 		err := f()
 		if err == nil {
 			return
 		}
 		if time.Now().After(deadline) {
-			s.describe()
+			s.logStatus()
 			s.t.Fatalf("%s: %v", what, err)
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -192,8 +194,8 @@
 	header  http.Header
 }
 
-func (s *site) request(on *node, method, path, key string) (answer, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (s *cluster) request(on *node, method, path, key string) (answer, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+on.address+"/s/"+path, nil)
 	if err != nil {
@@ -214,7 +216,7 @@
 	}, err
 }
 
-func (s *site) awaitAnswered(on *node, path string) {
+func (s *cluster) awaitAnswered(on *node, path string) {
 	s.t.Helper()
 	s.await("answer from "+on.id, func() error {
 		a, err := s.request(on, http.MethodGet, path, "")
--- a/test/e2e/commands_test.go
+++ b/test/e2e/commands_test.go
@@ -10,7 +10,7 @@
 )
 
 // runJSON runs an operators' command with -json and decodes what it prints.
-func (s *site) runJSON(on *node, into any, args ...string) {
+func (s *cluster) runJSON(on *node, into any, args ...string) {
 	s.t.Helper()
 	out, err := s.run(on, "", append(args, "-json")...)
 	if err != nil {
@@ -23,7 +23,7 @@
 
 // TestCommands: each operators' command works against separate processes.
 func TestCommands(t *testing.T) {
-	s := loaded(t)
+	s := newLoadedCluster(t)
 	on := s.instances[2]
 	changed := strings.Replace(serviceText, "replicas: 6", "replicas: 4", 1)
 	out, err := s.run(on, changed, "plan")
@@ -64,7 +64,7 @@
 	if err != nil || json.Unmarshal(data, &report) != nil || report.Sent == 0 || report.Answers["status_200"] != report.Sent {
 		t.Errorf("load: %v %s", err, data)
 	}
-	s.judge()
+	s.checkRecord()
 }
 
 // TestHelpAndUsage: every command explains itself, and mistakes end with exit
@@ -91,7 +91,7 @@
 // this small site can hold is a warning.
 func TestExamplesApply(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, 2, 2, 1)
+	s := newCluster(t, 2, 2, 1)
 	s.awaitOwned()
 	for _, name := range []string{"lankadesa", "jaatelolinkki", "dev"} {
 		text, err := os.ReadFile("../../examples/" + name + ".yaml")
--- a/test/e2e/cost_test.go
+++ b/test/e2e/cost_test.go
@@ -22,10 +22,10 @@
 	settle = 4 * time.Second
 )
 
-// costSite returns instances as processes, with their workers in this process
+// newCostCluster returns instances as processes, with their workers in this process
 // to spare memory.
-func costSite(b *testing.B, instances, workers int) *site {
-	s := newSite(b, instances, 0, 8)
+func newCostCluster(b *testing.B, instances, workers int) *cluster {
+	s := newCluster(b, instances, 0, 8)
 	record := &standworker.Record{}
 	for n := range workers {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -40,7 +40,7 @@
 		go func() { _ = server.Serve(l) }()
 		b.Cleanup(func() { _ = server.Close() })
 		rack := n / 8
-		s.list(platform.Instance{
+		s.registerInstance(platform.Instance{
 			ID: fmt.Sprintf("worker-%d", n), Role: platform.RoleWorker, Address: l.Addr().String(),
 			Region: "r", Zone: fmt.Sprintf("z%d", rack%3), Rack: fmt.Sprintf("rack-%d", rack),
 		})
@@ -49,7 +49,7 @@
 	return s
 }
 
-func (s *site) awaitWorkers(n int) {
+func (s *cluster) awaitWorkers(n int) {
 	s.await("all workers owned", func() error {
 		owned := 0
 		for _, inst := range s.instances {
@@ -64,7 +64,7 @@
 
 // measure reports what the instances use during the window, for the average
 // instance and for the planner, and what the table is asked.
-func (s *site) measure(b *testing.B, during func()) {
+func (s *cluster) measure(b *testing.B, during func()) {
 	time.Sleep(settle)
 	planner := s.planner(s.instances[0])
 	before := map[*node]usage{}
@@ -98,7 +98,7 @@
 	b.ReportMetric(float64(table.Rows-tableBefore.Rows)/took, "table-rows/s")
 }
 
-func (s *site) counts() standplatform.Counts {
+func (s *cluster) counts() standplatform.Counts {
 	var c standplatform.Counts
 	s.await("counts", func() error { return s.getJSON(s.address, standplatform.PathCounts, &c) })
 	return c
@@ -108,7 +108,7 @@
 func BenchmarkCostIdle(b *testing.B) {
 	for _, size := range []struct{ instances, workers int }{{9, 10}, {9, 50}, {9, 200}, {9, 610}, {3, 50}, {5, 50}} {
 		b.Run(fmt.Sprintf("instances=%d/workers=%d", size.instances, size.workers), func(b *testing.B) {
-			s := costSite(b, size.instances, size.workers)
+			s := newCostCluster(b, size.instances, size.workers)
 			for range b.N {
 				s.measure(b, func() {})
 			}
@@ -120,7 +120,7 @@
 func BenchmarkCostTasks(b *testing.B) {
 	for _, tasks := range []int{1400, 3500, 7000, 14_000} {
 		b.Run(fmt.Sprintf("tasks=%d", tasks), func(b *testing.B) {
-			s := costSite(b, 9, 610)
+			s := newCostCluster(b, 9, 610)
 			s.apply(s.instances[0], standingText(tasks))
 			s.awaitRunning(s.instances[0], "standing-0", tasks/2)
 			s.awaitRunning(s.instances[0], "standing-1", tasks/2)
@@ -145,7 +145,7 @@
 func BenchmarkCostStarts(b *testing.B) {
 	for _, rate := range []int{15, 50, 150} {
 		b.Run(fmt.Sprintf("starts/s=%d", rate), func(b *testing.B) {
-			s := costSite(b, 9, 610)
+			s := newCostCluster(b, 9, 610)
 			s.apply(s.instances[0], standingText(7000)+"  - name: short\n    team: a\n    tasks: 5\n    resources: {cpu: 0.25, memory: 256MiB}\n    command: [sleep, 1s]\n    start: on-submit\n")
 			s.awaitRunning(s.instances[0], "standing-0", 3500)
 			s.awaitRunning(s.instances[0], "standing-1", 3500)
@@ -156,7 +156,7 @@
 	}
 }
 
-func (s *site) submitAtRate(b *testing.B, perSecond float64) {
+func (s *cluster) submitAtRate(b *testing.B, perSecond float64) {
 	gap := time.Duration(float64(time.Second) / perSecond)
 	var failed atomic.Int64
 	for started := time.Now(); time.Since(started) < window; time.Sleep(gap) {
@@ -175,7 +175,7 @@
 func BenchmarkCostRequests(b *testing.B) {
 	for _, rate := range []float64{100, 300, 1000, 3000} {
 		b.Run(fmt.Sprintf("requests/s=%g", rate), func(b *testing.B) {
-			s := costSite(b, 9, 50)
+			s := newCostCluster(b, 9, 50)
 			s.apply(s.instances[0], "version: 1\nteams:\n  - name: a\n    quota: {cpu: 800, memory: 2TiB}\nservices:\n  - name: casedesk\n    team: a\n    replicas: 50\n    spread: worker\n    resources: {cpu: 2, memory: 4GiB}\n")
 			s.awaitRunning(s.instances[0], "casedesk", 50)
 			var servers []string
--- a/test/e2e/failures_test.go
+++ b/test/e2e/failures_test.go
@@ -11,11 +11,11 @@
 	standworker "gentianstand/internal/standin/worker"
 )
 
-// loaded returns a site with the service text in force and its work running.
-func loaded(t *testing.T) *site {
+// newLoadedCluster returns a site with the service text in force and its work running.
+func newLoadedCluster(t *testing.T) *cluster {
 	t.Helper()
 	t.Parallel()
-	s := newSite(t, 3, 6, 2)
+	s := newCluster(t, 3, 6, 2)
 	s.awaitOwned()
 	s.apply(s.instances[0], serviceText)
 	s.awaitRunning(s.instances[0], "casedesk", 6)
@@ -50,7 +50,7 @@
 
 // Failure: work stops, or runs twice.
 func TestKilledPlanner(t *testing.T) {
-	s := loaded(t)
+	s := newLoadedCluster(t)
 	victim := s.planner(s.instances[0])
 	rest := s.others(victim)
 	tr := s.sendTraffic(rest, 2)
@@ -61,7 +61,7 @@
 	if ok, _, broken := tr.stop(s); ok == 0 || broken > 0 {
 		t.Errorf("%d requests answered, %d broken", ok, broken)
 	}
-	events := s.judge()
+	events := s.checkRecord()
 	for task, n := range starts(events) {
 		if n != 1 {
 			t.Errorf("task %s was started %d times", task, n)
@@ -71,7 +71,7 @@
 
 // Failure: a worker is given more than it has, or a task runs in two places.
 func TestFrozenOwnerReturns(t *testing.T) {
-	s := loaded(t)
+	s := newLoadedCluster(t)
 	victim := s.planner(s.instances[0])
 	rest := s.others(victim)
 	victim.signal(syscall.SIGSTOP)
@@ -87,17 +87,17 @@
 	s.awaitState(rest[0], "letters", "succeeded")
 	s.awaitAnswered(victim, "casedesk/back")
 	s.awaitRunning(rest[0], "watch", 3)
-	if n := startsOf(s.judge(), "watch"); n != 3 {
+	if n := startsOf(s.checkRecord(), "watch"); n != 3 {
 		t.Errorf("the three watch tasks were started %d times", n)
 	}
 }
 
 // Failure: a task runs twice or stops.
 func TestCutFromTable(t *testing.T) {
-	s := loaded(t)
+	s := newLoadedCluster(t)
 	victim := s.planner(s.instances[0])
 	rest := s.others(victim)
-	s.fault(standplatform.Fault{Cut: []string{victim.id}})
+	s.setFault(standplatform.Fault{Cut: []string{victim.id}})
 	s.await("another planner", func() error {
 		st, err := s.status(rest[0])
 		if err == nil && st.Planner == victim.id {
@@ -107,17 +107,17 @@
 	})
 	s.awaitAnswered(victim, "casedesk/cut")
 	s.awaitState(rest[0], "letters", "succeeded")
-	s.fault(standplatform.Fault{})
+	s.setFault(standplatform.Fault{})
 	s.awaitRunning(rest[0], "watch", 3)
-	if n := startsOf(s.judge(), "watch"); n != 3 {
+	if n := startsOf(s.checkRecord(), "watch"); n != 3 {
 		t.Errorf("the three watch tasks were started %d times", n)
 	}
 }
 
 // Failure: counters stop although workers and instances are well.
 func TestTableOutage(t *testing.T) {
-	s := loaded(t)
-	s.fault(standplatform.Fault{TableDown: true, ObjectsDown: true})
+	s := newLoadedCluster(t)
+	s.setFault(standplatform.Fault{TableDown: true, ObjectsDown: true})
 	tr := s.sendTraffic(s.instances, 2)
 	down := time.Now()
 	s.await("accepted batch in the outage", func() error {
@@ -138,14 +138,14 @@
 	if ok == 0 || refused > 0 || broken > 0 {
 		t.Errorf("in the outage: %d answered, %d refused, %d broken", ok, refused, broken)
 	}
-	s.fault(standplatform.Fault{})
+	s.setFault(standplatform.Fault{})
 	s.awaitState(s.instances[2], "letters", "succeeded")
 	s.await("submit after the outage", func() error {
 		_, err := s.run(s.instances[1], "", "submit", "-workload", "extra", "-key", "k1")
 		return err
 	})
 	s.awaitState(s.instances[2], "extra", "succeeded")
-	for task, n := range starts(s.judge()) {
+	for task, n := range starts(s.checkRecord()) {
 		if n != 1 {
 			t.Errorf("task %s was started %d times", task, n)
 		}
@@ -154,10 +154,10 @@
 
 // Failure: tasks run twice after the outage.
 func TestPlannerKilledInOutage(t *testing.T) {
-	s := loaded(t)
+	s := newLoadedCluster(t)
 	victim := s.planner(s.instances[0])
 	rest := s.others(victim)
-	s.fault(standplatform.Fault{TableDown: true})
+	s.setFault(standplatform.Fault{TableDown: true})
 	before := startsOf(s.events(), "letters")
 	s.await("starts in the outage", func() error {
 		if n := startsOf(s.events(), "letters"); n < before+6 {
@@ -167,9 +167,9 @@
 	})
 	victim.kill()
 	time.Sleep(time.Second)
-	s.fault(standplatform.Fault{})
+	s.setFault(standplatform.Fault{})
 	s.awaitState(rest[0], "letters", "succeeded")
-	for task, n := range starts(s.judge()) {
+	for task, n := range starts(s.checkRecord()) {
 		if n != 1 {
 			t.Errorf("task %s was started %d times", task, n)
 		}
@@ -179,19 +179,19 @@
 // Failure: an operator sees an error for a change that was accepted, or a run exists
 // twice.
 func TestLostAnswers(t *testing.T) {
-	s := loaded(t)
-	s.fault(standplatform.Fault{LoseAnswers: 12})
+	s := newLoadedCluster(t)
+	s.setFault(standplatform.Fault{LoseAnswers: 12})
 	out, err := s.run(s.instances[1], strings.Replace(serviceText, "tasks: 60", "tasks: 6", 1), "apply", "-base", "1")
 	if err != nil || !strings.Contains(out, "configuration 2") {
 		t.Errorf("apply with lost answers: %v %s", err, out)
 	}
-	s.fault(standplatform.Fault{LoseAnswers: 6})
+	s.setFault(standplatform.Fault{LoseAnswers: 6})
 	s.await("submit with lost answers", func() error {
 		_, err := s.run(s.instances[2], "", "submit", "-workload", "extra", "-key", "k1")
 		return err
 	})
 	s.awaitState(s.instances[0], "extra", "succeeded")
-	for task, n := range starts(s.judge()) {
+	for task, n := range starts(s.checkRecord()) {
 		if n != 1 {
 			t.Errorf("task %s was started %d times", task, n)
 		}
@@ -200,8 +200,8 @@
 
 // Failure: work lands on a worker that is gone, or a new instance is left out.
 func TestLaggingList(t *testing.T) {
-	s := loaded(t)
-	s.fault(standplatform.Fault{FreezeList: true})
+	s := newLoadedCluster(t)
+	s.setFault(standplatform.Fault{FreezeList: true})
 	s.workers[5].kill()
 	replaced := s.others(s.planner(s.instances[0]))[0]
 	s.restart(replaced)
@@ -209,12 +209,12 @@
 	s.awaitRunning(s.instances[0], "watch", 3)
 	s.awaitRunning(s.instances[0], "casedesk", 6)
 	s.workers = s.workers[:5]
-	s.judge()
+	s.checkRecord()
 }
 
 // Failure: a task runs in two places.
 func TestWorkerLostAndReturned(t *testing.T) {
-	s := loaded(t)
+	s := newLoadedCluster(t)
 	var cut *node
 	events := s.events()
 	for _, e := range events {
@@ -226,22 +226,22 @@
 			}
 		}
 	}
-	s.workerFault(cut, standworker.Fault{DropAgent: true})
+	s.setWorkerFault(cut, standworker.Fault{DropAgent: true})
 	s.await("tasks moved", func() error {
 		if n := startsOf(s.events(), "watch"); n <= 3 {
 			return fmt.Errorf("%d starts", n)
 		}
 		return nil
 	})
-	s.workerFault(cut, standworker.Fault{})
+	s.setWorkerFault(cut, standworker.Fault{})
 	s.awaitRunning(s.instances[0], "watch", 3)
 	s.awaitState(s.instances[0], "letters", "succeeded")
-	s.judge()
+	s.checkRecord()
 }
 
 // Failure: what was accepted is forgotten, or run again.
 func TestAllInstancesRestarted(t *testing.T) {
-	s := loaded(t)
+	s := newLoadedCluster(t)
 	s.await("most letters sent", func() error {
 		runs, err := s.runs(s.instances[0])
 		if err == nil && runs["letters"].Succeeded < 50 {
@@ -258,7 +258,7 @@
 	s.awaitState(s.instances[0], "letters", "succeeded")
 	s.awaitRunning(s.instances[0], "watch", 3)
 	s.awaitAnswered(s.instances[2], "casedesk/again")
-	for task, n := range starts(s.judge()) {
+	for task, n := range starts(s.checkRecord()) {
 		if n != 1 {
 			t.Errorf("task %s was started %d times", task, n)
 		}
--- a/test/e2e/matrix_test.go
+++ b/test/e2e/matrix_test.go
@@ -12,47 +12,50 @@
 	standworker "gentianstand/internal/standin/worker"
 )
 
-// trouble is a failure that befalls a site, most of all one of its instances,
+// disruption is a failure that befalls a site, most of all one of its instances,
 // and passes.
-type trouble struct {
+type disruption struct {
 	name string
-	// inflict makes it happen to the site and the instance, pass ends it.
-	inflict, pass func(s *site, victim *node)
+	// inject makes it happen to the site and the instance, end ends it.
+	inject, end func(s *cluster, victim *node)
 }
 
-var troubles = []trouble{
-	{"Kill", func(_ *site, v *node) { v.kill() }, func(s *site, v *node) { s.restart(v) }},
+var disruptions = []disruption{
+	{"Kill", func(_ *cluster, v *node) { v.kill() }, func(s *cluster, v *node) { s.restart(v) }},
 	{"Freeze",
-		func(s *site, v *node) { v.signal(syscall.SIGSTOP); s.awaitOvertaken(v) },
-		func(_ *site, v *node) { v.signal(syscall.SIGCONT) }},
+		func(s *cluster, v *node) { v.signal(syscall.SIGSTOP); s.awaitTakenOver(v) },
+		func(_ *cluster, v *node) { v.signal(syscall.SIGCONT) }},
 	{"Cut",
-		func(s *site, v *node) { s.fault(standplatform.Fault{Cut: []string{v.id}}); s.awaitOvertaken(v) },
-		func(s *site, _ *node) { s.fault(standplatform.Fault{}) }},
+		func(s *cluster, v *node) { s.setFault(standplatform.Fault{Cut: []string{v.id}}); s.awaitTakenOver(v) },
+		func(s *cluster, _ *node) { s.setFault(standplatform.Fault{}) }},
 	{"Outage",
-		func(s *site, _ *node) { s.fault(standplatform.Fault{TableDown: true}); time.Sleep(6 * time.Second) },
-		func(s *site, _ *node) { s.fault(standplatform.Fault{}) }},
-	{"LostAnswers", func(s *site, _ *node) { s.fault(standplatform.Fault{LoseAnswers: 8}) }, func(*site, *node) {}},
+		func(s *cluster, _ *node) {
+			s.setFault(standplatform.Fault{TableDown: true})
+			time.Sleep(6 * time.Second)
+		},
+		func(s *cluster, _ *node) { s.setFault(standplatform.Fault{}) }},
+	{"LostAnswers", func(s *cluster, _ *node) { s.setFault(standplatform.Fault{LoseAnswers: 8}) }, func(*cluster, *node) {}},
 	{"LaggingList",
-		func(s *site, v *node) { s.fault(standplatform.Fault{FreezeList: true}); s.restart(v) },
-		func(s *site, _ *node) { s.fault(standplatform.Fault{}) }},
+		func(s *cluster, v *node) { s.setFault(standplatform.Fault{FreezeList: true}); s.restart(v) },
+		func(s *cluster, _ *node) { s.setFault(standplatform.Fault{}) }},
 	{"AllRestarted",
-		func(s *site, _ *node) {
+		func(s *cluster, _ *node) {
 			for _, inst := range s.instances {
 				s.restart(inst)
 			}
 		},
-		func(*site, *node) {}},
+		func(*cluster, *node) {}},
 	{"KillInOutage",
-		func(s *site, v *node) {
-			s.fault(standplatform.Fault{TableDown: true})
+		func(s *cluster, v *node) {
+			s.setFault(standplatform.Fault{TableDown: true})
 			time.Sleep(4 * time.Second)
 			v.kill()
 		},
-		func(s *site, v *node) { s.restart(v); s.fault(standplatform.Fault{}) }},
+		func(s *cluster, v *node) { s.restart(v); s.setFault(standplatform.Fault{}) }},
 }
 
-// awaitOvertaken waits until others own everything that the victim did.
-func (s *site) awaitOvertaken(victim *node) {
+// awaitTakenOver waits until others own everything that the victim did.
+func (s *cluster) awaitTakenOver(victim *node) {
 	s.t.Helper()
 	s.await("overtaken", func() error {
 		st, err := s.status(s.others(victim)[0])
@@ -69,7 +72,7 @@
 }
 
 // ownerOf returns the instance that owns a worker's rack.
-func (s *site) ownerOf(rack string) *node {
+func (s *cluster) ownerOf(rack string) *node {
 	s.t.Helper()
 	var found *node
 	s.await("owner of "+rack, func() error {
@@ -92,25 +95,25 @@
 
 // Failure: a worker that is to be stopped gets work again.
 func TestDrainHolds(t *testing.T) {
-	for _, tr := range troubles {
+	for _, tr := range disruptions {
 		t.Run(tr.name, func(t *testing.T) {
-			s := loaded(t)
+			s := newLoadedCluster(t)
 			target := s.workers[0]
 			if out, err := s.run(s.instances[0], "", "drain", "-id", target.id); err != nil {
 				t.Fatalf("drain: %v %s", err, out)
 			}
-			s.await("worker is empty", func() error { return s.emptyWorker(target) })
+			s.await("worker is empty", func() error { return s.checkWorkerEmpty(target) })
 			quiet := time.Now()
 			victim := s.ownerOf("rack-0")
-			tr.inflict(s, victim)
+			tr.inject(s, victim)
 			witness := s.others(victim)[0]
 			for i := range 20 {
 				s.awaitAnswered(witness, fmt.Sprintf("casedesk/%d", i))
 			}
-			tr.pass(s, victim)
+			tr.end(s, victim)
 			s.awaitState(witness, "letters", "succeeded")
 			s.awaitAnswered(victim, "casedesk/after")
-			for _, e := range s.judge() {
+			for _, e := range s.checkRecord() {
 				if e.Worker == target.id && e.At.After(quiet) && (e.Type == standworker.TaskStarted || e.Type == standworker.RequestRan) {
 					t.Errorf("after the drain: %+v", e)
 				}
@@ -121,23 +124,23 @@
 
 // Failure: an instance falls back to an earlier text.
 func TestConfigurationHolds(t *testing.T) {
-	for _, tr := range troubles {
+	for _, tr := range disruptions {
 		t.Run(tr.name, func(t *testing.T) {
-			s := loaded(t)
+			s := newLoadedCluster(t)
 			s.apply(s.instances[0], strings.Replace(serviceText, "tasks: 60", "tasks: 6", 1))
 			s.awaitConfig(2)
 			victim := s.planner(s.instances[0])
-			tr.inflict(s, victim)
+			tr.inject(s, victim)
 			s.neverBelow(2)
-			tr.pass(s, victim)
+			tr.end(s, victim)
 			s.awaitConfig(2)
 			s.awaitState(s.others(victim)[0], "letters", "succeeded")
-			s.judge()
+			s.checkRecord()
 		})
 	}
 }
 
-func (s *site) awaitConfig(want uint64) {
+func (s *cluster) awaitConfig(want uint64) {
 	s.t.Helper()
 	s.await("configuration everywhere", func() error {
 		for _, inst := range s.instances {
@@ -155,7 +158,7 @@
 
 // neverBelow fails if an instance that is up shows an earlier configuration;
 // one that has just started has none yet.
-func (s *site) neverBelow(want uint64) {
+func (s *cluster) neverBelow(want uint64) {
 	s.t.Helper()
 	for range 20 {
 		for _, inst := range s.instances {
@@ -176,23 +179,23 @@
 // it did.
 func TestKeysHold(t *testing.T) {
 	const keys = 8
-	for _, tr := range troubles {
+	for _, tr := range disruptions {
 		t.Run(tr.name, func(t *testing.T) {
-			s := loaded(t)
+			s := newLoadedCluster(t)
 			victim := s.others(s.planner(s.instances[0]))[0]
-			s.awaitKeyed(victim)
+			s.awaitKeyedRequests(victim)
 			for k := range keys {
 				go func() {
 					_, _ = s.request(victim, http.MethodPost, "casedesk/order?work=3s", fmt.Sprintf("k%d", k))
 				}()
 			}
-			s.await("all orders let go", func() error { return s.arrived(keys) })
-			tr.inflict(s, victim)
-			tr.pass(s, victim)
+			s.await("all orders let go", func() error { return s.keysArrived(keys) })
+			tr.inject(s, victim)
+			tr.end(s, victim)
 			for k := range keys {
-				s.repeatHonestly(s.others(victim)[k%2], fmt.Sprintf("k%d", k))
+				s.retryKeyed(s.others(victim)[k%2], fmt.Sprintf("k%d", k))
 			}
-			events := s.judge()
+			events := s.checkRecord()
 			for k := range keys {
 				if n := ranWith(events, fmt.Sprintf("k%d", k)); n != 1 {
 					t.Errorf("k%d ran %d times", k, n)
@@ -202,7 +205,7 @@
 	}
 }
 
-func (s *site) arrived(keys int) error {
+func (s *cluster) keysArrived(keys int) error {
 	events := s.events()
 	for k := range keys {
 		if ranWith(events, fmt.Sprintf("k%d", k)) == 0 {
@@ -212,8 +215,8 @@
 	return nil
 }
 
-// awaitKeyed waits until the homes of keys answer through an instance.
-func (s *site) awaitKeyed(inst *node) {
+// awaitKeyedRequests waits until the homes of keys answer through an instance.
+func (s *cluster) awaitKeyedRequests(inst *node) {
 	s.t.Helper()
 	for k := range 12 {
 		s.await("keyed requests", func() error {
@@ -226,10 +229,10 @@
 	}
 }
 
-// repeatHonestly repeats a keyed request that was let go, until it is answered
+// retryKeyed repeats a keyed request that was let go, until it is answered
 // with something else than that its home is not ready. Never may it be told
 // that the request itself did not run.
-func (s *site) repeatHonestly(inst *node, key string) {
+func (s *cluster) retryKeyed(inst *node, key string) {
 	s.t.Helper()
 	s.await("honest answer for "+key, func() error {
 		a, err := s.request(inst, http.MethodPost, "casedesk/order?work=3s", key)
@@ -251,12 +254,12 @@
 // Failure: a planned stop cuts off requests in progress when something else fails
 // beside it.
 func TestStopHolds(t *testing.T) {
-	for _, tr := range troubles {
+	for _, tr := range disruptions {
 		if tr.name == "AllRestarted" {
 			continue // it would end the instance that is to stop
 		}
 		t.Run(tr.name, func(t *testing.T) {
-			s := loaded(t)
+			s := newLoadedCluster(t)
 			leaving := s.instances[1]
 			other := s.others(leaving)[0]
 			done := make(chan error, 4)
@@ -275,7 +278,7 @@
 				}
 				return nil
 			})
-			tr.inflict(s, other)
+			tr.inject(s, other)
 			code := leaving.stop()
 			for range 4 {
 				if err := <-done; err != nil {
@@ -285,8 +288,8 @@
 			if code != 0 {
 				t.Errorf("exit code %d", code)
 			}
-			tr.pass(s, other)
-			s.judge()
+			tr.end(s, other)
+			s.checkRecord()
 		})
 	}
 }
--- a/test/e2e/path_test.go
+++ b/test/e2e/path_test.go
@@ -34,7 +34,7 @@
 // processes, applies a text with one of each kind of work, and follows each to
 // its end.
 func TestWholePath(t *testing.T) {
-	s := newSite(t, 3, 3, 1)
+	s := newCluster(t, 3, 3, 1)
 	first := s.instances[0]
 	s.apply(first, text)
 	s.await("text in force everywhere", func() error {
@@ -64,5 +64,5 @@
 	if err != nil || !strings.Contains(out, "routes") || !strings.Contains(out, "entry-2") {
 		t.Fatalf("status: %v\n%s", err, out)
 	}
-	s.judge()
+	s.checkRecord()
 }
--- a/test/e2e/recovery_test.go
+++ b/test/e2e/recovery_test.go
@@ -13,39 +13,39 @@
 	quiet := 0.0
 	b.Run("Quiet", func(b *testing.B) {
 		for b.Loop() {
-			s := benchSite(b)
+			s := newBenchCluster(b)
 			started := time.Now()
 			s.awaitState(s.instances[0], "letters", "succeeded")
 			quiet = time.Since(started).Seconds()
 			b.ReportMetric(quiet, "batch-s")
 		}
 	})
-	for _, tr := range troubles {
+	for _, tr := range disruptions {
 		if tr.name != "Kill" && tr.name != "Freeze" && tr.name != "Cut" {
 			continue
 		}
 		b.Run(tr.name, func(b *testing.B) {
 			for b.Loop() {
-				s := benchSite(b)
+				s := newBenchCluster(b)
 				victim := s.planner(s.instances[0])
 				rest := s.others(victim)
 				traffic := s.sendTraffic(rest, 4)
 				started := time.Now()
-				tr.inflict(s, victim)
-				s.awaitOvertaken(victim)
+				tr.inject(s, victim)
+				s.awaitTakenOver(victim)
 				b.ReportMetric(time.Since(started).Seconds(), "overtaken-s")
 				s.awaitState(rest[0], "letters", "succeeded")
 				b.ReportMetric(time.Since(started).Seconds()/quiet, "batch/quiet")
 				ok, refused, broken := traffic.stop(s)
 				b.ReportMetric(float64(refused+broken)/float64(ok+refused+broken), "not-answered-share")
-				s.judge()
+				s.checkRecord()
 			}
 		})
 	}
 }
 
-func benchSite(b *testing.B) *site {
-	s := newSite(b, 3, 6, 2)
+func newBenchCluster(b *testing.B) *cluster {
+	s := newCluster(b, 3, 6, 2)
 	s.awaitOwned()
 	s.apply(s.instances[0], serviceText)
 	s.awaitRunning(s.instances[0], "casedesk", 6)
--- a/test/e2e/requests_test.go
+++ b/test/e2e/requests_test.go
@@ -25,11 +25,11 @@
 
 // Failure: an order is placed twice.
 func TestKeyRunsOnce(t *testing.T) {
-	s := loaded(t)
+	s := newLoadedCluster(t)
 	var wg sync.WaitGroup
 	for round := range 3 {
 		for _, inst := range s.instances {
-			wg.Go(func() { s.expectHonest(inst, "order-1", round) })
+			wg.Go(func() { s.sendKeyed(inst, "order-1", round) })
 		}
 		if round > 0 {
 			wg.Wait()
@@ -43,14 +43,14 @@
 		}
 		return err
 	})
-	if n := ranWith(s.judge(), "order-1"); n != 1 {
+	if n := ranWith(s.checkRecord(), "order-1"); n != 1 {
 		t.Errorf("the order ran %d times", n)
 	}
 }
 
-// expectHonest sends a keyed request and demands an answer that is an
+// sendKeyed sends a keyed request and demands an answer that is an
 // upstream's own, or says that the key is in progress or did not run.
-func (s *site) expectHonest(inst *node, key string, round int) {
+func (s *cluster) sendKeyed(inst *node, key string, round int) {
 	a, err := s.request(inst, http.MethodPost, "casedesk/order?work=50ms", key)
 	if err != nil || (a.status != http.StatusOK && a.kind != "key_in_progress" && a.outcome != "did_not_run") {
 		s.t.Errorf("round %d: %+v %v", round, a, err)
@@ -58,20 +58,20 @@
 }
 
 // Failure: an order is placed twice, or its repeat is told that it did not run.
-func TestKeyWhoseHomeDied(t *testing.T) { keyWhoseHomeDied(t, standplatform.Fault{}) }
+func TestKeyWhoseOwnerDied(t *testing.T) { testKeyWhoseOwnerDied(t, standplatform.Fault{}) }
 
-// TestKeyWhoseHomeDiedInOutage is the same while the table is down: the keys
+// TestKeyWhoseOwnerDiedInOutage is the same while the table is down: the keys
 // are in the object store then.
-func TestKeyWhoseHomeDiedInOutage(t *testing.T) {
-	keyWhoseHomeDied(t, standplatform.Fault{TableDown: true})
+func TestKeyWhoseOwnerDiedInOutage(t *testing.T) {
+	testKeyWhoseOwnerDied(t, standplatform.Fault{TableDown: true})
 }
 
-func keyWhoseHomeDied(t *testing.T, fault standplatform.Fault) {
-	s := loaded(t)
+func testKeyWhoseOwnerDied(t *testing.T, fault standplatform.Fault) {
+	s := newLoadedCluster(t)
 	victim := s.others(s.planner(s.instances[0]))[0]
 	rest := s.others(victim)
-	s.awaitKeyed(victim)
-	s.fault(fault)
+	s.awaitKeyedRequests(victim)
+	s.setFault(fault)
 	if fault.TableDown {
 		time.Sleep(4 * time.Second)
 	}
@@ -89,7 +89,7 @@
 		return nil
 	})
 	victim.kill()
-	s.fault(standplatform.Fault{})
+	s.setFault(standplatform.Fault{})
 	for k := range keys {
 		key := fmt.Sprintf("k%d", k)
 		s.await("honest answer for "+key, func() error {
@@ -113,9 +113,9 @@
 
 // Failure: orders cannot be placed while the table is down.
 func TestKeysInOutage(t *testing.T) {
-	s := loaded(t)
-	s.awaitKeyed(s.instances[0]) // a home that was taken over must have read its keys before
-	s.fault(standplatform.Fault{TableDown: true})
+	s := newLoadedCluster(t)
+	s.awaitKeyedRequests(s.instances[0]) // a home that was taken over must have read its keys before
+	s.setFault(standplatform.Fault{TableDown: true})
 	for k := range 6 {
 		key := fmt.Sprintf("k%d", k)
 		s.await("order "+key, func() error {
@@ -126,19 +126,19 @@
 			return err
 		})
 	}
-	s.fault(standplatform.Fault{TableDown: true, ObjectsDown: true})
+	s.setFault(standplatform.Fault{TableDown: true, ObjectsDown: true})
 	a, err := s.request(s.instances[0], http.MethodPost, "casedesk/order", "k-none")
 	if err != nil || a.kind != "platform_unavailable" || a.outcome != "did_not_run" || a.retry == "" {
 		t.Errorf("with nowhere to keep the key: %+v %v", a, err)
 	}
-	if n := ranWith(s.judge(), "k-none"); n != 0 {
+	if n := ranWith(s.checkRecord(), "k-none"); n != 0 {
 		t.Errorf("a request that was answered did_not_run ran %d times", n)
 	}
 }
 
 // Failure: requests hang although the worker is well.
-func TestSilentConnections(t *testing.T) {
-	s := loaded(t)
+func TestUnresponsiveConnections(t *testing.T) {
+	s := newLoadedCluster(t)
 	tr := s.sendTraffic(s.instances, 4)
 	s.await("traffic", func() error {
 		if ok, _, _ := tr.count(); ok < 100 {
@@ -147,7 +147,7 @@
 		return nil
 	})
 	for _, w := range s.workers {
-		s.workerFault(w, standworker.Fault{SilenceConnections: true})
+		s.setWorkerFault(w, standworker.Fault{SilenceConnections: true})
 	}
 	started := time.Now()
 	slow := make(chan error, 1)
@@ -172,12 +172,12 @@
 	if ok < 100 || refused > 0 || broken > 0 {
 		t.Errorf("%d answered, %d refused, %d broken", ok, refused, broken)
 	}
-	s.judge()
+	s.checkRecord()
 }
 
 // Failure: one operator's change overwrites another's unseen.
 func TestRacingOperators(t *testing.T) {
-	s := loaded(t)
+	s := newLoadedCluster(t)
 	results := make([]string, 2)
 	failed := make([]bool, 2)
 	var wg sync.WaitGroup
@@ -217,8 +217,8 @@
 
 // Failure: an instance comes back with an old text or none.
 func TestConfigurationSurvivesOutage(t *testing.T) {
-	s := loaded(t)
-	s.fault(standplatform.Fault{TableDown: true})
+	s := newLoadedCluster(t)
+	s.setFault(standplatform.Fault{TableDown: true})
 	replaced := s.others(s.planner(s.instances[0]))[0]
 	s.restart(replaced)
 	s.awaitAnswered(replaced, "casedesk/new")
@@ -226,7 +226,7 @@
 	if err != nil || st.Config != 1 {
 		t.Errorf("configuration %d, %v", st.Config, err)
 	}
-	s.fault(standplatform.Fault{})
+	s.setFault(standplatform.Fault{})
 	s.awaitRunning(s.instances[0], "watch", 3)
-	s.judge()
+	s.checkRecord()
 }
--- a/test/e2e/stops_test.go
+++ b/test/e2e/stops_test.go
@@ -12,7 +12,7 @@
 // Failure: a request in progress is cut off, or workers are without an owner for a
 // while.
 func TestGracefulStop(t *testing.T) {
-	s := loaded(t)
+	s := newLoadedCluster(t)
 	leaving := s.instances[1]
 	done := make(chan error, 4)
 	for range 4 {
@@ -39,18 +39,18 @@
 		t.Errorf("%d answered, %d broken meanwhile", ok, broken)
 	}
 	s.awaitRunning(s.instances[0], "watch", 3)
-	s.judge()
+	s.checkRecord()
 }
 
 // Failure: a worker that is to be stopped still gets work.
 func TestDrainedWorker(t *testing.T) {
-	s := loaded(t)
+	s := newLoadedCluster(t)
 	target := s.workers[0]
 	if out, err := s.run(s.instances[0], "", "drain", "-id", target.id); err != nil {
 		t.Fatalf("drain: %v %s", err, out)
 	}
 	s.await("worker is empty", func() error {
-		return s.emptyWorker(target)
+		return s.checkWorkerEmpty(target)
 	})
 	quiet := time.Now()
 	s.awaitRunning(s.instances[0], "casedesk", 6)
@@ -58,15 +58,15 @@
 	for _, inst := range s.instances {
 		s.awaitAnswered(inst, "casedesk/drained")
 	}
-	for _, e := range s.judge() {
+	for _, e := range s.checkRecord() {
 		if e.Worker == target.id && e.At.After(quiet) && e.Type != standworker.RefusedEpoch {
 			t.Errorf("after the drain: %+v", e)
 		}
 	}
 }
 
-// emptyWorker returns an error while the record shows a running task.
-func (s *site) emptyWorker(w *node) error {
+// checkWorkerEmpty returns an error while the record shows a running task.
+func (s *cluster) checkWorkerEmpty(w *node) error {
 	running := 0
 	for _, e := range s.events() {
 		if e.Worker != w.id {
--- a/test/e2e/traffic_test.go
+++ b/test/e2e/traffic_test.go
@@ -18,7 +18,7 @@
 
 // sendTraffic sends GET requests through the given instances in turn until
 // stop is called.
-func (s *site) sendTraffic(through []*node, senders int) *traffic {
+func (s *cluster) sendTraffic(through []*node, senders int) *traffic {
 	tr := &traffic{quit: make(chan struct{})}
 	for n := range senders {
 		tr.wg.Go(func() {
@@ -62,7 +62,7 @@
 }
 
 // stop ends the sending and checks that every answer belongs to its request.
-func (tr *traffic) stop(s *site) (ok, refused, broken int) {
+func (tr *traffic) stop(s *cluster) (ok, refused, broken int) {
 	s.t.Helper()
 	close(tr.quit)
 	tr.wg.Wait()
