--- a/internal/standin/worker/server.go
+++ b/internal/standin/worker/server.go
@@ -14,14 +14,14 @@
 	"gentianstand/internal/worker/httpwire"
 )
 
-// The control paths of the stand-in; they are no part of the worker's wire.
+// The control paths of the stand-in, which are not part of the worker's interface.
 const (
 	PathFault   = "/standin/fault"
 	PathRecord  = "/standin/record"
 	PathRestart = "/standin/restart"
 )
 
-// Server puts a Worker on the wire.
+// Server serves a Worker over HTTP.
 type Server struct {
 	worker *Worker
 	record *Record
@@ -41,14 +41,14 @@
 		_ = json.NewEncoder(w).Encode(s.record.Events())
 	})
 	mux.HandleFunc(PathRestart, func(http.ResponseWriter, *http.Request) { s.worker.Restart() })
-	return s.silence(mux)
+	return s.swallowSilenced(mux)
 }
 
-// silence swallows what arrives on connections that were told to go silent:
-// it neither answers nor closes, as a network element that lost its state.
-func (s *Server) silence(next http.Handler) http.Handler {
+// swallowSilenced drops requests on silenced connections without answering them or closing
+// the connection, like a network element that has lost its state.
+func (s *Server) swallowSilenced(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if s.worker.silent(r.RemoteAddr) {
+		if s.worker.isSilenced(r.RemoteAddr) {
 			<-r.Context().Done()
 			return
 		}
@@ -56,24 +56,25 @@
 	})
 }
 
-// silent notes the connection and reports whether it has gone silent.
-func (w *Worker) silent(remote string) bool {
+// isSilenced registers the connection and reports whether it is silenced.
+func (w *Worker) isSilenced(remote string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.silentSeen == nil {
-		w.silentSeen = map[string]bool{}
+	if w.silenced == nil {
+		w.silenced = map[string]bool{}
 	}
-	if _, seen := w.silentSeen[remote]; !seen {
-		w.silentSeen[remote] = false
+	if _, seen := w.silenced[remote]; !seen {
+		w.silenced[remote] = false
 	}
-	return w.silentSeen[remote]
+	return w.silenced[remote]
 }
 
-func (w *Worker) silenceOpen() {
+// silenceConnections silences the connections known so far.
+func (w *Worker) silenceConnections() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for remote := range w.silentSeen {
-		w.silentSeen[remote] = true
+	for remote := range w.silenced {
+		w.silenced[remote] = true
 	}
 }
 
@@ -133,7 +134,7 @@
 	_, _ = io.Copy(w, r.Body)
 }
 
-// work waits as long as a request takes and reports whether to answer.
+// work waits for the time to serve a request and reports whether to answer it.
 func (s *Server) work(r *http.Request) bool {
 	if s.worker.currentFault().Hang {
 		<-r.Context().Done()
@@ -156,7 +157,7 @@
 		return
 	}
 	if f.SilenceConnections {
-		s.worker.silenceOpen()
+		s.worker.silenceConnections()
 	}
 	s.worker.SetFault(f)
 }
