--- a/test/cell/cell_test.go
+++ b/test/cell/cell_test.go
@@ -23,7 +23,8 @@
 	workers = 4
 )
 
-// text has work of every kind: once is not repeatable, gang starts together.
+// text is a configuration with work of every kind: tasks of once must not be repeated, tasks of
+// gang start together.
 const text = `version: 1
 teams:
   - name: wards
@@ -54,7 +55,7 @@
     command: [sleep, 5s]
 `
 
-// cell is a whole system over fakes.
+// cell is a whole system that runs on fakes.
 type cell struct {
 	seed         uint64
 	log          io.Writer
@@ -112,7 +113,7 @@
 	return nil
 }
 
-// kill ends a member's process; it may be replaced later.
+// kill ends a member's process, which may be replaced later.
 func (c *cell) kill(n int) {
 	c.mu.Lock()
 	m := c.members[n]
@@ -133,7 +134,7 @@
 	m.start()
 }
 
-// each calls f for every living member.
+// each calls f for every running member.
 func (c *cell) each(f func(n int, m *member)) {
 	c.mu.Lock()
 	list := append([]*member(nil), c.members...)
@@ -145,7 +146,7 @@
 	}
 }
 
-// endFaults ends all faults and replaces dead members.
+// endFaults ends all faults and replaces the members that have ended.
 func (c *cell) endFaults() {
 	c.faulty.Set(standplatform.Fault{})
 	for _, w := range c.workers {
@@ -163,11 +164,11 @@
 	for n := range members {
 		c.kill(n)
 	}
-	// Let delayed messages arrive, so that no goroutine is left.
+	// Wait for delayed messages to arrive, so that no goroutine is left.
 	time.Sleep(10 * time.Second)
 }
 
-// runs reads the runs as the table has them.
+// runs reads the runs from the table, by the names of their workloads.
 func (c *cell) runs() (map[string]*run.Run, error) {
 	rows, err := c.store.Scan(context.Background(), run.Prefix, "", 10_000)
 	if err != nil {
--- a/test/cell/fakes_test.go
+++ b/test/cell/fakes_test.go
@@ -14,10 +14,10 @@
 	"gentianstand/internal/worker"
 )
 
-// callTimeout is how long a caller waits for any answer.
+// callTimeout is the time after which a caller stops waiting for an answer.
 const callTimeout = time.Second
 
-// table is the platform's table as one member reaches it.
+// table is the platform's table over one member's link.
 type table struct {
 	link   *link
 	faulty *standplatform.Faulty
@@ -58,7 +58,7 @@
 	return v, err
 }
 
-// agent is a worker as one member reaches it.
+// agent is a worker over one member's link.
 type agent struct {
 	link   *link
 	id     string
@@ -87,8 +87,8 @@
 	return v, err
 }
 
-// peers is the other members as one member reaches them. It implements
-// ownership.Peers, planner.Owners and owner.Planner.
+// peers are the other members over one member's link. It implements ownership.Peers, planner.Owners
+// and owner.Planner.
 type peers struct {
 	cell *cell
 	me   *member
@@ -154,7 +154,7 @@
 func (p peers) Report(ctx context.Context, full bool, reports []fleet.Report) (uint64, error) {
 	planner := p.me.keeper.View().Shards[live.PlannerShard].Owner.Instance
 	if planner == "" {
-		return 0, fault.New(fault.NotOwner, "no planner is known")
+		return 0, fault.New(fault.NotOwner, "the planner is unknown")
 	}
 	return callPeer(ctx, p, planner, func(m *member) (uint64, error) {
 		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
--- a/test/cell/focused_test.go
+++ b/test/cell/focused_test.go
@@ -25,8 +25,8 @@
 	return 0
 }
 
-// isolate cuts a member off from the table and the other members, and all
-// others off from the workers of a rack: only the member still reaches those.
+// isolate cuts a member off from the table and the other members, and all others off from the
+// workers of a rack: only the isolated member can still reach those.
 func (c *cell) isolate(n int, rack []string) {
 	c.each(func(i int, m *member) {
 		if i != n {
@@ -47,17 +47,17 @@
 
 func checkInvariants(t *testing.T, c *cell) {
 	t.Helper()
-	c.replicas() // a look at each worker dates what was due there
+	c.replicas() // polling each worker brings its record up to date
 	if broken := standworker.Violations(c.record.Events()); len(broken) > 0 {
-		t.Errorf("broken promises:\n%s", strings.Join(broken, "\n"))
+		t.Errorf("violated invariants:\n%s", strings.Join(broken, "\n"))
 	}
 	if repeated := repeatedStarts(c.record.Events()); len(repeated) > 0 {
-		t.Errorf("repeated:\n%s", strings.Join(repeated, "\n"))
+		t.Errorf("repeated starts:\n%s", strings.Join(repeated, "\n"))
 	}
 }
 
-// checkIsolation lets inflict cut off the owner of rack-0, and checks the promises
-// two minutes into the cut and once everything works again.
+// checkIsolation has inject cut off the owner of rack-0. It checks the invariants 2 minutes after
+// that, and again when all faults have ended.
 func checkIsolation(t *testing.T, seed uint64, inject func(c *cell, owner int)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -69,7 +69,7 @@
 		checkInvariants(t, c)
 		c.endFaults()
 		if problems := c.awaitCompletion(3 * time.Minute); len(problems) > 0 {
-			t.Errorf("after the cut: %v", problems)
+			t.Errorf("after the isolation: %v", problems)
 		}
 		checkInvariants(t, c)
 	})
@@ -77,12 +77,13 @@
 
 var rack0 = []string{"worker-0", "worker-1"}
 
-// Failure: tasks run in two places for as long as a cut lasts.
+// Guards against tasks that run on two workers as long as an owner is isolated.
 func TestIsolatedOwnerStops(t *testing.T) {
 	checkIsolation(t, 1, func(c *cell, owner int) { c.isolate(owner, rack0) })
 }
 
-// Failure: tasks run in two places after an outage that a cut follows.
+// Guards against tasks that run on two workers because the other members confirm an owner that
+// cannot reach the table, and cannot reach its workers themselves.
 func TestIsolatedOwnerIsNotConfirmed(t *testing.T) {
 	checkIsolation(t, 5, func(c *cell, owner int) {
 		c.isolate(owner, rack0)
@@ -94,7 +95,8 @@
 	})
 }
 
-// Failure: tasks run in two places after an outage that a cut follows.
+// Guards against tasks that run on two workers when the owner is isolated just after an outage of
+// the table.
 func TestOwnerIsolatedAfterTableOutage(t *testing.T) {
 	checkIsolation(t, 2, func(c *cell, owner int) {
 		c.faulty.Set(standplatform.Fault{TableDown: true})
@@ -104,18 +106,18 @@
 	})
 }
 
-// Failure: accepted work stops in a long outage.
+// Guards against accepted work that stops in a long outage of the table.
 func TestHourOfOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(3, &lockedLog{})
 		defer c.stop()
-		// The first hand-overs are over by then; a shard that was given away in
-		// the last moment before an outage has no owner during it.
+		// The first hand-overs have ended by then. A shard that is given away just before an outage
+		// has no owner during the outage.
 		time.Sleep(8 * time.Second)
 		c.faulty.Set(standplatform.Fault{TableDown: true})
 		time.Sleep(time.Hour)
 		if n := c.replicas(); n != 2 {
-			t.Errorf("%d replicas run after an hour", n)
+			t.Errorf("%d replicas run after an hour, want 2", n)
 		}
 		letters := 0
 		for _, e := range c.record.Events() {
@@ -124,7 +126,7 @@
 			}
 		}
 		if letters < 24 {
-			t.Errorf("%d of 24 accepted letters were done in the outage", letters)
+			t.Errorf("%d of 24 accepted letters were completed during the outage", letters)
 		}
 		c.faulty.Set(standplatform.Fault{})
 		if problems := c.awaitCompletion(3 * time.Minute); len(problems) > 0 {
@@ -133,7 +135,7 @@
 		checkInvariants(t, c)
 		for task, n := range startCounts(c.record.Events()) {
 			if n != 1 {
-				t.Errorf("%s was started %d times", task, n)
+				t.Errorf("%s was started %d times, want once", task, n)
 			}
 		}
 	})
@@ -149,9 +151,9 @@
 	return counts
 }
 
-// TestTakeOverWithinFiveSeconds: after the death of a member its shards have new owners,
-// its workers are claimed and planning goes on within five seconds. Messages
-// take a millisecond each here: a read that is held up postpones a take-over.
+// When a member has crashed, its shards must have new owners, its workers must be claimed, and
+// planning must continue within 5 s. Messages take 1 ms each here because a delayed read postpones
+// a take-over.
 func TestTakeOverWithinFiveSeconds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(4, &lockedLog{})
@@ -170,12 +172,12 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 		if took := time.Since(killedAt); took > 5*time.Second {
-			t.Errorf("planned again only after %s", took)
+			t.Errorf("the planner's shard has a new owner only after %s, want 5 s at most", took)
 		}
 	})
 }
 
-// Failure: two processes act as one instance.
+// Guards against two processes that act as one instance.
 func TestReplacedProcessEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(6, &lockedLog{})
@@ -188,7 +190,7 @@
 		next.start()
 		time.Sleep(20 * time.Second)
 		if !old.session.Lost() {
-			t.Error("the old process goes on")
+			t.Error("the old process still has its session")
 		}
 		if !next.session.Valid(time.Now()) {
 			t.Error("the new process has no session")
--- a/test/cell/gate_test.go
+++ b/test/cell/link_test.go
@@ -12,15 +12,15 @@
 
 var errUnreachable = errors.New("no connection")
 
-// link is what every message of one member passes: it can be frozen, cut off
-// from some targets, or dead, and delays messages at random.
+// link delivers all messages of one member. It can be frozen, cut off from some targets, or dead,
+// and delays messages at random.
 type link struct {
 	mu     sync.Mutex
 	random *rand.Rand
 	frozen chan struct{}
 	dead   chan struct{}
 	cuts   map[string]bool
-	// fixedDelay takes the random out of delays, for tests that measure.
+	// fixedDelay makes all delays equal, for tests that measure times.
 	fixedDelay bool
 }
 
@@ -28,9 +28,9 @@
 	return &link{random: rand.New(rand.NewPCG(seed, 1)), dead: make(chan struct{}), cuts: map[string]bool{}}
 }
 
-// deliver waits as long as a message to target takes; an error means that it is
-// not delivered. A message of a frozen member is delivered when it thaws, as
-// late as that is, unless the member dies before.
+// deliver waits for the delay of a message to target; an error means that it is not delivered. A
+// message of a frozen member is delivered after the thaw, however late that is, unless the member
+// dies before.
 func (g *link) deliver(ctx context.Context, target string) error {
 	g.mu.Lock()
 	frozen, cut, delay := g.frozen, g.cuts[target], g.delay()
@@ -53,7 +53,8 @@
 	return nil
 }
 
-// delay is a millisecond or two, and now and then far more than any timeout.
+// delay returns 0.5 to 2.5 ms, and for one message in 100 a delay of up to 4 s, which may exceed
+// any timeout.
 func (g *link) delay() time.Duration {
 	if g.fixedDelay {
 		return time.Millisecond
@@ -102,8 +103,8 @@
 	g.cuts = map[string]bool{}
 }
 
-// withTimeout runs f, which may be delivered late, but returns to the caller when
-// its patience ends: a message is not taken back by giving up on its answer.
+// withTimeout runs f, which may be delivered late, but returns to the caller after timeout. Timing
+// out does not withdraw the message.
 func withTimeout[T any](ctx context.Context, timeout time.Duration, f func() (T, error)) (T, error) {
 	type result struct {
 		value T
--- a/test/cell/member_test.go
+++ b/test/cell/member_test.go
@@ -75,7 +75,7 @@
 	m.loops.Go(func() { m.keeper.Run(ctx) })
 }
 
-// kill ends the process; nothing it has not sent yet is sent.
+// kill ends the process. Messages that it has not sent yet are dropped.
 func (m *member) kill() {
 	m.link.kill()
 	m.quit()
--- a/test/cell/mixed_test.go
+++ b/test/cell/mixed_test.go
@@ -19,8 +19,8 @@
 	standworker "gentianstand/internal/standin/worker"
 )
 
-// TestMain fixes the number of runs and the seed, so that the verdict is the
-// same every time; -rapid.checks and -rapid.seed explore further.
+// TestMain fixes the number of checks and the seed, so that the outcome is the same every time.
+// Other values of -rapid.checks and -rapid.seed explore further.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.checks", "200")
 	_ = flag.Set("rapid.seed", "20261202")
@@ -28,7 +28,7 @@
 	os.Exit(m.Run())
 }
 
-// failure is one step of a sequence.
+// failure is one step of a sequence of failures.
 type failure struct {
 	name   string
 	member int
@@ -99,8 +99,8 @@
 	}
 }
 
-// TestMixedFailures: whatever fails, in whatever order, no promise is broken,
-// and once everything works again all accepted work comes to its end.
+// Under any failures, in any order, no invariant is violated. Once all faults have ended, all
+// accepted work ends.
 func TestMixedFailures(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
@@ -117,7 +117,7 @@
 	})
 }
 
-// runSequence runs one sequence and returns what went wrong.
+// runSequence runs one sequence of failures and returns the problems that it found.
 func runSequence(seed uint64, sequence []failure, log *lockedLog) []string {
 	c := newCell(seed, log)
 	defer c.stop()
@@ -135,7 +135,8 @@
 	return append(problems, unfinished...)
 }
 
-// awaitCompletion waits until every batch and job has ended and the service runs.
+// awaitCompletion waits until every batch and job has ended and the service runs. It returns the
+// remaining problems.
 func (c *cell) awaitCompletion(timeout time.Duration) []string {
 	deadline := time.Now().Add(timeout)
 	for {
@@ -162,7 +163,7 @@
 		problems = append(problems, fmt.Sprintf("once has not ended: %+v", r))
 	}
 	if n := c.replicas(); n != 2 {
-		problems = append(problems, fmt.Sprintf("%d replicas run, not 2", n))
+		problems = append(problems, fmt.Sprintf("%d replicas run, want 2", n))
 	}
 	return problems
 }
@@ -179,7 +180,7 @@
 	return n
 }
 
-// repeatedStarts finds tasks that must run at most once and were started again.
+// repeatedStarts returns a problem for each task that must run at most once and was started again.
 func repeatedStarts(events []standworker.Event) []string {
 	counts := map[string]int{}
 	for _, e := range events {
@@ -197,7 +198,7 @@
 	return problems
 }
 
-// lockedLog gathers log lines of one run.
+// lockedLog collects the log lines of one sequence.
 type lockedLog struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
--- a/test/soak/caller_test.go
+++ b/test/soak/caller_test.go
@@ -14,17 +14,17 @@
 	"gentianstand/platform/standin"
 )
 
-// outcome is what a caller was told of its job.
+// outcome is the answer that a caller got for its job.
 type outcome int
 
 const (
-	// unknown means that an attempt had no answer or an open outcome.
+	// unknown means that an attempt got no answer, or one that leaves the outcome open.
 	unknown outcome = iota
 	accepted
 	refused
 )
 
-// submission is one job and what became of it.
+// submission is one job and its outcome.
 type submission struct {
 	id, queue string
 	workspace string
@@ -32,7 +32,7 @@
 	fails     bool
 }
 
-// isExpectedState reports whether the job may be in a final state.
+// isExpectedState reports whether state is a final state that the job may have.
 func (s submission) isExpectedState(j *standin.Judge, state string) bool {
 	switch state {
 	case "completed":
@@ -87,8 +87,8 @@
 	return fmt.Sprintf(`{"spec":%q,"steps":[%s]}`, spec, steps), fails
 }
 
-// submit tries a job up to five times, as the protocol allows: again after a
-// refusal, and with the same id after no answer.
+// submit makes up to 5 attempts to submit a job, as the protocol allows: again after a refusal, and
+// with the same id after no answer.
 func (c *callers) submit(s submission, body string, rnd *rand.Rand) {
 	c.world.judge.Submitted(s.id, s.workspace, false)
 	s.outcome = refused
@@ -115,13 +115,13 @@
 	c.jobs = append(c.jobs, s)
 }
 
-// submitPoison submits a job of one task that crashes each worker that starts it.
+// submitPoison submits a job of one task that crashes every worker on which it starts.
 func (c *callers) submitPoison(rnd *rand.Rand) {
 	id := fmt.Sprintf("%08x%08x", rnd.Uint32(), rnd.Uint32())
 	c.submit(submission{id: id, queue: "plain", workspace: "north", fails: true}, fmt.Sprintf(`{"spec":"crash","steps":[{"count":1,"cpu":%d,"mem_mb":10,"estimate_ms":200}]}`, taskCPU), rnd)
 }
 
-// call returns the status, or 0 for no answer, and the state that the answer names.
+// call returns the status, or 0 for no answer, and the state in the answer.
 func (c *callers) call(method string, s submission, key *apiKey, body string, rnd *rand.Rand) (int, string) {
 	sent := time.Now()
 	status, state := c.send(method, s, key, body, rnd)
@@ -156,7 +156,7 @@
 	return resp.StatusCode, state.State
 }
 
-// unfinished returns the accepted jobs that are not in their right final state.
+// unfinished returns the accepted jobs that are not in an expected final state.
 func (c *callers) unfinished(rnd *rand.Rand) []string {
 	var left []string
 	for _, j := range c.jobs {
--- a/test/soak/doc_test.go
+++ b/test/soak/doc_test.go
@@ -1,11 +1,10 @@
-// Package soak runs the real program as separate processes against a stand-in
-// of the users' platform and injects faults from outside: processes are killed,
-// stopped and paused by signals, connections are delayed, reset, cut one way and
-// silenced by a proxy, and the store refuses, loses answers and forgets its
-// history. All the while callers submit jobs, and the workers' record is checked
-// against the promises.
+// Package soak tests the real program, run as separate processes against a simulation of the users'
+// platform, under faults that are injected from outside: processes are killed, stopped and paused by
+// signals; connections are delayed, reset, cut in one direction and blocked by a proxy; the store
+// refuses requests, loses answers and drops its history. Meanwhile callers submit jobs, and the
+// record of the workers is checked against the system's guarantees.
 //
-// CI plays a few seconds of fixed seeds. By hand:
+// CI runs a few seconds of fixed seeds. To run others by hand:
 //
 //	go test ./test/soak -run TestSoak -count=1 -seeds 100-149 -seconds 20
 package soak
--- a/test/soak/faults_test.go
+++ b/test/soak/faults_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// fault disturbs something and puts it right again before it returns.
+// fault injects a fault and ends it before it returns.
 type fault struct {
 	name   string
 	inject func(w *world, rnd *rand.Rand)
@@ -120,25 +120,26 @@
 	}},
 }
 
-// poison submits a job whose task crashes each worker that starts it.
+// poison submits a job whose task crashes every worker on which it starts.
 var poison = fault{"a task crashes its workers", func(w *world, rnd *rand.Rand) { w.callers.submitPoison(rnd) }}
 
-// beforePeerFaults is how many faults there were before those between instances. A seed
-// draws from the list as long as it was when the seed failed.
+// beforePeerFaults is the number of faults in the list before those between instances were added. A
+// seed draws from the list as long as it was when the seed failed.
 const beforePeerFaults = 14
 
-// beforeRestarts is how many faults there were before workers restarted under their ids.
+// beforeRestarts is the number of faults in the list before the restarts of workers under their ids
+// were added.
 const beforeRestarts = 19
 
-// poisonShare is how many times as likely as another fault a poison task is in the seeds
-// for them: several of them are in each.
+// poisonShare is how many times as likely as another fault a poison task is in TestSoakPoison, so
+// that each seed has several of them.
 const poisonShare = 6
 
-// restartShare is the same for restarts of workers.
+// restartShare is the same for restarts of workers in TestSoakRestarts.
 const restartShare = 6
 
-// injectFaults injects some of the faults until ctx ends, several at a time, and returns their
-// names in order.
+// injectFaults injects random faults until ctx ends, several at a time, and returns their names in
+// order.
 func injectFaults(ctx context.Context, w *world, rnd *rand.Rand, faults []fault) []string {
 	var wg sync.WaitGroup
 	var names []string
@@ -157,10 +158,10 @@
 	time.Sleep(time.Duration(fromMillis+rnd.Intn(toMillis-fromMillis)) * time.Millisecond)
 }
 
-// pick returns any process; faults may overlap on one.
+// pick returns a random process. Several faults may affect it at the same time.
 func (w *world) pick(rnd *rand.Rand) *process { return w.procs[rnd.Intn(len(w.procs))] }
 
-// restart starts a process again unless another fault has done so.
+// restart restarts a process unless another fault has done so.
 func (w *world) restart(p *process) {
 	w.restarts.Lock()
 	defer w.restarts.Unlock()
@@ -172,7 +173,8 @@
 	}
 }
 
-// workspaceShare is how often workspaceFaults stand beside the other faults.
+// workspaceShare is how many times workspaceFaults are added to the other faults in
+// TestSoakWorkspaces.
 const workspaceShare = 6
 
 var workspaceFaults = []fault{
--- a/test/soak/lasting_test.go
+++ b/test/soak/long_running_test.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// longRunningTasks is how many tasks run from before the first fault to the end of a soak.
+// longRunningTasks is the number of tasks that run from before the first fault to the end of a
+// soak.
 const longRunningTasks = 2
 
-// submitLongRunning submits a job whose tasks last, until it is accepted.
+// submitLongRunning submits a job of long-running tasks until it is accepted.
 func (c *callers) submitLongRunning(rnd *rand.Rand) submission {
 	s := submission{id: fmt.Sprintf("%08x%08x", rnd.Uint32(), rnd.Uint32()), queue: "advised", workspace: "north"}
 	c.world.judge.Submitted(s.id, s.workspace, false)
@@ -21,12 +22,12 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	c.world.judge.Blame("the lasting job %s was not accepted", s.id)
+	c.world.judge.Blame("the long-running job %s was not accepted", s.id)
 	return s
 }
 
-// longRunningTasksRun reports whether all tasks of a lasting job run. A job under which workers crashed may
-// have been given up.
+// longRunningTasksRun reports whether all tasks of a long-running job run. A job under which
+// workers crashed may have failed instead.
 func (c *callers) longRunningTasksRun(s submission, rnd *rand.Rand) bool {
 	if c.world.judge.CrashedUnder(s.id) {
 		_, state := c.call(http.MethodGet, s, c.world.workspaces.valid(s.workspace), "", rnd)
--- a/test/soak/process_test.go
+++ b/test/soak/process_test.go
@@ -38,11 +38,11 @@
 address = "%[4]s"
 `
 
-// process is one instance of the system, restarted under the same name.
+// process is one instance of the system. It is restarted under the same name.
 type process struct {
 	name string
 	ip   string
-	// peer is where the other instances reach this one.
+	// peer is the proxy through which the other instances reach this one.
 	peer     *standin.Proxy
 	settings string
 	binary   string
@@ -85,12 +85,12 @@
 	p.cmd, p.done = cmd, done
 	go func() {
 		defer close(done)
-		_ = cmd.Wait() // the way it ended does not matter here
+		_ = cmd.Wait() // the exit status is irrelevant here
 	}()
 	return nil
 }
 
-// signal sends a signal to the process that this value started.
+// signal sends a signal to the process that start has started.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -127,7 +127,7 @@
 	}
 }
 
-// ready reports whether the process says that it is ready.
+// ready reports whether the process reports itself as ready.
 func (p *process) ready() bool {
 	client := http.Client{Timeout: time.Second}
 	resp, err := client.Get("http://" + p.ip + ":8167/ready")
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -18,20 +18,19 @@
 	seconds   = flag.Int("seconds", 6, "seconds of faults for each seed")
 )
 
-// settleTime bounds the wait for the accepted jobs after the last fault. It is
-// no promise: it is far above the seconds that a take-over and a lease need.
+// settleTime limits the wait for the accepted jobs after the last fault. It is no guarantee: it is
+// far above the seconds that a take-over and a lease need.
 const settleTime = 60 * time.Second
 
-// regressionTime is how long the seeds in regressions were played when they
-// failed.
+// regressionTime is how long faults were injected when the seeds in regressions failed.
 const regressionTime = 12 * time.Second
 
-// TestSoak plays seeds one after the other.
+// TestSoak runs the seeds of the flags, one after the other.
 func TestSoak(t *testing.T) {
 	soakSeeds(t, faults)
 }
 
-// soakSeeds plays the seeds that the flags name with faults of a list.
+// soakSeeds runs the seeds of the flags with a list of faults.
 func soakSeeds(t *testing.T, list []fault) {
 	var first, last int
 	if _, err := fmt.Sscanf(*seedRange, "%d-%d", &first, &last); err != nil {
@@ -45,36 +44,35 @@
 	}
 }
 
-// TestSoakRestarts plays the seeds with workers that restart under their ids beside all else.
+// TestSoakRestarts runs the seeds with additional restarts of workers under their ids.
 func TestSoakRestarts(t *testing.T) {
 	soakSeeds(t, slices.Concat(faults, slices.Repeat(faults[beforeRestarts:], restartShare)))
 }
 
-// TestSoakPoison plays the seeds with poison tasks beside all else.
+// TestSoakPoison runs the seeds with additional poison tasks.
 func TestSoakPoison(t *testing.T) {
 	soakSeeds(t, slices.Concat(faults, slices.Repeat([]fault{poison}, poisonShare)))
 }
 
-// TestSoakWorkspaces plays the seeds with keys that are taken away and quotas that change
-// beside all else.
+// TestSoakWorkspaces runs the seeds with additional key replacements and quota changes.
 func TestSoakWorkspaces(t *testing.T) {
 	soakSeeds(t, slices.Concat(faults, slices.Repeat(workspaceFaults, workspaceShare)))
 }
 
-// regressions are the seeds that ever failed, with the number of faults that they drew
-// from and the cause.
+// regressions lists the seeds that have failed, with the number of faults that they drew from and
+// the cause.
 var regressions = []struct {
 	seed   int64
 	faults int
 	cause  string
 }{
-	{4, beforePeerFaults, "the judge counted a failure that a replaced worker had listed to nobody"},
+	{4, beforePeerFaults, "the checker counted a failure that a replaced worker had never reported"},
 	{5, beforePeerFaults, "as seed 4, twice"},
 	{12, beforePeerFaults, "as seed 4"},
-	{131, beforePeerFaults, "the judge counted a failure that a worker had listed before its lease ended while it was cut off"},
+	{131, beforePeerFaults, "the checker counted a failure that a worker had reported before its lease expired while it was unreachable"},
 }
 
-// TestSoakRegressions plays the seeds that failed once, for as long as then.
+// TestSoakRegressions runs the seeds that have failed, for as long as they ran then.
 func TestSoakRegressions(t *testing.T) {
 	binary := build(t)
 	for _, r := range regressions {
@@ -125,7 +123,7 @@
 		left = c.unfinished(rnd)
 		return len(left) == 0
 	})
-	waitFor(t, "the lasting tasks run", func() bool { return c.longRunningTasksRun(longRunning, longRunningRnd) })
+	waitFor(t, "the long-running tasks run", func() bool { return c.longRunningTasksRun(longRunning, longRunningRnd) })
 	for _, line := range w.judge.Broken() {
 		t.Error(line)
 	}
@@ -138,7 +136,7 @@
 	}
 }
 
-// keepLogs copies the processes' logs out of the test's folder.
+// keepLogs copies the logs of the processes out of the test's directory.
 func keepLogs(t *testing.T, w *world, seed int64) {
 	for _, p := range w.procs {
 		data, err := os.ReadFile(p.log.Name())
@@ -155,7 +153,7 @@
 	}
 }
 
-// waitFor waits until ok, and fails the test when settleTime is over.
+// waitFor waits until ok returns true. It fails the test after settleTime.
 func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(settleTime); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
--- a/test/soak/workspaces_test.go
+++ b/test/soak/workspaces_test.go
@@ -10,31 +10,32 @@
 )
 
 const (
-	// revokeMillis is the time after which a removed key must not work.
+	// revokeMillis is the time, in milliseconds, after which a removed key must not be accepted any
+	// more.
 	revokeMillis = 3000
-	// keyKnownAfter is when a key that was added must not be refused for good any more. An
-	// instance that cannot tell refuses for now.
+	// keyKnownAfter is the time after which an added key must not be refused permanently. An
+	// instance that does not know a key yet refuses it temporarily.
 	keyKnownAfter = time.Second
-	// quotaKnownAfter is when an owner must not start anything under an older quota.
+	// quotaKnownAfter is the time after which an owner must not start tasks under an older quota.
 	quotaKnownAfter = 10 * time.Second
 	quotaWorkspace  = "south"
 )
 
-// quota is one that was put into force at a time, in tasks.
+// quota is a quota in tasks with the time at which it came into force; 0 tasks means no limit.
 type quota struct {
 	at    time.Time
 	tasks int
 }
 
-// apiKey is one key.
+// apiKey is an API key of a workspace.
 type apiKey struct {
 	text, workspace string
-	// from and until are when it was known to be valid, and to be so no more.
+	// from is since when it was valid, until is since when it was not valid any more.
 	from, until time.Time
 	removed     bool
 }
 
-// workspaces are those of the configuration, with books of what was in force when.
+// workspaces holds the workspaces of the configuration, with a history of their keys and quotas.
 type workspaces struct {
 	world *world
 
@@ -59,7 +60,7 @@
 	s.keys = append(s.keys, &apiKey{text: fmt.Sprintf("key-%s-%d", workspace, len(s.keys)), workspace: workspace})
 }
 
-// store puts the present state into force; s.mu is held, or nobody else knows s.
+// store puts the present state into force. The caller holds s.mu, or is the only user of s.
 func (s *workspaces) store() {
 	s.version++
 	var tenants []any
@@ -85,7 +86,7 @@
 	}
 }
 
-// replaceKey takes a workspace's key away and gives it another one.
+// replaceKey removes a key of a workspace and adds another one.
 func (s *workspaces) replaceKey(rnd *rand.Rand) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,7 +100,7 @@
 	old.until = time.Now()
 }
 
-// changeQuota gives the workspace with a quota another one.
+// changeQuota changes the quota of the workspace that has one.
 func (s *workspaces) changeQuota(rnd *rand.Rand) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,8 +108,8 @@
 	s.store()
 }
 
-// taskLimit returns how many tasks a workspace may have running, by the highest quota that may
-// be in force, with a tenth and one task more; ok is false if there is no limit.
+// taskLimit returns how many tasks of a workspace may run: the highest quota that may be in force,
+// plus a tenth and one task; ok is false if there is no limit.
 func (s *workspaces) taskLimit(workspace string) (most int, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,8 +129,8 @@
 	return most + most/10 + 1, true
 }
 
-// pick returns a key for a call of a workspace: mostly a valid one, else one that was
-// removed, or that never was one.
+// pick returns a key for a call of a workspace: usually the valid one, otherwise one that was
+// removed or never existed.
 func (s *workspaces) pick(workspace string, rnd *rand.Rand) *apiKey {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,7 +143,7 @@
 	return s.newest(workspace)
 }
 
-// newest returns the valid key of a workspace; s.mu is held.
+// newest returns the valid key of a workspace. The caller holds s.mu.
 func (s *workspaces) newest(workspace string) *apiKey {
 	at := slices.IndexFunc(s.keys, func(k *apiKey) bool { return k.workspace == workspace && !k.removed })
 	return s.keys[at]
@@ -155,16 +156,16 @@
 	return s.newest(workspace)
 }
 
-// checkAnswer checks the answer to a call with a key that was sent at a time.
+// checkAnswer checks the answer to a call that was sent with a key at a time.
 func (s *workspaces) checkAnswer(k *apiKey, sent time.Time, status int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case status == http.StatusOK && k.from.IsZero():
-		s.world.judge.Blame("ROUTE: a key that no configuration held is served")
+		s.world.judge.Blame("ROUTE: a call with a key that was never configured is served")
 	case status == http.StatusOK && k.removed && sent.Sub(k.until) > revokeMillis*time.Millisecond:
-		s.world.judge.Blame("CONFIG: %s is served, sent %v after it was taken away", k.text, sent.Sub(k.until))
+		s.world.judge.Blame("CONFIG: a call with %s is served, sent %v after the key was removed", k.text, sent.Sub(k.until))
 	case status == http.StatusUnauthorized && !k.from.IsZero() && !k.removed && sent.Sub(k.from) > keyKnownAfter:
-		s.world.judge.Blame("CONFIG: %s is refused for good, sent %v after it was added", k.text, sent.Sub(k.from))
+		s.world.judge.Blame("CONFIG: a call with %s is refused permanently, sent %v after the key was added", k.text, sent.Sub(k.from))
 	}
 }
--- a/test/soak/world_test.go
+++ b/test/soak/world_test.go
@@ -20,26 +20,26 @@
 	workerCPU   = 8000
 	taskCPU     = 1000
 	callersHost = "desk.example"
-	// workerDowntime is how long a worker that a task crashed is away.
+	// workerDowntime is how long a worker is down after a task has crashed it.
 	workerDowntime = time.Second
-	// smallWorkerCPU is the room of every third incarnation.
+	// smallWorkerCPU is the capacity of every third incarnation.
 	smallWorkerCPU = 5000
 )
 
-// world is everything around the processes.
+// world is the environment of the processes.
 type world struct {
 	t       *testing.T
 	judge   *standin.Judge
 	store   *standin.Store
 	callers *callers
-	// workspaces are those of the configuration.
+	// workspaces holds the workspaces of the configuration.
 	workspaces *workspaces
 	procs      []*process
 	storeAt    []*standin.Proxy
 
-	// distinctIncarnations says that workers tell their incarnations apart.
+	// distinctIncarnations is set if workers report their incarnations.
 	distinctIncarnations bool
-	// restarts has processes started one at a time.
+	// restarts is held while a process is restarted, so that they are restarted one at a time.
 	restarts sync.Mutex
 
 	mu           sync.Mutex
@@ -49,16 +49,16 @@
 	incarnations int
 }
 
-// address returns the loopback address of an instance. Each world of each test process
-// has its own, so that several can run beside one another.
+// address returns the loopback address of an instance. Each world of each test process has its own,
+// so that several can run at the same time.
 func address(t *testing.T, world, instance int) string {
 	t.Helper()
 	ip := fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()%128, world%250, instance+1)
-	// A process that an earlier run left behind would answer in place of ours.
+	// A process left behind by an earlier run would answer in place of the new one.
 	for _, port := range []string{"7720", "8161", "8167"} {
 		l, err := net.Listen("tcp", ip+":"+port)
 		if err != nil {
-			t.Fatalf("a process of another run has the address: %v", err)
+			t.Fatalf("the address is in use by a process of another run: %v", err)
 		}
 		if err := l.Close(); err != nil {
 			t.Fatal(err)
@@ -67,7 +67,7 @@
 	return ip
 }
 
-// newWorld starts the stand-ins and the processes.
+// newWorld starts the simulated platform and the processes.
 func newWorld(t *testing.T, binary string, number int, distinctIncarnations bool) *world {
 	t.Helper()
 	w := &world{t: t, distinctIncarnations: distinctIncarnations, judge: standin.NewJudge(taskCPU), store: standin.NewStore()}
@@ -111,7 +111,7 @@
 	}
 }
 
-// addWorker starts worker i's first life.
+// addWorker starts the first incarnation of worker i.
 func (w *world) addWorker(i int) {
 	server := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		w.mu.Lock()
@@ -129,8 +129,8 @@
 	w.replaceWorker(i, nil)
 }
 
-// replaceWorker ends a worker's life and begins another at the same address. life, if not
-// nil, is the one that is meant.
+// replaceWorker ends a worker's incarnation and starts another one under a new id at the same
+// address. If expected is not nil, nothing happens unless it is the present incarnation.
 func (w *world) replaceWorker(i int, expected *standin.Worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -145,8 +145,8 @@
 	w.store.Put("servers", agent.ID, w.rosterEntry(i, agent))
 }
 
-// endIncarnation ends a worker's life, if it is the one that is meant; w.mu is held. It returns nil
-// for the life before the first one.
+// endIncarnation ends a worker's incarnation if it is the expected one, or if expected is nil. It
+// returns nil as the predecessor of the first incarnation. The caller holds w.mu.
 func (w *world) endIncarnation(i int, expected *standin.Worker) (old *standin.Worker, ended bool) {
 	old = w.agents[i]
 	if expected != nil && old != expected {
@@ -159,8 +159,8 @@
 	return old, true
 }
 
-// restartWorker ends a worker's life and begins another under its id. Its entry changes when
-// the next heartbeat is written.
+// restartWorker ends a worker's incarnation and starts another one under its id. Its roster entry
+// changes with the next heartbeat.
 func (w *world) restartWorker(i int, heartbeat time.Duration, expected *standin.Worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -176,7 +176,7 @@
 	time.AfterFunc(heartbeat, func() { w.register(i, agent) })
 }
 
-// register writes a worker's entry, if it still lives.
+// register writes a worker's roster entry if agent is still its present incarnation.
 func (w *world) register(i int, agent *standin.Worker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -185,7 +185,7 @@
 	}
 }
 
-// newIncarnation puts an agent at a worker's address. Connections to the one before end.
+// newIncarnation puts an agent at a worker's address. Connections to its predecessor end.
 func (w *world) newIncarnation(i int, id string, cpu int64) *standin.Worker {
 	agent := standin.NewWorker(id, cpu, w.judge)
 	if w.distinctIncarnations {
@@ -197,7 +197,8 @@
 	return agent
 }
 
-// restartAfterCrash begins the life after a crash, under the id before or another one by turns.
+// restartAfterCrash starts the incarnation after a crash, alternately under the old id and a new
+// one.
 func (w *world) restartAfterCrash(i int, crashed *standin.Worker) {
 	if w.distinctIncarnations && w.incarnationCount()%2 == 0 {
 		w.restartWorker(i, workerDowntime, crashed)
@@ -212,7 +213,7 @@
 	return w.incarnations
 }
 
-// rosterEntry returns a worker's rosterEntry in the roster.
+// rosterEntry returns a worker's entry in the roster.
 func (w *world) rosterEntry(i int, agent *standin.Worker) map[string]any {
 	entry := map[string]any{
 		"service": "desk", "address": w.workerAt[i].Address(), "zone": "zone-0", "state": "ready",
@@ -224,7 +225,7 @@
 	return entry
 }
 
-// configuration returns a version of the configuration with some tenants.
+// configuration returns a version of the configuration with the given tenants.
 func configuration(version int, tenants []any) map[string]any {
 	route := func(name string, priority int) map[string]any {
 		return map[string]any{"name": name, "host": callersHost, "path_prefix": "/" + name + "/", "type": "unsafe", "timeout_ms": 3000,
