--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -22,7 +22,7 @@
 	s.metrics.forwards.Inc()
 	resp, err := s.instances.RoundTrip(out)
 	if err != nil {
-		s.hub.Failed(to.Process.Instance)
+		s.hub.MarkFailed(to.Process.Instance)
 		if isDialError(err) {
 			return attempt{err: fault.New(fault.UpstreamUnreachable, "instance %s: %w", to.Process.Instance, err)}
 		}
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -57,8 +57,8 @@
 	st := InstanceStatus{Instance: inst.Process.Instance, Zone: inst.Zone, Address: inst.Address, Config: inst.ConfigVersion, Stopping: inst.Stopping}
 	if inst.Process == s.identity.Process {
 		st.Reachable, st.Config = true, s.config.Number()
-	} else if remote, ok := s.hub.Remote(inst.Process.Instance); ok && !remote.HeardAt.IsZero() {
-		st.Reachable = s.hub.HeardLately(inst.Process.Instance)
+	} else if remote, ok := s.hub.Remote(inst.Process.Instance); ok && !remote.LastBeatAt.IsZero() {
+		st.Reachable = s.hub.Reachable(inst.Process.Instance)
 		st.Config = max(st.Config, remote.ConfigNumber)
 	}
 	return st
--- a/internal/fleet/order.go
+++ b/internal/fleet/order.go
@@ -2,9 +2,10 @@
 
 // Order is a planner's message to an owner.
 type Order struct {
-	// PlannerEpoch and Sequence order all orders. An owner drops one that is
-	// not above the last it took: a start that was delayed on the wire must
-	// not revive a task that has ended and been forgotten since.
+	// PlannerEpoch and Sequence define a total order of all orders. An owner
+	// drops one that is not above the last it accepted, because a start delayed
+	// in the network must not start a task again that has ended and been
+	// forgotten in the meantime.
 	PlannerEpoch uint64
 	Sequence     uint64
 	Assignments  []Assignment
--- a/internal/fleet/worker_state.go
+++ b/internal/fleet/worker_state.go
@@ -1,8 +1,8 @@
-// Package fleet holds the messages between the planner, which decides where
-// tasks run, and the owners of workers, which make them run.
+// Package fleet defines the messages between the planner, which decides where
+// tasks run, and the owners of workers, which run them.
 package fleet
 
-// WorkerState is what an owner knows of a worker.
+// WorkerState is the state of a worker as its owner sees it.
 type WorkerState string
 
 // The states of a worker.
@@ -10,9 +10,9 @@
 	// Claiming means that the worker has not answered this owner yet.
 	Claiming WorkerState = "claiming"
 	Ready    WorkerState = "ready"
-	// Silent means that the worker stopped answering; its tasks may be
-	// running.
-	Silent WorkerState = "silent"
-	// Lost means that every lease has lapsed: nothing runs there.
+	// Unresponsive means that the worker stopped answering; its tasks may still
+	// be running.
+	Unresponsive WorkerState = "silent"
+	// Lost means that every lease has expired: nothing runs there.
 	Lost WorkerState = "lost"
 )
--- a/internal/owner/tracker.go
+++ b/internal/owner/tracker.go
@@ -177,7 +177,7 @@
 		t.state = fleet.Lost
 		t.reset()
 	case t.state == fleet.Ready && now.Sub(t.lastReplyAt) >= unresponsiveAfter:
-		t.state = fleet.Silent
+		t.state = fleet.Unresponsive
 	}
 	return t.state != before
 }
--- a/internal/owner/tracker_test.go
+++ b/internal/owner/tracker_test.go
@@ -136,7 +136,7 @@
 		r.now = r.now.Add(100 * time.Millisecond)
 	}
 	tr.Tick(r.now, false)
-	if tr.State() != fleet.Silent {
+	if tr.State() != fleet.Unresponsive {
 		t.Fatalf("state %s without the right to act, want silent", tr.State())
 	}
 	tr.Tick(r.now, true)
--- a/internal/peer/calls.go
+++ b/internal/peer/calls.go
@@ -10,8 +10,8 @@
 	"gentianstand/internal/peer/peerpb"
 )
 
-// AttestOutage implements ownership.Peers. An elector that was replaced by another
-// process does not count.
+// AttestOutage implements ownership.Peers. The answer of a process that
+// replaced the elector does not count.
 func (h *Hub) AttestOutage(ctx context.Context, elector, subject live.Process) (bool, error) {
 	client, err := h.clientOf(elector.Instance)
 	if err != nil {
@@ -54,8 +54,8 @@
 	return err
 }
 
-// clientOf returns a client of an instance; this one is reached by its own
-// peer address like any other.
+// clientOf returns a client of an instance. This instance is reached through
+// its own peer address like any other.
 func (h *Hub) clientOf(instance string) (peerpb.Peer, error) {
 	if instance == h.id.Process.Instance {
 		return h.clientFor(h.id.PeerAddress), nil
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -1,4 +1,4 @@
-// Package peer is the protocol between entry instances: twirp calls with
-// deadlines, the periodic exchange of what each should know of the others, and
-// the translation between messages and the types of other packages.
+// Package peer implements the protocol between entry instances: Twirp calls
+// with deadlines, periodic heartbeats with the state of each instance, and the
+// conversion between messages and the types of other packages.
 package peer
--- a/internal/peer/faults.go
+++ b/internal/peer/faults.go
@@ -9,14 +9,15 @@
 	"gentianstand/internal/fault"
 )
 
-// The keys under which a fault travels in the metadata of a twirp error.
+// Metadata keys of a fault in a Twirp error.
 const (
 	metaKind       = "kind"
 	metaOutcome    = "outcome"
 	metaRetryAfter = "retry_after"
 )
 
-// toTwirp makes a fault travel: kind, outcome and when to come back.
+// toTwirp converts a fault, with its kind, outcome and retry delay, to a Twirp
+// error.
 func toTwirp(err error) error {
 	if err == nil {
 		return nil
@@ -30,7 +31,7 @@
 }
 
 // fromTwirp restores a fault. An error without one is a failure of the call
-// itself, after which the callee may have done what was asked.
+// itself, after which the callee may have executed the request.
 func fromTwirp(err error) error {
 	if err == nil {
 		return nil
--- a/internal/peer/hub.go
+++ b/internal/peer/hub.go
@@ -18,19 +18,19 @@
 	"gentianstand/internal/routing"
 )
 
-// The periods and deadlines of calls between instances.
+// Intervals and timeouts of calls between instances.
 const (
 	beatPeriod  = 2 * time.Second
 	callTimeout = time.Second
-	// heardWithin is how old a beat may be and still count.
-	heardWithin = 3 * beatPeriod
+	// beatTTL is the age from which a heartbeat no longer counts.
+	beatTTL = 3 * beatPeriod
 	// avoidFor is how long requests avoid an instance that failed.
 	avoidFor = 2 * time.Second
 )
 
-// Hub knows the other instances: from the table, from the platform's list, and
-// from their own beats, which also work while the table is down. It is safe
-// for concurrent use.
+// Hub tracks the other instances. It learns of them from the table, from the
+// platform's list, and from their heartbeats, which also work while the table
+// is unavailable. It is safe for concurrent use.
 type Hub struct {
 	id     ownership.Identity
 	state  func() State
@@ -38,29 +38,31 @@
 	client *http.Client
 	log    *logrus.Entry
 	beats  *metrics.Counter
-	// onNews is called when a peer is ahead of this instance.
-	onNews func()
+	// onNewConfig is called when a peer has a later configuration than this
+	// instance.
+	onNewConfig func()
 
 	mu      sync.RWMutex
 	remotes map[string]*Remote
 	listed  map[string]string
 }
 
-// NewHub returns a Hub that knows nobody. state returns what to tell others;
-// onNews is called when another instance knows a later configuration.
-func NewHub(id ownership.Identity, state func() State, c *config.Current, set *metrics.Set, onNews func(), log *logrus.Entry) *Hub {
+// NewHub returns a Hub without known instances. state returns the state sent to
+// other instances; onNewConfig is called when another instance has a later
+// configuration.
+func NewHub(id ownership.Identity, state func() State, c *config.Current, set *metrics.Set, onNewConfig func(), log *logrus.Entry) *Hub {
 	transport := http.DefaultTransport.(*http.Transport).Clone()
 	transport.Proxy = nil
 	transport.MaxIdleConnsPerHost = 8
 	return &Hub{
-		id: id, state: state, config: c, onNews: onNews, log: log,
+		id: id, state: state, config: c, onNewConfig: onNewConfig, log: log,
 		client:  &http.Client{Transport: transport},
 		beats:   set.NewCounter("gentianstand_peer_beats_total"),
 		remotes: map[string]*Remote{}, listed: map[string]string{},
 	}
 }
 
-// Run exchanges beats until ctx ends.
+// Run exchanges heartbeats until ctx ends.
 func (h *Hub) Run(ctx context.Context) {
 	ticker := time.NewTicker(beatPeriod)
 	defer ticker.Stop()
@@ -73,7 +75,7 @@
 	}
 }
 
-// SetView takes in the instances that the table names.
+// SetView adds the instances that the table names.
 func (h *Hub) SetView(view live.View) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -88,7 +90,7 @@
 	}
 }
 
-// SetDirectory takes in the entry instances that the platform lists.
+// SetDirectory sets the entry instances that the platform lists.
 func (h *Hub) SetDirectory(list []platform.Instance) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -100,7 +102,7 @@
 	}
 }
 
-// beatAll exchanges beats with everybody at once.
+// beatAll exchanges heartbeats with all instances in parallel.
 func (h *Hub) beatAll(ctx context.Context) {
 	msg := h.message()
 	var wg sync.WaitGroup
@@ -111,7 +113,7 @@
 			reply, err := h.clientFor(address).Beat(callCtx, msg)
 			h.beats.Inc()
 			if err == nil {
-				h.heard(reply, time.Now())
+				h.recordBeat(reply, time.Now())
 			}
 		})
 	}
@@ -151,8 +153,8 @@
 	return msg
 }
 
-// heard takes in a beat.
-func (h *Hub) heard(msg *peerpb.BeatMessage, now time.Time) {
+// recordBeat records a heartbeat.
+func (h *Hub) recordBeat(msg *peerpb.BeatMessage, now time.Time) {
 	from := processFromMessage(msg.GetFrom())
 	if from.Instance == "" || from.Instance == h.id.Process.Instance {
 		return
@@ -160,7 +162,7 @@
 	r := &Remote{
 		Process: from, Address: msg.GetAddress(), PeerAddress: msg.GetPeerAddress(),
 		Region: msg.GetRegion(), Zone: msg.GetZone(), ConfigNumber: msg.GetConfigNumber(),
-		Stopping: msg.GetStopping(), HeardAt: now, Shards: map[string]uint64{}, Slots: map[string]routing.Slots{},
+		Stopping: msg.GetStopping(), LastBeatAt: now, Shards: map[string]uint64{}, Slots: map[string]routing.Slots{},
 	}
 	for _, s := range msg.GetShards() {
 		r.Shards[s.GetShard()] = s.GetEpoch()
@@ -172,34 +174,35 @@
 	h.remotes[from.Instance] = r
 	h.mu.Unlock()
 	if r.ConfigNumber > h.config.Number() {
-		h.onNews()
+		h.onNewConfig()
 	}
 }
 
-// Remotes returns all other instances heard lately.
+// Remotes returns all other instances with a recent heartbeat.
 func (h *Hub) Remotes() []Remote {
 	now := time.Now()
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	var list []Remote
 	for _, r := range h.remotes {
-		if now.Sub(r.HeardAt) < heardWithin {
+		if now.Sub(r.LastBeatAt) < beatTTL {
 			list = append(list, *r)
 		}
 	}
 	return list
 }
 
-// Choose returns an instance that should have a free slot of the service, or
-// failing that any with slots, and counts one slot as taken. It returns false
-// if there is none. skip names instances that were tried already.
+// Choose returns an instance that is expected to have a free slot of the
+// service, or otherwise any with slots, and counts one slot as used. It returns
+// ok = false if there is none. skip holds the instances that were already
+// tried.
 func (h *Hub) Choose(service string, skip map[string]bool) (remote Remote, free, ok bool) {
 	now := time.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var best *Remote
 	for id, r := range h.remotes {
-		if skip[id] || r.Stopping || now.Sub(r.HeardAt) >= heardWithin || now.Sub(r.failedAt) < avoidFor || r.Slots[service].Total == 0 {
+		if skip[id] || r.Stopping || now.Sub(r.LastBeatAt) >= beatTTL || now.Sub(r.failedAt) < avoidFor || r.Slots[service].Total == 0 {
 			continue
 		}
 		if best == nil || better(r.Slots[service], best.Slots[service]) {
@@ -223,8 +226,8 @@
 	return a.Total > b.Total
 }
 
-// Failed notes that an instance could not be reached by a request.
-func (h *Hub) Failed(instance string) {
+// MarkFailed records that a request could not reach an instance.
+func (h *Hub) MarkFailed(instance string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if r, ok := h.remotes[instance]; ok {
@@ -232,7 +235,7 @@
 	}
 }
 
-// Remote returns what is known of an instance.
+// Remote returns the last known state of an instance.
 func (h *Hub) Remote(instance string) (Remote, bool) {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
@@ -243,14 +246,15 @@
 	return *r, true
 }
 
-// HeardLately reports whether an instance has answered or called of late.
-func (h *Hub) HeardLately(instance string) bool {
+// Reachable reports whether an instance has sent or answered a heartbeat
+// recently.
+func (h *Hub) Reachable(instance string) bool {
 	r, ok := h.Remote(instance)
-	return ok && time.Since(r.HeardAt) < heardWithin
+	return ok && time.Since(r.LastBeatAt) < beatTTL
 }
 
-// Holder returns which instance says that it holds a shard, under the highest
-// epoch heard.
+// Holder returns the instance that claims to hold a shard under the highest
+// known epoch.
 func (h *Hub) Holder(shard string) (instance string, epoch uint64) {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
@@ -262,8 +266,8 @@
 	return instance, epoch
 }
 
-// FetchConfig returns the latest configuration that any instance has, if it is
-// later than number.
+// FetchConfig returns the latest configuration of any instance, if it is later
+// than number.
 func (h *Hub) FetchConfig(ctx context.Context, number uint64) (config.Record, bool) {
 	var rec config.Record
 	var best Remote
--- a/internal/peer/planner_client.go
+++ b/internal/peer/planner_client.go
@@ -16,20 +16,21 @@
 // plannerTimeout bounds a call that waits for a group commit.
 const plannerTimeout = 5 * time.Second
 
-// PlannerClient reaches the planner at whichever instance it is. It implements
+// PlannerClient calls the planner on whichever instance it runs. It implements
 // owner.Planner.
 type PlannerClient struct {
 	hub  *Hub
 	view func() live.View
 }
 
-// NewPlannerClient returns a client that finds the planner by the table and by
-// what instances say of themselves.
+// NewPlannerClient returns a client that finds the planner through the table
+// and the heartbeats of the instances.
 func NewPlannerClient(hub *Hub, view func() live.View) *PlannerClient {
 	return &PlannerClient{hub: hub, view: view}
 }
 
-// Instance returns which instance plans, or "" if that is not known.
+// Instance returns the instance that runs the planner, or "" if it is not
+// known.
 func (p *PlannerClient) Instance() string {
 	row := p.view().Shards[live.PlannerShard]
 	if holder, epoch := p.hub.Holder(live.PlannerShard); epoch > row.Epoch {
@@ -62,7 +63,8 @@
 	return reply.GetPlannerEpoch(), fromTwirp(err)
 }
 
-// Submit starts a run of a workload and returns its id once it is kept.
+// Submit starts a run of a workload and returns its ID once the run has been
+// written.
 func (p *PlannerClient) Submit(ctx context.Context, workload, key, by string) (string, error) {
 	client, err := p.client()
 	if err != nil {
@@ -74,7 +76,7 @@
 	return reply.GetRun(), fromTwirp(err)
 }
 
-// Cancel ends runs by id or all of a workload.
+// Cancel cancels runs by ID or all runs of a workload.
 func (p *PlannerClient) Cancel(ctx context.Context, ids []string, workload, by string) (int, error) {
 	client, err := p.client()
 	if err != nil {
--- a/internal/peer/remote.go
+++ b/internal/peer/remote.go
@@ -7,7 +7,7 @@
 	"gentianstand/internal/routing"
 )
 
-// Remote is another instance as last heard.
+// Remote is the last known state of another instance.
 type Remote struct {
 	Process      live.Process
 	Address      string
@@ -18,7 +18,7 @@
 	Shards       map[string]uint64
 	Slots        map[string]routing.Slots
 	Stopping     bool
-	HeardAt      time.Time
-	// failedAt is when a call last failed, so that requests avoid it.
+	LastBeatAt   time.Time
+	// failedAt is when a call last failed, so that requests avoid the instance.
 	failedAt time.Time
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -29,14 +29,14 @@
 	keeper  *ownership.Keeper
 }
 
-// NewServer returns the server of process me.
+// NewServer returns the server of the process self.
 func NewServer(self live.Process, hub *Hub, elector *membership.Elector, o *owner.Owner, p *planner.Planner, c *config.Current, k *ownership.Keeper) *Server {
 	return &Server{me: self, hub: hub, elector: elector, owner: o, planner: p, config: c, keeper: k}
 }
 
 // Beat implements peerpb.Peer.
 func (s *Server) Beat(_ context.Context, req *peerpb.BeatMessage) (*peerpb.BeatMessage, error) {
-	s.hub.heard(req, time.Now())
+	s.hub.recordBeat(req, time.Now())
 	return s.hub.message(), nil
 }
 
--- a/internal/peer/state.go
+++ b/internal/peer/state.go
@@ -2,7 +2,7 @@
 
 import "gentianstand/internal/routing"
 
-// State is what this instance tells the others about itself.
+// State is what this instance sends to others about itself.
 type State struct {
 	ConfigNumber  uint64
 	Shards        map[string]uint64
--- a/internal/planner/core.go
+++ b/internal/planner/core.go
@@ -31,7 +31,7 @@
 
 	used    map[string]resource.Amount
 	history map[string]*estimate.History
-	board   *health.Board
+	health   *health.Tracker
 
 	recovery recovery
 	// outage is true while the table is confirmed to be unavailable and nothing
@@ -55,7 +55,7 @@
 	c := &Core{
 		text: &spec.Text{}, runs: map[string]*entry{}, active: map[string]*entry{},
 		workers: map[string]*workerView{}, orphanCounts: map[taskKey]int{}, clusterStale: true,
-		used: map[string]resource.Amount{}, history: map[string]*estimate.History{}, board: health.NewBoard(),
+		used: map[string]resource.Amount{}, history: map[string]*estimate.History{}, health: health.NewTracker(),
 		claims: map[string]claim{}, changed: map[string]*entry{}, unwritten: map[taskKey]int{}, outbox: newOutbox(),
 	}
 	c.recovery = newRecovery(now)
--- a/internal/planner/decide.go
+++ b/internal/planner/decide.go
@@ -51,7 +51,7 @@
 	}
 	for i := range c.cluster.Len() {
 		n := c.cluster.Node(i)
-		if n.Unschedulable && !c.board.Out(n.ID, now) {
+		if n.Unschedulable && !c.health.Quarantined(n.ID, now) {
 			c.cluster.SetUnschedulable(i, false)
 		}
 	}
--- a/internal/planner/entry.go
+++ b/internal/planner/entry.go
@@ -79,7 +79,7 @@
 func (c *Core) need(e *entry) resource.Amount {
 	declared := e.run.Workload.Need
 	if h, ok := c.history[e.run.Workload.Name]; ok {
-		if peak, trust := h.Peak(declared); trust >= minSizeConfidence {
+		if peak, confidence := h.Peak(declared); confidence >= minSizeConfidence {
 			return declared.Max(peak)
 		}
 	}
--- a/internal/planner/fleet.go
+++ b/internal/planner/fleet.go
@@ -34,7 +34,7 @@
 	return cluster.Node{
 		ID: r.Worker, Region: r.Region, Zone: r.Zone, Rack: r.Rack,
 		Capacity: r.Capacity, Free: r.Capacity, FreeForLong: r.Capacity,
-		Unschedulable: c.board.Out(r.Worker, now), OnProbation: c.board.Trial(r.Worker),
+		Unschedulable: c.health.Quarantined(r.Worker, now), OnProbation: c.health.OnProbation(r.Worker),
 	}
 }
 
--- a/internal/planner/outbox.go
+++ b/internal/planner/outbox.go
@@ -84,7 +84,7 @@
 		return
 	}
 	t := &e.run.Tasks[key.index]
-	if t.Attempt == s.Ref.Attempt && t.Worker == a.Worker && t.Boot == a.Boot && !t.Seen {
+	if t.Attempt == s.Ref.Attempt && t.Worker == a.Worker && t.Boot == a.Boot && !t.Reported {
 		c.sendStart(key)
 	}
 }
--- a/internal/planner/place.go
+++ b/internal/planner/place.go
@@ -129,7 +129,7 @@
 				return true
 			}
 		}
-		return c.board.Trial(id) && len(c.workers[id].tasks) > 0
+		return c.health.OnProbation(id) && len(c.workers[id].tasks) > 0
 	}
 }
 
@@ -142,7 +142,7 @@
 	t.Worker, t.Boot = n.ID, c.workers[n.ID].report.Boot
 	t.Need, t.Definition = c.need(e), e.run.Definition
 	t.Reason, t.Result = "", ""
-	t.Stopping, t.Seen = false, false
+	t.Stopping, t.Reported = false, false
 	e.pending--
 	e.reason = ""
 	c.recordAssignment(e, index)
--- a/internal/planner/ready.go
+++ b/internal/planner/ready.go
@@ -110,7 +110,7 @@
 
 func (e *entry) anyRunning() bool {
 	for i := range e.run.Tasks {
-		if t := &e.run.Tasks[i]; t.State == run.TaskAssigned && t.Seen && !t.Stopping {
+		if t := &e.run.Tasks[i]; t.State == run.TaskAssigned && t.Reported && !t.Stopping {
 			return true
 		}
 	}
--- a/internal/planner/report.go
+++ b/internal/planner/report.go
@@ -61,7 +61,7 @@
 		c.handleOrphan(v, status)
 		return
 	}
-	t.Seen = true
+	t.Reported = true
 	if status.State == worker.Running {
 		c.handleRunning(e, key.index, status, now)
 		return
--- a/internal/planner/summary.go
+++ b/internal/planner/summary.go
@@ -40,7 +40,7 @@
 			s.Pending++
 		case run.TaskAssigned:
 			s.Assigned++
-			if t.Seen {
+			if t.Reported {
 				s.Running++
 			}
 		case run.TaskSucceeded:
--- a/internal/planner/text.go
+++ b/internal/planner/text.go
@@ -122,7 +122,7 @@
 		t := &e.run.Tasks[i]
 		switch {
 		case t.State != run.TaskAssigned:
-		case t.Stopping || !t.Seen:
+		case t.Stopping || !t.Reported:
 			budget--
 		case t.Definition != e.run.Definition:
 			old = append(old, i)
--- a/internal/planner/transitions.go
+++ b/internal/planner/transitions.go
@@ -28,7 +28,7 @@
 	c.removeAssignment(e, index)
 	switch status.State {
 	case worker.Succeeded:
-		c.board.Succeeded(t.Worker, e.run.Workload.Name)
+		c.health.RecordSuccess(t.Worker, e.run.Workload.Name)
 		c.recordUsage(e, t, status)
 		c.finishTask(e, index, run.TaskSucceeded)
 	case worker.Failed:
@@ -52,7 +52,7 @@
 
 func (c *Core) attemptFailed(e *entry, index int, now time.Time) {
 	t := &e.run.Tasks[index]
-	if c.board.Failed(t.Worker, e.run.Workload.Name, now) {
+	if c.health.RecordFailure(t.Worker, e.run.Workload.Name, now) {
 		c.fleetChanged()
 		c.event("worker_quarantined", e.run.ID, index, t.Worker, "")
 	}
@@ -94,7 +94,7 @@
 // requeue makes a task pending again, or cancels it if its run is stopping.
 func (c *Core) requeue(e *entry, index int, now time.Time) {
 	t := &e.run.Tasks[index]
-	t.Stopping, t.Seen, t.StartedAt = false, false, time.Time{}
+	t.Stopping, t.Reported, t.StartedAt = false, false, time.Time{}
 	if e.run.State == run.Stopping {
 		c.finishTask(e, index, run.TaskCancelled)
 		return
--- a/internal/planner/usage.go
+++ b/internal/planner/usage.go
@@ -37,7 +37,7 @@
 		h = &estimate.History{}
 		c.history[e.run.Workload.Name] = h
 	}
-	h.Outgrown(status.Used)
+	h.RecordOveruse(status.Used)
 }
 
 // endsBefore reports whether a task of the run can be expected to end before
--- a/internal/run/rows.go
+++ b/internal/run/rows.go
@@ -8,8 +8,8 @@
 	"gentianstand/internal/platform"
 )
 
-// The layout of a run in the table: a head, and its tasks in chunks, so that
-// a change of one task of a large batch writes little.
+// A run is stored in the table as a head row and chunks of tasks, so that a
+// change of one task of a large batch requires only a small write.
 const (
 	Prefix    = "run/"
 	ChunkSize = 64
@@ -18,10 +18,11 @@
 // HeadKey returns the key of a run's head.
 func HeadKey(id string) string { return Prefix + id + "/head" }
 
-// ChunkKey returns the key of the chunk that holds task index*ChunkSize.
+// ChunkKey returns the key of the chunk whose first task has the index
+// chunk*ChunkSize.
 func ChunkKey(id string, chunk int) string { return fmt.Sprintf("%s%s/tasks/%05d", Prefix, id, chunk) }
 
-// Chunks returns how many chunks hold n tasks.
+// Chunks returns the number of chunks that hold n tasks.
 func Chunks(n int) int { return (n + ChunkSize - 1) / ChunkSize }
 
 // HeadValue returns the value of the run's head.
@@ -38,14 +39,14 @@
 	return json.Marshal(r.Tasks[from:to])
 }
 
-// Parse puts runs together from the rows of a scan in key order.
+// Parse assembles runs from the rows of a scan in key order.
 func Parse(rows []platform.Row) ([]*Run, error) {
 	var runs []*Run
 	byID := map[string]*Run{}
 	for _, row := range rows {
 		id, part, ok := strings.Cut(strings.TrimPrefix(row.Key, Prefix), "/")
 		if !ok {
-			return nil, fmt.Errorf("row %s: not a run's", row.Key)
+			return nil, fmt.Errorf("row %s does not belong to a run", row.Key)
 		}
 		r := byID[id]
 		if part == "head" {
@@ -58,7 +59,7 @@
 			continue
 		}
 		if r == nil {
-			return nil, fmt.Errorf("row %s: its head is missing", row.Key)
+			return nil, fmt.Errorf("row %s: the head row of its run is missing", row.Key)
 		}
 		var tasks []Task
 		if err := json.Unmarshal(row.Value, &tasks); err != nil {
--- a/internal/run/run.go
+++ b/internal/run/run.go
@@ -13,17 +13,18 @@
 type Run struct {
 	ID       string        `json:"id"`
 	Workload spec.Workload `json:"workload"`
-	// Definition is the hash of Workload.
+	// Definition is the hash of Workload without its number of tasks.
 	Definition string `json:"definition"`
-	// Submitted says that a caller asked for the run, not the text.
+	// Submitted is true if a caller requested the run, and false if it comes
+	// from the configuration.
 	Submitted   bool      `json:"submitted"`
 	By          string    `json:"by"`
 	SubmittedAt time.Time `json:"submitted_at"`
 	FinishedAt  time.Time `json:"finished_at,omitzero"`
 	State       State     `json:"state"`
-	// CancelledBy is who asked for the end, if somebody did.
+	// CancelledBy is who cancelled the run, or empty.
 	CancelledBy string `json:"cancelled_by,omitempty"`
-	// Reason tells why the run waits, or how it ended.
+	// Reason is why the run waits, or how it ended.
 	Reason string `json:"reason,omitempty"`
 	Tasks  []Task `json:"tasks,omitempty"`
 }
@@ -41,7 +42,7 @@
 }
 
 // Definition returns the hash of what a workload's tasks run. The number of
-// tasks is left out: a change of it alone needs no restart.
+// tasks is excluded, because a change of it alone needs no restart.
 func Definition(w spec.Workload) string {
 	w.Tasks = 0
 	data, _ := json.Marshal(w)
@@ -49,11 +50,11 @@
 	return hex.EncodeToString(sum[:6])
 }
 
-// ServiceID returns the id of the one run of a service.
+// ServiceID returns the ID of the only run of a service.
 func ServiceID(name string) string { return "service-" + name }
 
-// AppliedID returns the id of the run that a text asks for. The same text
-// gives the same id, so planning it again starts nothing twice.
+// AppliedID returns the ID of the run that a configuration requests. The same
+// definition yields the same ID, so applying it again starts nothing twice.
 func AppliedID(w spec.Workload) string {
 	if w.Kind == spec.Service {
 		return ServiceID(w.Name)
@@ -63,14 +64,14 @@
 	return w.Name + "-" + hex.EncodeToString(sum[:5])
 }
 
-// SubmittedID returns the id of a run that a caller asked for with a key. The
-// same key gives the same id, at whichever instance the repeat arrives.
+// SubmittedID returns the ID of a run that a caller requested with a key. The
+// same key yields the same ID, whichever instance receives the retry.
 func SubmittedID(workload, key string) string {
 	sum := sha256.Sum256([]byte(workload + "\x00" + key))
 	return workload + "-" + hex.EncodeToString(sum[:10])
 }
 
-// Count returns how many tasks are in a state.
+// Count returns the number of tasks in a state.
 func (r *Run) Count(state TaskState) int {
 	n := 0
 	for i := range r.Tasks {
--- a/internal/run/state.go
+++ b/internal/run/state.go
@@ -1,8 +1,8 @@
-// Package run holds the records of runs and their tasks: what the planner
-// keeps in the table and callers see.
+// Package run defines the records of runs and their tasks, which the planner
+// stores in the table and returns to callers.
 package run
 
-// State is where a run stands.
+// State is the state of a run.
 type State string
 
 // The states of a run.
@@ -15,5 +15,5 @@
 	Cancelled State = "cancelled"
 )
 
-// Final reports whether the run is over.
+// Final reports whether the run has ended.
 func (s State) Final() bool { return s == Succeeded || s == Failed || s == Cancelled }
--- a/internal/run/task_state.go
+++ b/internal/run/task_state.go
@@ -1,6 +1,6 @@
 package run
 
-// TaskState is where a task stands.
+// TaskState is the state of a task.
 type TaskState string
 
 // The states of a task.
@@ -12,8 +12,8 @@
 	TaskSucceeded TaskState = "succeeded"
 	TaskFailed    TaskState = "failed"
 	TaskCancelled TaskState = "cancelled"
-	// TaskUnknown means that an attempt may have run to its end, or not, and
-	// must not be repeated.
+	// TaskUnknown means that an attempt may or may not have completed and must
+	// not be repeated.
 	TaskUnknown TaskState = "may_have_run"
 )
 
