--- a/internal/membership/model_test.go
+++ b/internal/membership/model_test.go
@@ -5,11 +5,11 @@
 // Durations of the model, in ticks. They have the same order as the real ones;
 // only their sums matter to the protocol.
 const (
-	sessionTTL = 2
-	vouchAfter = 1
-	vouchTTL   = 2
-	leaseTicks = 2
-	forever    = vouchTTL + leaseTicks + 1
+	sessionTTL     = 2
+	attestAfter    = 1
+	attestationTTL = 2
+	leaseTicks     = 2
+	forever        = attestationTTL + leaseTicks + 1
 )
 
 // variant is the protocol with at most one of its mechanisms removed.
@@ -17,8 +17,8 @@
 	name string
 	// noFence declares a worker lost without fencing its previous owner.
 	noFence bool
-	// forgetful counts an elector that restarted as the same elector.
-	forgetful bool
+	// electorsForget counts an elector that restarted as the same elector.
+	electorsForget bool
 	// relativeLease counts a lease from the arrival of the message.
 	relativeLease bool
 	// anyElector accepts a single attestation.
@@ -29,8 +29,8 @@
 // elector Z, the table, and a worker that runs a task under X's lease. Ages
 // saturate.
 type world struct {
-	xRenewed, xVouched, xStamp int8
-	xSilence, ySilence, zSil   int8
+	xRenewed, xAttested, xStamp  int8
+	xSilence, ySilence, zSilence int8
 	// rowAge is how long Y has read X's row unchanged.
 	rowAge  int8
 	changed bool
@@ -63,7 +63,7 @@
 		b := func(i int) bool { return bits&(1<<i) != 0 }
 		c := choice{b(0), b(1), b(2), b(3), b(4), b(5), b(6), b(7), b(8), b(9), b(10)}
 		frozenNoise := c.xFrozen && (c.xTable || c.xWorker || c.xy || c.xz)
-		if (c.zRestarts && !v.forgetful) || (c.delay && !c.xWorker) || frozenNoise {
+		if (c.zRestarts && !v.electorsForget) || (c.delay && !c.xWorker) || frozenNoise {
 			continue
 		}
 		all = append(all, c)
@@ -86,8 +86,8 @@
 // lost if it may. The worker is never reachable from Y, because otherwise Y
 // would ask it.
 func step(v variant, w world, c choice) world {
-	w.xRenewed, w.xVouched, w.xStamp = age(w.xRenewed), age(w.xVouched), age(w.xStamp)
-	w.xSilence, w.ySilence, w.zSil = age(w.xSilence), age(w.ySilence), age(w.zSil)
+	w.xRenewed, w.xAttested, w.xStamp = age(w.xRenewed), age(w.xAttested), age(w.xStamp)
+	w.xSilence, w.ySilence, w.zSilence = age(w.xSilence), age(w.ySilence), age(w.zSilence)
 	w.rowAge, w.fencedFor = age(w.rowAge), age(w.fencedFor)
 	w.lease = less(w.lease)
 	if !v.relativeLease {
@@ -113,12 +113,12 @@
 		}
 	}
 	if c.zTable {
-		w.zSil = 0
+		w.zSilence = 0
 	}
 	if !c.yTable {
 		return w
 	}
-	gap := w.ySilence > vouchAfter
+	gap := w.ySilence > attestAfter
 	w.ySilence = 0
 	if gap || w.changed {
 		w.rowAge, w.changed = 0, false
@@ -130,21 +130,21 @@
 }
 
 func confirm(v variant, w world, c choice) world {
-	if c.xFrozen || w.xKnows || w.xSilence < vouchAfter {
+	if c.xFrozen || w.xKnows || w.xSilence < attestAfter {
 		return w
 	}
 	votes := 0
 	if w.fenced&1 == 0 {
 		votes++
 	}
-	if c.xy && w.ySilence >= vouchAfter && w.fenced&2 == 0 {
+	if c.xy && w.ySilence >= attestAfter && w.fenced&2 == 0 {
 		votes++
 	}
-	if c.xz && w.zSil >= vouchAfter && w.fenced&4 == 0 {
+	if c.xz && w.zSilence >= attestAfter && w.fenced&4 == 0 {
 		votes++
 	}
 	if votes >= 2 || (v.anyElector && votes >= 1) {
-		w.xVouched = 0
+		w.xAttested = 0
 	}
 	return w
 }
@@ -172,7 +172,7 @@
 	if c.deliver && w.late > 0 {
 		w.lease, w.late = max(w.lease, w.late), 0
 	}
-	mayAct := !c.xFrozen && !w.xKnows && (w.xRenewed < sessionTTL || w.xVouched < vouchTTL)
+	mayAct := !c.xFrozen && !w.xKnows && (w.xRenewed < sessionTTL || w.xAttested < attestationTTL)
 	if !mayAct || !c.xWorker {
 		return w
 	}
@@ -190,7 +190,7 @@
 }
 
 func declareLost(v variant, w world) world {
-	wait := int8(vouchTTL + leaseTicks)
+	wait := int8(attestationTTL + leaseTicks)
 	if v.noFence {
 		if w.yOwns && w.fencedFor >= leaseTicks {
 			w.lost = true
@@ -245,7 +245,7 @@
 func TestModelFindsMissingMechanisms(t *testing.T) {
 	variants := []variant{
 		{name: "no fence", noFence: true},
-		{name: "electors forget", forgetful: true},
+		{name: "electors forget", electorsForget: true},
 		{name: "lease counted from arrival", relativeLease: true},
 		{name: "one elector is enough", anyElector: true},
 	}
--- a/internal/ownership/desired.go
+++ b/internal/ownership/desired.go
@@ -9,12 +9,12 @@
 	"gentianstand/internal/live"
 )
 
-// Desired returns which instance should own each shard. Living owners are kept
-// as long as they are not overloaded, so that one membership change moves few
-// shards.
+// Desired returns which instance should own each shard. A living owner is kept
+// unless it has reached its maximum load or another instance is in a better
+// zone, so that one membership change moves few shards.
 //
-// An owner should be in another availability zone of the same region than its
-// workers. If a zone fails, the workers and their owner then do not fail
+// An owner should be in a different availability zone than its workers, but in
+// the same region. If a zone fails, the workers and their owner then do not fail
 // together: the owner survives, knows that it let the leases expire, and
 // restarts the work elsewhere within seconds. If both failed, a new owner could
 // not distinguish a dead owner from one that still renews the leases behind a
--- a/internal/ownership/keeper_electors.go
+++ b/internal/ownership/keeper_electors.go
@@ -23,17 +23,17 @@
 	if len(lists) == 0 {
 		return
 	}
-	vouched := k.askElectors(ctx, slices.Concat(lists...), func(ctx context.Context, elector live.Process) bool {
+	attested := k.askElectors(ctx, slices.Concat(lists...), func(ctx context.Context, elector live.Process) bool {
 		ok, err := k.peers.AttestOutage(ctx, elector, k.id.Process)
 		return err == nil && ok
 	})
 	for _, list := range lists {
-		if !membership.Majority(list, vouched) {
+		if !membership.Majority(list, attested) {
 			return
 		}
 	}
 	k.session.OutageConfirmed(now)
-	k.log.WithField("vouched", len(vouched)).Debug("outage_confirmed")
+	k.log.WithField("vouched", len(attested)).Debug("outage_confirmed")
 }
 
 // askElectors calls all electors in parallel and returns those that agreed.
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -42,8 +42,8 @@
 
 // Vouch implements peerpb.Peer.
 func (s *Server) Vouch(_ context.Context, req *peerpb.VouchRequest) (*peerpb.VouchReply, error) {
-	vouched := s.elector.AttestOutage(processFromMessage(req.GetSubject()), time.Now())
-	return &peerpb.VouchReply{Vouched: vouched, From: processToMessage(s.me)}, nil
+	attested := s.elector.AttestOutage(processFromMessage(req.GetSubject()), time.Now())
+	return &peerpb.VouchReply{Vouched: attested, From: processToMessage(s.me)}, nil
 }
 
 // Fence implements peerpb.Peer.
--- a/internal/planner/core.go
+++ b/internal/planner/core.go
@@ -31,7 +31,7 @@
 
 	used    map[string]resource.Amount
 	history map[string]*estimate.History
-	health   *health.Tracker
+	health  *health.Tracker
 
 	recovery recovery
 	// outage is true while the table is confirmed to be unavailable and nothing
--- a/internal/planner/persist.go
+++ b/internal/planner/persist.go
@@ -172,7 +172,7 @@
 // ReleaseUnwritten releases decided starts in a confirmed outage, when nothing
 // can be written. It releases only repeatable work: if the worker restarts and
 // this planner dies, no record of the start is left, and the next planner
-// starts the task again.
+// starts the task again, which is safe only for such work.
 func (c *Core) ReleaseUnwritten() {
 	var remaining []start
 	for _, s := range c.decided {
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -35,8 +35,8 @@
 }
 
 // New returns a Planner without a running term.
-func New(table platform.Table, objects platform.Objects, owners Owners, rights Rights, around Environment, set *metrics.Set, log *logrus.Entry) *Planner {
-	p := &Planner{table: table, objects: objects, owners: owners, rights: rights, env: around, log: log, metrics: newPlannerMetrics(set)}
+func New(table platform.Table, objects platform.Objects, owners Owners, rights Rights, env Environment, set *metrics.Set, log *logrus.Entry) *Planner {
+	p := &Planner{table: table, objects: objects, owners: owners, rights: rights, env: env, log: log, metrics: newPlannerMetrics(set)}
 	set.NewGauge("gentianstand_planner", func() float64 { return float64(p.Epoch()) })
 	return p
 }
