--- a/internal/cell/advice_calls_test.go
+++ b/internal/cell/advice_calls_test.go
@@ -7,7 +7,7 @@
 
 // Guards against work that waits although workers are four fifths free: requests about full workers
 // occupy all slots of the adviser.
-func TestQuestionsAboutFullWorkersLeaveSlotsToOthers(t *testing.T) {
+func TestRequestsAboutFullWorkersLeaveSlotsToOthers(t *testing.T) {
 	other := usualWorker("b")
 	other.Service = "other"
 	s := newSite(t, 1, usualWorker("a"), other)
@@ -29,7 +29,7 @@
 	s.slots = AdviceSlots{Any: 4}
 	s.plan()
 	asked := map[string]bool{}
-	for _, q := range s.questions() {
+	for _, q := range s.adviceOrders() {
 		asked[q.Stage.Job] = true
 	}
 	if !asked[free.ID] {
@@ -40,7 +40,7 @@
 	}
 	s.slots = AdviceSlots{Any: 1}
 	s.plan()
-	if again := s.questions(); len(again) != 0 {
+	if again := s.adviceOrders(); len(again) != 0 {
 		t.Errorf("more requests about full workers while these occupy 2 of 4 slots: %v", again)
 	}
 }
--- a/internal/cell/ask_held_test.go
+++ b/internal/cell/ask_held_test.go
@@ -11,16 +11,16 @@
 
 // fakeAdviser answers each request after its estimated duration, with tickets for all workers.
 type fakeAdviser struct {
-	site    *site
-	pending []AdviceOrder
-	due     []time.Time
-	asked   int
+	site     *site
+	pending  []AdviceOrder
+	due      []time.Time
+	requests int
 }
 
 // answerDue accepts the requests of the last planning pass and answers those that are due.
 func (a *fakeAdviser) answerDue() {
-	for _, q := range a.site.questions() {
-		a.asked++
+	for _, q := range a.site.adviceOrders() {
+		a.requests++
 		a.pending = append(a.pending, q)
 		a.due = append(a.due, a.site.now.Add(q.Cost.Duration(len(q.Workers))))
 	}
@@ -44,12 +44,12 @@
 	r.Advice = &job.AdviceCost{PerCall: 560 * time.Millisecond, PerWorker: 8 * time.Millisecond, TicketTTL: 2 * time.Second}
 	s.cell.Load(r, nil)
 	began, limit := s.now, s.cell.earlierLeaseLimit()
-	asks := &fakeAdviser{site: s}
+	adviser := &fakeAdviser{site: s}
 	for len(s.plan()) == 0 {
 		if s.now.Sub(began) > 2*limit {
 			t.Fatal("the task was never started")
 		}
-		asks.answerDue()
+		adviser.answerDue()
 		s.advance(10 * time.Millisecond)
 		s.report("b")
 	}
@@ -60,8 +60,8 @@
 	if late := took - limit; late > 100*time.Millisecond {
 		t.Errorf("started %v after the lease of a had expired", late)
 	}
-	if asks.asked != 1 {
-		t.Errorf("%d requests for advice, want 1", asks.asked)
+	if adviser.requests != 1 {
+		t.Errorf("%d requests for advice, want 1", adviser.requests)
 	}
 }
 
@@ -88,18 +88,18 @@
 func (s *site) startLongRunningOnA() (*fakeAdviser, *job.Record) {
 	r := s.record(1, longRunning(1, 0))
 	r.Advice = &job.AdviceCost{PerCall: 560 * time.Millisecond, PerWorker: 8 * time.Millisecond, TicketTTL: 2 * time.Second}
-	asks := &fakeAdviser{site: s}
+	adviser := &fakeAdviser{site: s}
 	s.report("a")
 	s.cell.Add(r, true)
 	for len(s.cell.workers["a"].attempts) == 0 {
 		for _, o := range s.plan() {
 			s.confirm(o)
 		}
-		asks.answerDue()
+		adviser.answerDue()
 		s.advance(10 * time.Millisecond)
 		s.report("a")
 	}
-	return asks, r
+	return adviser, r
 }
 
 // Guards against a long-running task of a crashed worker that waits for the adviser only after it
@@ -109,24 +109,24 @@
 	for name, takenOver := range map[string]bool{"same owner": false, "next owner": true} {
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
-			asks, r := s.startLongRunningOnA()
+			adviser, r := s.startLongRunningOnA()
 			over := s.cell.workers["a"].leaseOverAt()
 			if takenOver {
 				s.advanceUnresponsive("a", time.Second, "b")
 				s.takeOver(r, "a", "b")
 				over = s.now.Add(s.cell.earlierLeaseLimit())
 			}
-			asks.asked = 0
+			adviser.requests = 0
 			limit := over.Sub(s.now)
-			took := asks.timeToStart()
+			took := adviser.timeToStart()
 			if took < limit {
 				t.Errorf("started after %v, while the lease of a may last for %v", took, limit)
 			}
 			if late := took - limit; late > slack {
 				t.Errorf("started %v after the lease of a had expired", late)
 			}
-			if asks.asked != 1 {
-				t.Errorf("%d requests for advice, want 1", asks.asked)
+			if adviser.requests != 1 {
+				t.Errorf("%d requests for advice, want 1", adviser.requests)
 			}
 		})
 	}
@@ -136,19 +136,19 @@
 // workers were lost under it.
 func TestNoTicketsAreRequestedDuringABackoff(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
-	asks, r := s.startLongRunningOnA()
+	adviser, r := s.startLongRunningOnA()
 	crashes := &s.cell.jobs[r.ID].stages[0].tasks[0].crashes
 	crashes.unresponsive = []uint64{90, 91, 92}
 	crashes.lostAt = s.now
-	asks.asked = 0
+	adviser.requests = 0
 	for end := s.cell.workers["a"].leaseOverAt(); s.now.Before(end); s.advance(10 * time.Millisecond) {
 		s.cell.PollFailed("a", runner.ErrNoAnswer, s.now)
 		s.report("b")
 		s.plan()
-		asks.answerDue()
+		adviser.answerDue()
 	}
-	if asks.asked > 0 {
-		t.Errorf("%d requests for advice, want none", asks.asked)
+	if adviser.requests > 0 {
+		t.Errorf("%d requests for advice, want none", adviser.requests)
 	}
 }
 
@@ -173,7 +173,7 @@
 	s.cell.Add(other, true)
 	s.slots = AdviceSlots{Any: 1}
 	s.plan()
-	if asked := s.questions(); len(asked) != 1 || asked[0].Stage.Job != r.ID {
+	if asked := s.adviceOrders(); len(asked) != 1 || asked[0].Stage.Job != r.ID {
 		t.Errorf("requests for advice %v, want one for the long-running task of a", asked)
 	}
 }
--- a/internal/cell/ask_order_test.go
+++ b/internal/cell/ask_order_test.go
@@ -20,7 +20,7 @@
 	s.slots = AdviceSlots{Quick: stages}
 	s.plan()
 	seen := map[string]bool{}
-	for _, q := range s.questions() {
+	for _, q := range s.adviceOrders() {
 		questions++
 		for _, id := range q.Workers {
 			seen[id] = true
@@ -53,7 +53,7 @@
 	s.cell.Add(advised(s.record(1, step(4)), 30*time.Millisecond), true)
 	s.slots = AdviceSlots{Quick: 1}
 	s.plan()
-	for _, id := range s.questions()[0].Workers[:minAskedWorkers] {
+	for _, id := range s.adviceOrders()[0].Workers[:minAskedWorkers] {
 		if s.cell.workers[id].Capacity.MilliCPU < 4000 {
 			t.Errorf("asked about worker %s, which has capacity for one task only, among the first", id)
 		}
--- a/internal/cell/ask_test.go
+++ b/internal/cell/ask_test.go
@@ -17,7 +17,7 @@
 	return r
 }
 
-func (s *site) questions() []AdviceOrder {
+func (s *site) adviceOrders() []AdviceOrder {
 	var asked []AdviceOrder
 	for _, o := range s.orders {
 		if q, ok := o.(AdviceOrder); ok {
@@ -49,7 +49,7 @@
 	}
 	s.slots = AdviceSlots{Quick: 2, Any: 3}
 	s.plan()
-	asked := s.questions()
+	asked := s.adviceOrders()
 	if len(asked) != 3 {
 		t.Fatalf("%d slow calls for 3 slots", len(asked))
 	}
@@ -62,7 +62,7 @@
 	quick := advised(s.record(20, step(2)), 20*time.Millisecond)
 	s.cell.Add(quick, true)
 	s.plan()
-	if asked := s.questions(); len(asked) != 1 || asked[0].Stage.Job != quick.ID {
+	if asked := s.adviceOrders(); len(asked) != 1 || asked[0].Stage.Job != quick.ID {
 		t.Errorf("with a slot for quick calls: requests %v, want one for the quick job", asked)
 	}
 }
@@ -83,19 +83,19 @@
 	waits := advised(s.record(2, step(1)), 100*time.Millisecond)
 	s.cell.Add(waits, true)
 	s.plan()
-	if len(s.questions()) != 1 {
+	if len(s.adviceOrders()) != 1 {
 		t.Fatal("no advice was requested for a stage that waits for free capacity")
 	}
 	s.advise("a")
 	s.plan()
-	if len(s.questions()) != 0 {
+	if len(s.adviceOrders()) != 0 {
 		t.Error("advice was requested again while the ticket is valid")
 	}
 	s.advance(1700 * time.Millisecond)
 	s.report("a")
 	s.report("b")
 	s.plan()
-	if q := s.questions(); len(q) != 1 || q[0].Workers[0] != "a" {
+	if q := s.adviceOrders(); len(q) != 1 || q[0].Workers[0] != "a" {
 		t.Fatalf("the ticket was not renewed before it expires: requests %v", q)
 	}
 	s.advise("a")
@@ -117,15 +117,15 @@
 	s.report("b")
 	s.cell.Add(advised(s.record(1, step(1)), 20*time.Millisecond), true)
 	s.plan()
-	q := s.questions()[0]
+	q := s.adviceOrders()[0]
 	s.cell.AdviceAnswered(q.Stage, q.Workers, nil, errors.New("busy"), s.now)
 	s.plan()
-	if len(s.questions()) != 0 {
+	if len(s.adviceOrders()) != 0 {
 		t.Error("advice was requested again at once")
 	}
 	s.advance(adviceRetryDelay)
 	s.plan()
-	if len(s.questions()) != 1 {
+	if len(s.adviceOrders()) != 1 {
 		t.Error("advice was not requested again after the pause")
 	}
 }
@@ -143,7 +143,7 @@
 	if starts := s.plan(); len(starts) != 0 {
 		t.Fatalf("started again with the refused ticket: %v", starts)
 	}
-	q := s.questions()
+	q := s.adviceOrders()
 	if len(q) != 1 {
 		t.Fatal("no new ticket was requested")
 	}
--- a/internal/cell/crash_blame_test.go
+++ b/internal/cell/crash_blame_test.go
@@ -156,8 +156,8 @@
 	w.checkState(id, job.Completed)
 }
 
-// Guards against crash histories and isolation of tasks when the owner's own link is saturated: no
-// worker answers it for half a second, again and again, and all workers are healthy.
+// Guards against crash histories and isolation of tasks when the owner's own link is saturated:
+// repeatedly no worker answers it for half a second, and all workers are healthy.
 func TestAnOwnerThatReachesNoWorkerSuspectsNobody(t *testing.T) {
 	w := newCrashWorld(t, 12)
 	var others []string
--- a/internal/cell/crash_test.go
+++ b/internal/cell/crash_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// ownerLostAfter has the owner lost some time after each crash.
+// ownerLostAfter simulates the loss of the owner some time after each crash.
 func (w *crashWorld) ownerLostAfter(d time.Duration) func() {
 	var at time.Time
 	w.onCrash = func() { at = w.now.Add(d) }
--- a/internal/cell/crash_worker_test.go
+++ b/internal/cell/crash_worker_test.go
@@ -109,7 +109,7 @@
 
 func (w *crashWorld) poll(id string) {
 	state := w.states[id]
-	target, look, ok := w.cell.NextPoll(id, w.now)
+	target, poll, ok := w.cell.NextPoll(id, w.now)
 	switch {
 	case !ok:
 	case state.replaced && !w.newAddress:
@@ -117,8 +117,8 @@
 	case state.unreachable || !state.restartAt.IsZero():
 		w.cell.PollFailed(id, runner.ErrNoAnswer, w.now)
 	default:
-		if look.LeaseUntil != nil && target.Incarnation == w.workers[id].roster.Incarnation {
-			w.extendLease(id, *look.LeaseUntil)
+		if poll.LeaseUntil != nil && target.Incarnation == w.workers[id].roster.Incarnation {
+			w.extendLease(id, *poll.LeaseUntil)
 		}
 		w.report(w.workers[id])
 	}
--- a/internal/cell/data_locality_test.go
+++ b/internal/cell/data_locality_test.go
@@ -114,7 +114,7 @@
 	s.cell.Add(advised(s.record(1, data), 30*time.Millisecond), true)
 	s.slots = AdviceSlots{Quick: 1}
 	s.plan()
-	for i, id := range s.questions()[0].Workers[:3] {
+	for i, id := range s.adviceOrders()[0].Workers[:3] {
 		if s.cell.workers[id].Rack != "r1" {
 			t.Errorf("advice was requested about %s, which is far from the data, at position %d", id, i+1)
 		}
--- a/internal/cell/lease_test.go
+++ b/internal/cell/lease_test.go
@@ -105,20 +105,20 @@
 	s.confirm(o)
 	s.finish(o, runner.Done)
 	s.report("a")
-	if _, look, _ := s.cell.NextPoll("a", s.now); look.Acknowledged != 0 {
-		t.Fatalf("end %d was acknowledged before it was stored", look.Acknowledged)
+	if _, poll, _ := s.cell.NextPoll("a", s.now); poll.Acknowledged != 0 {
+		t.Fatalf("end %d was acknowledged before it was stored", poll.Acknowledged)
 	}
 	if state, _ := s.cell.State(r.ID); state != job.Running {
 		t.Fatalf("state %q was shown before it was stored", state)
 	}
 	commit := s.cell.NextCommit(10)
 	s.cell.CommitFailed(commit)
-	if _, look, _ := s.cell.NextPoll("a", s.now); look.Acknowledged != 0 {
+	if _, poll, _ := s.cell.NextPoll("a", s.now); poll.Acknowledged != 0 {
 		t.Fatal("the end was acknowledged although the commit failed")
 	}
 	s.commit()
-	if _, look, _ := s.cell.NextPoll("a", s.now); look.Acknowledged != 1 {
-		t.Errorf("acknowledged %d after the commit, want 1", look.Acknowledged)
+	if _, poll, _ := s.cell.NextPoll("a", s.now); poll.Acknowledged != 1 {
+		t.Errorf("acknowledged %d after the commit, want 1", poll.Acknowledged)
 	}
 	if state, _ := s.cell.State(r.ID); state != job.Completed {
 		t.Errorf("state is %q after the commit, want completed", state)
@@ -189,8 +189,8 @@
 	}
 }
 
-// Guards against a task that is started again after its success was acknowledged: a new owner
-// acknowledges ends only when no worker accepts orders of the earlier one any more.
+// Guards against a task that is started again after its success was acknowledged: a new owner must
+// acknowledge ends only when no worker accepts orders of the previous one any more.
 func TestEndsAreAcknowledgedWhenThePreviousOwnerIsFenced(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"), usualWorker("b"))
 	r := s.record(1, step(1))
@@ -199,13 +199,13 @@
 	s.report("a")
 	s.plan()
 	s.commit()
-	if _, look, _ := s.cell.NextPoll("a", s.now); look.Acknowledged != 0 {
-		t.Errorf("end %d is acknowledged before b has reported", look.Acknowledged)
+	if _, poll, _ := s.cell.NextPoll("a", s.now); poll.Acknowledged != 0 {
+		t.Errorf("end %d is acknowledged before b has reported", poll.Acknowledged)
 	}
 	s.report("b")
 	s.plan()
 	s.commit()
-	if _, look, _ := s.cell.NextPoll("a", s.now); look.Acknowledged != 1 {
-		t.Errorf("end %d is acknowledged after all workers have reported, want 1", look.Acknowledged)
+	if _, poll, _ := s.cell.NextPoll("a", s.now); poll.Acknowledged != 1 {
+		t.Errorf("end %d is acknowledged after all workers have reported, want 1", poll.Acknowledged)
 	}
 }
--- a/internal/cell/load_question_test.go
+++ b/internal/cell/load_advice_call_test.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// loadQuestion is a request for advice in progress.
-type loadQuestion struct {
+// loadAdviceCall is a request for advice in progress.
+type loadAdviceCall struct {
 	order AdviceOrder
 	// quick is set if it occupies a slot for quick calls.
 	quick    bool
--- a/internal/cell/load_adviser_test.go
+++ b/internal/cell/load_adviser_test.go
@@ -14,14 +14,14 @@
 	// slots are the free concurrency slots.
 	slots AdviceSlots
 	// pending holds the requests in progress.
-	pending []loadQuestion
+	pending []loadAdviceCall
 }
 
 // ask starts a request for advice.
 func (l *load) ask(order AdviceOrder) {
 	quick := l.adviser.slots.Quick
 	l.adviser.slots.acquire(order.Slow)
-	l.adviser.pending = append(l.adviser.pending, loadQuestion{
+	l.adviser.pending = append(l.adviser.pending, loadAdviceCall{
 		order: order, quick: l.adviser.slots.Quick < quick, answerAt: l.now.Add(order.Cost.Duration(len(order.Workers))),
 	})
 }
--- a/internal/cell/load_world_test.go
+++ b/internal/cell/load_world_test.go
@@ -150,18 +150,18 @@
 	}
 }
 
-func (w *loadWorker) end(task string, run uint64, how runner.EndKind) {
-	w.endWithCheckpoint(task, run, how, "")
+func (w *loadWorker) end(task string, run uint64, kind runner.EndKind) {
+	w.endWithCheckpoint(task, run, kind, "")
 }
 
-func (w *loadWorker) endWithCheckpoint(task string, run uint64, how runner.EndKind, checkpoint string) {
+func (w *loadWorker) endWithCheckpoint(task string, run uint64, kind runner.EndKind, checkpoint string) {
 	delete(w.runs, task)
 	w.sequence++
-	w.ends = append(w.ends, runner.End{Sequence: w.sequence, Task: task, Run: run, Kind: how, Checkpoint: checkpoint})
+	w.ends = append(w.ends, runner.End{Sequence: w.sequence, Task: task, Run: run, Kind: kind, Checkpoint: checkpoint})
 }
 
 func (l *load) report(w *loadWorker) {
-	target, look, ok := l.cell.NextPoll(w.roster.ID, l.now)
+	target, poll, ok := l.cell.NextPoll(w.roster.ID, l.now)
 	if !ok {
 		return
 	}
@@ -174,7 +174,7 @@
 		return
 	}
 	if target.Incarnation == w.roster.Incarnation {
-		l.acknowledge(w, look.Acknowledged)
+		l.acknowledge(w, poll.Acknowledged)
 	}
 	report := runner.Report{Incarnation: w.roster.Incarnation, Clock: w.clock(l.now), Ended: w.ends}
 	for _, task := range slices.Sorted(maps.Keys(w.runs)) {
--- a/internal/cell/long_running_end_test.go
+++ b/internal/cell/long_running_end_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// Guards against restarting a long-running task while a run of it continues: the end of an older
-// run is reported late.
+// Guards against restarting a long-running task while a run of it continues: another worker reports
+// the end of an older run.
 func TestLongRunningTaskThatEndsAsDoneHasOneRun(t *testing.T) {
 	s := newReportedSite(t, usualWorker("a"), usualWorker("b"))
 	o := s.startOne(s.longRunningRecord(1, 2000))
--- a/internal/cell/long_running_load_test.go
+++ b/internal/cell/long_running_load_test.go
@@ -32,7 +32,7 @@
 
 // newAdvisedLoad returns a load of 35 workers, of which the adviser allows 30% for a stage, with
 // some slots for slow requests.
-func newAdvisedLoad(t *testing.T, lanes int, seed int64) *load {
+func newAdvisedLoad(t *testing.T, slots int, seed int64) *load {
 	l := newLoad(t, 35)
 	l.rnd = rand.New(rand.NewSource(seed))
 	const valid = 2 * time.Second
@@ -42,7 +42,7 @@
 		"slow":   {PerCall: 530 * time.Millisecond, PerWorker: 5 * time.Millisecond, TicketTTL: valid},
 		"batch":  {PerCall: 60 * time.Millisecond, PerWorker: 2 * time.Millisecond, TicketTTL: valid},
 	}
-	l.adviser.slots = AdviceSlots{Quick: 4, Any: lanes}
+	l.adviser.slots = AdviceSlots{Quick: 4, Any: slots}
 	l.adviser.allowedPercent = 30
 	l.runTimeOf = func(id job.TaskID, _ *loadWorker) time.Duration {
 		s := l.cell.jobs[id.Job].record.Steps[id.Step]
--- a/internal/cell/long_running_reserve_test.go
+++ b/internal/cell/long_running_reserve_test.go
@@ -13,7 +13,8 @@
 	s.failAndCheckDowntime(start, nil, "a")
 }
 
-// Guards against a new long-running job that is not started for the same reason.
+// Guards against a new long-running job that is not started although it would fit into the urgent
+// reserve.
 func TestUrgentReserveKeepsNoNewLongRunningTaskDown(t *testing.T) {
 	s := newReportedSite(t, usualWorker("a"))
 	urgent := step(1)
@@ -44,7 +45,7 @@
 	s.failAndCheckDowntime(start, nil, "a", "b")
 }
 
-// Guards against tasks that end taking the processors that are reserved for the most urgent queue.
+// The processors of the urgent reserve must not be used by tasks that end.
 func TestTheUrgentReserveIsKeptFromWorkThatEnds(t *testing.T) {
 	s := newReportedSite(t, usualWorker("a"))
 	urgent := step(1)
--- a/internal/cell/model_ends_test.go
+++ b/internal/cell/model_ends_test.go
@@ -19,14 +19,14 @@
 		}
 		task := slices.Min(slices.Collect(maps.Keys(w.runs)))
 		r := w.runs[task]
-		how := runner.Done
+		kind := runner.Done
 		switch {
 		case r.stop:
-			how = runner.Stopped
+			kind = runner.Stopped
 		case rapid.IntRange(0, 4).Draw(m.rt, "fails") == 0:
-			how = runner.Failed
+			kind = runner.Failed
 		}
-		w.end(task, r.run, how)
+		w.end(task, r.run, kind)
 		return
 	}
 }
@@ -48,11 +48,11 @@
 			w.expireLease()
 			m.poll(o, w, false)
 			for task, r := range w.runs {
-				how := runner.Done
+				kind := runner.Done
 				if r.stop {
-					how = runner.Stopped
+					kind = runner.Stopped
 				}
-				w.end(task, r.run, how)
+				w.end(task, r.run, kind)
 			}
 		}
 		m.plan(o, false)
--- a/internal/cell/model_long_running_test.go
+++ b/internal/cell/model_long_running_test.go
@@ -31,8 +31,8 @@
 	downSince map[string]time.Time
 }
 
-// Guards against a long-running task that stays down after faults of any kind, some of them crashes
-// for good, although workers have enough free capacity.
+// Guards against a long-running task that stays down after faults of any kind, including permanent
+// crashes of workers, although workers have enough free capacity.
 func TestModelLongRunningTasksRestart(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := &longRunningModel{model: newModel(rt), downSince: map[string]time.Time{}}
@@ -95,11 +95,11 @@
 			continue
 		}
 		task := slices.Min(slices.Collect(maps.Keys(w.runs)))
-		how := runner.Failed
+		kind := runner.Failed
 		if w.runs[task].stop {
-			how = runner.Stopped
+			kind = runner.Stopped
 		}
-		w.end(task, w.runs[task].run, how)
+		w.end(task, w.runs[task].run, kind)
 		return
 	}
 }
@@ -112,7 +112,7 @@
 	m.lateOrders = nil
 }
 
-// endFaults ends all faults. Some of the unreachable workers turn out to have crashed for good.
+// endFaults ends all faults. Some of the unreachable workers turn out to have crashed permanently.
 func (m *longRunningModel) endFaults() {
 	m.deliverLateOrders()
 	m.faultsEnded = true
--- a/internal/cell/model_restart_test.go
+++ b/internal/cell/model_restart_test.go
@@ -17,7 +17,7 @@
 func (m *model) crash(w *modelWorker) {
 	w.alive = false
 	for _, e := range w.ends[w.reportedEnds:] {
-		// Without an acknowledgement, these runs look as if they had ended with the worker.
+		// Its end was not reported: for the owner the run was lost with the worker.
 		m.crashes[e.Task]++
 	}
 	for _, e := range w.ends[:w.reportedEnds] {
@@ -48,11 +48,11 @@
 	r := m.workers[n].roster
 	m.staleEntries = append(m.staleEntries, r)
 	m.restarts++
-	born := siteStart.Add(time.Duration(m.restarts) * time.Second)
+	incarnation := siteStart.Add(time.Duration(m.restarts) * time.Second)
 	if rapid.IntRange(0, 3).Draw(m.rt, "clock set back") == 0 {
-		born = siteStart.Add(-time.Duration(m.restarts) * time.Second)
+		incarnation = siteStart.Add(-time.Duration(m.restarts) * time.Second)
 	}
-	r.Incarnation = runner.Incarnation(born.UnixMilli())
+	r.Incarnation = runner.Incarnation(incarnation.UnixMilli())
 	m.workers[n] = m.newWorker(r)
 	m.rt.Logf("%v %s restarts as incarnation %d", m.now.Sub(siteStart), r.ID, r.Incarnation)
 	if rapid.Bool().Draw(m.rt, "registers") {
--- a/internal/cell/model_test.go
+++ b/internal/cell/model_test.go
@@ -112,17 +112,17 @@
 
 // takeOver begins a term. Unless its process has ended, the previous owner continues until it is
 // notified.
-func (m *model) takeOver(earlierStopped bool) {
+func (m *model) takeOver(previousStopped bool) {
 	if n := len(m.owners); n > 0 {
-		m.owners[n-1].stopped = earlierStopped
+		m.owners[n-1].stopped = previousStopped
 	}
 	for _, task := range m.unstoredEnds {
 		m.crashes[task]++
 	}
 	m.unstoredEnds = nil
 	term := uint64(len(m.owners) + 1)
-	m.rt.Logf("%v term %d taken, previous owner stopped %v", m.now.Sub(siteStart), term, earlierStopped)
-	c := New(Settings{Term: term, PreviousOwnerStopped: earlierStopped, Lease: 3500 * time.Millisecond, StopGrace: 900 * time.Millisecond, SpareWorkers: 1}, m.now, quietLog())
+	m.rt.Logf("%v term %d taken, previous owner stopped %v", m.now.Sub(siteStart), term, previousStopped)
+	c := New(Settings{Term: term, PreviousOwnerStopped: previousStopped, Lease: 3500 * time.Millisecond, StopGrace: 900 * time.Millisecond, SpareWorkers: 1}, m.now, quietLog())
 	for _, r := range m.records {
 		c.Load(r, m.stored[r.ID])
 	}
@@ -195,11 +195,11 @@
 	case 8:
 		m.changeQuota()
 	case 0:
-		earlierStopped := rapid.Bool().Draw(m.rt, "previous owner stopped")
-		if earlierStopped && rapid.Bool().Draw(m.rt, "handed over") {
+		previousStopped := rapid.Bool().Draw(m.rt, "previous owner stopped")
+		if previousStopped && rapid.Bool().Draw(m.rt, "handed over") {
 			m.endTerm()
 		}
-		m.takeOver(earlierStopped)
+		m.takeOver(previousStopped)
 	case 1:
 		w := m.workers[rapid.IntRange(0, len(m.workers)-1).Draw(m.rt, "crash")]
 		if w.alive {
@@ -232,11 +232,11 @@
 
 func (m *model) poll(o *modelOwner, w *modelWorker, lost bool) {
 	sentAt := m.now
-	target, look, ok := o.cell.NextPoll(w.roster.ID, sentAt)
+	target, poll, ok := o.cell.NextPoll(w.roster.ID, sentAt)
 	if !ok {
 		return
 	}
-	report, err := w.poll(target.Incarnation, look)
+	report, err := w.poll(target.Incarnation, poll)
 	m.rt.Logf("%v term %d: poll of %s, lost %v: %v %v", m.now.Sub(siteStart), o.cell.settings.Term, w.roster.ID, lost, report, err)
 	if (lost || w.repliesLost) && w.alive {
 		err = runner.ErrNoAnswer
--- a/internal/cell/model_worker_test.go
+++ b/internal/cell/model_worker_test.go
@@ -52,30 +52,30 @@
 	w.expiredThrough = w.sequence
 }
 
-func (w *modelWorker) end(task string, run uint64, how runner.EndKind) {
+func (w *modelWorker) end(task string, run uint64, kind runner.EndKind) {
 	delete(w.runs, task)
 	w.sequence++
-	w.ends = append(w.ends, runner.End{Sequence: w.sequence, Task: task, Run: run, Kind: how})
+	w.ends = append(w.ends, runner.End{Sequence: w.sequence, Task: task, Run: run, Kind: kind})
 	w.model.runEnded(w, task)
 }
 
 // poll answers a poll that is addressed to one incarnation.
-func (w *modelWorker) poll(born runner.Incarnation, look runner.Poll) (runner.Report, error) {
+func (w *modelWorker) poll(incarnation runner.Incarnation, poll runner.Poll) (runner.Report, error) {
 	w.expireLease()
 	if !w.alive {
 		return runner.Report{}, runner.ErrIncarnationGone
 	}
-	if born != w.roster.Incarnation {
-		look.LeaseUntil, look.Acknowledged = nil, 0
+	if incarnation != w.roster.Incarnation {
+		poll.LeaseUntil, poll.Acknowledged = nil, 0
 	}
-	if look.Token < w.token {
+	if poll.Token < w.token {
 		return runner.Report{}, &runner.Refusal{Reason: runner.Fenced}
 	}
-	w.token = look.Token
-	if look.LeaseUntil != nil {
-		w.leaseEnd = max(w.leaseEnd, min(*look.LeaseUntil, w.clock()+6*time.Second))
+	w.token = poll.Token
+	if poll.LeaseUntil != nil {
+		w.leaseEnd = max(w.leaseEnd, min(*poll.LeaseUntil, w.clock()+6*time.Second))
 	}
-	for len(w.ends) > 0 && w.ends[0].Sequence <= look.Acknowledged {
+	for len(w.ends) > 0 && w.ends[0].Sequence <= poll.Acknowledged {
 		if w.ends[0].Sequence > w.expiredThrough {
 			w.model.acknowledged(w.ends[0])
 		}
--- a/internal/cell/owner_changes_test.go
+++ b/internal/cell/owner_changes_test.go
@@ -91,9 +91,9 @@
 	return r, task
 }
 
-// timeToStart returns how long it takes until a task is started while a worker is unresponsive and
-// the cell is handed over, the first time after first and then after each interval of again.
-func (s *site) timeToStart(task, silent string, first, again time.Duration, r *job.Record) time.Duration {
+// timeToStart returns how long it takes until a task is started. Meanwhile a worker is unresponsive
+// and the cell is handed over: the first time after first, then each time after again.
+func (s *site) timeToStart(task, unresponsive string, first, again time.Duration, r *job.Record) time.Duration {
 	began := s.now
 	next := began.Add(first)
 	for s.now.Sub(began) < 20*time.Second {
@@ -101,7 +101,7 @@
 			s.handOver(r, "a", "b")
 			next = s.now.Add(again)
 		}
-		if _, ok := s.advanceUnresponsive(silent, watchPeriod, "b")[task]; ok {
+		if _, ok := s.advanceUnresponsive(unresponsive, watchPeriod, "b")[task]; ok {
 			break
 		}
 	}
--- a/internal/cell/recover_test.go
+++ b/internal/cell/recover_test.go
@@ -111,7 +111,7 @@
 	s.end("a", task, 1, runner.Done)
 	s.report("a")
 	s.commit()
-	if _, look, _ := s.cell.NextPoll("a", s.now); look.Acknowledged != 0 {
+	if _, poll, _ := s.cell.NextPoll("a", s.now); poll.Acknowledged != 0 {
 		t.Fatal("the end of an unknown job was acknowledged")
 	}
 	if missing := s.cell.UnknownJobs(); len(missing) != 1 || missing[0] != r.ID {
@@ -132,8 +132,8 @@
 	}
 }
 
-// Guards against a run that continues without end, or ends that are never acknowledged, when their
-// job does not exist.
+// Guards against runs that never stop and ends that are never acknowledged when their job does not
+// exist.
 func TestRunsOfAbsentJobsAreStopped(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"))
 	id := "00000000000000ff"
@@ -147,8 +147,8 @@
 		t.Errorf("orders %v, want 1 stop", s.orders)
 	}
 	s.commit()
-	if _, look, _ := s.cell.NextPoll("a", s.now); look.Acknowledged != 1 {
-		t.Errorf("ends are acknowledged up to %d, want 1", look.Acknowledged)
+	if _, poll, _ := s.cell.NextPoll("a", s.now); poll.Acknowledged != 1 {
+		t.Errorf("ends are acknowledged up to %d, want 1", poll.Acknowledged)
 	}
 }
 
--- a/internal/cell/reservation_test.go
+++ b/internal/cell/reservation_test.go
@@ -25,7 +25,7 @@
 // task of a more urgent queue that needs a whole worker. Limit: 95% of the large tasks start within
 // 3 s, which is the run time of the longest small task and one more round, and 95% of the small
 // jobs within 4 s. Without reservations the small tasks keep every worker from becoming empty, and
-// 95% of the large tasks waited up to 34 s (1.6 s with reservations).
+// 95% of the large tasks wait up to 34 s (1.6 s with reservations).
 func TestLoadLargeTasksBesideAStreamOfSmallOnes(t *testing.T) {
 	l := newLoad(t, 12)
 	var large, small []string
--- a/internal/cell/restart_site_test.go
+++ b/internal/cell/restart_site_test.go
@@ -81,7 +81,7 @@
 	s.register(s.restart("a"))
 	s.register(leaving)
 	s.report("a")
-	s.plan() // opens the worker
+	s.plan() // uncordons the worker
 	s.commit()
 	if n := s.startsOfNewJob(1, 2); n != 2 {
 		t.Errorf("%d starts, want 2", n)
--- a/internal/cell/site_test.go
+++ b/internal/cell/site_test.go
@@ -77,13 +77,13 @@
 func (s *site) report(id string) {
 	s.t.Helper()
 	sentAt := s.now
-	_, look, ok := s.cell.NextPoll(id, sentAt)
+	_, poll, ok := s.cell.NextPoll(id, sentAt)
 	if !ok {
 		s.t.Fatalf("worker %s is unknown", id)
 	}
 	var left []runner.End
 	for _, e := range s.ends[id] {
-		if e.Sequence > look.Acknowledged {
+		if e.Sequence > poll.Acknowledged {
 			left = append(left, e)
 		}
 	}
@@ -112,11 +112,11 @@
 }
 
 // finish ends a run on its worker.
-func (s *site) finish(o StartOrder, how runner.EndKind) {
-	s.end(o.Worker.ID, o.Start.Task, o.Start.Run, how)
+func (s *site) finish(o StartOrder, kind runner.EndKind) {
+	s.end(o.Worker.ID, o.Start.Task, o.Start.Run, kind)
 }
 
-func (s *site) end(worker, task string, run uint64, how runner.EndKind) {
+func (s *site) end(worker, task string, run uint64, kind runner.EndKind) {
 	var left []runner.RunState
 	for _, r := range s.runs[worker] {
 		if r.Task != task || r.Run != run {
@@ -124,7 +124,7 @@
 		}
 	}
 	s.runs[worker] = left
-	s.ends[worker] = append(s.ends[worker], runner.End{Sequence: uint64(len(s.ends[worker]) + 1), Task: task, Run: run, Kind: how})
+	s.ends[worker] = append(s.ends[worker], runner.End{Sequence: uint64(len(s.ends[worker]) + 1), Task: task, Run: run, Kind: kind})
 }
 
 // commit stores all changed progress and keeps the known workers for the next owner.
--- a/internal/cell/speculative_test.go
+++ b/internal/cell/speculative_test.go
@@ -97,8 +97,8 @@
 		s.progress(o, percent)
 		s.report("a")
 		s.report("b")
-		if copied, ok := s.plan()[o.Start.Task]; ok {
-			return copied
+		if speculative, ok := s.plan()[o.Start.Task]; ok {
+			return speculative
 		}
 	}
 	t.Fatal("no speculative run was started for the slow run")
--- a/internal/cell/throttle_test.go
+++ b/internal/cell/throttle_test.go
@@ -35,9 +35,9 @@
 	s.report("a")
 	s.plan()
 	for _, o := range s.orders {
-		if pace, ok := o.(ThrottleOrder); ok {
-			s.cell.ThrottleAnswered(pace, nil, s.now)
-			return pace.Throttle.Percent
+		if order, ok := o.(ThrottleOrder); ok {
+			s.cell.ThrottleAnswered(order, nil, s.now)
+			return order.Throttle.Percent
 		}
 	}
 	return -1
@@ -48,14 +48,14 @@
 func TestBestEffortTaskIsThrottledBeforeTheTargetIsMissed(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	serving, bestEffort := startServingAndBestEffort(t, s)
-	if pace := s.reportTail(serving, bestEffort, 40); pace != -1 {
-		t.Errorf("throttled to %d at 40%% of the target", pace)
+	if throttle := s.reportTail(serving, bestEffort, 40); throttle != -1 {
+		t.Errorf("throttled to %d at 40%% of the target", throttle)
 	}
-	if pace := s.reportTail(serving, bestEffort, 85); pace != 50 {
-		t.Errorf("throttled to %d at 85%% of the target, want 50", pace)
+	if throttle := s.reportTail(serving, bestEffort, 85); throttle != 50 {
+		t.Errorf("throttled to %d at 85%% of the target, want 50", throttle)
 	}
-	if pace := s.reportTail(serving, bestEffort, 120); pace != 0 {
-		t.Errorf("throttled to %d above the target, want 0", pace)
+	if throttle := s.reportTail(serving, bestEffort, 120); throttle != 0 {
+		t.Errorf("throttled to %d above the target, want 0", throttle)
 	}
 }
 
@@ -65,8 +65,8 @@
 	serving, bestEffort := startServingAndBestEffort(t, s)
 	s.reportTail(serving, bestEffort, 120)
 	for want := speedUpStep; want <= 60; want += speedUpStep {
-		if pace := s.reportTail(serving, bestEffort, 30); pace != want {
-			t.Fatalf("throttled to %d, want %d", pace, want)
+		if throttle := s.reportTail(serving, bestEffort, 30); throttle != want {
+			t.Fatalf("throttled to %d, want %d", throttle, want)
 		}
 	}
 	s.finish(serving, runner.Failed)
@@ -76,7 +76,7 @@
 	s.cell.SetEvacuating([]string{"a"})
 	s.plan()
 	for _, o := range s.orders {
-		if pace, ok := o.(ThrottleOrder); ok && pace.Throttle.Percent == 100 {
+		if order, ok := o.(ThrottleOrder); ok && order.Throttle.Percent == 100 {
 			return
 		}
 	}
@@ -90,26 +90,26 @@
 	serving, bestEffort := startServingAndBestEffort(t, s)
 	s.reportTail(serving, bestEffort, 85)
 	for _, o := range s.orders {
-		if pace, ok := o.(ThrottleOrder); ok {
-			s.cell.ThrottleAnswered(pace, runner.ErrNoAnswer, s.now)
+		if order, ok := o.(ThrottleOrder); ok {
+			s.cell.ThrottleAnswered(order, runner.ErrNoAnswer, s.now)
 		}
 	}
-	if pace := s.reportTail(serving, bestEffort, 85); pace < 0 || pace > 50 {
-		t.Errorf("throttled to %d after an order without an answer, want 0 to 50", pace)
+	if throttle := s.reportTail(serving, bestEffort, 85); throttle < 0 || throttle > 50 {
+		t.Errorf("throttled to %d after an order without an answer, want 0 to 50", throttle)
 	}
 }
 
 func TestNextPace(t *testing.T) {
 	for _, test := range []struct {
-		pace  int
-		worst float64
-		want  int
+		throttle int
+		worst    float64
+		want     int
 	}{
 		{100, 0.5, 100}, {100, 0.7, 100}, {100, 0.8, 50}, {50, 0.9, 25}, {100, 1, 0}, {0, 2, 0},
 		{0, 0.5, speedUpStep}, {95, 0.1, 100}, {-1, 0.1, 0},
 	} {
-		if got := nextSpeed(test.pace, test.worst); got != test.want {
-			t.Errorf("at %d and %.1f of the target: throttled to %d, want %d", test.pace, test.worst, got, test.want)
+		if got := nextSpeed(test.throttle, test.worst); got != test.want {
+			t.Errorf("at %d and %.1f of the target: throttled to %d, want %d", test.throttle, test.worst, got, test.want)
 		}
 	}
 }
