--- a/internal/audit/trail.go
+++ b/internal/audit/trail.go
@@ -47,7 +47,7 @@
 
 // List returns the entries since a time, oldest first, at most limit.
 func (t *Trail) List(ctx context.Context, since time.Time, limit int) ([]Entry, error) {
-	after := prefix + stamp(since)
+	after := prefix + timeKey(since)
 	var entries []Entry
 	for len(entries) < limit {
 		rows, err := t.table.Scan(ctx, prefix, after, min(pageSize, limit-len(entries)))
@@ -69,9 +69,9 @@
 	return entries, nil
 }
 
-func key(at time.Time) string { return prefix + stamp(at) + "-" + uuid.NewString()[:8] }
+func key(at time.Time) string { return prefix + timeKey(at) + "-" + uuid.NewString()[:8] }
 
-func stamp(at time.Time) string {
+func timeKey(at time.Time) string {
 	if at.IsZero() {
 		return ""
 	}
--- a/internal/command/instance.go
+++ b/internal/command/instance.go
@@ -25,7 +25,7 @@
 	settingsFile  string
 	logLevel      string
 	peerAdvertise string
-	without       cell.MechanismSet
+	disabled      cell.MechanismSet
 }
 
 func (f *instanceFlags) register(s *settings.Settings) {
@@ -34,7 +34,7 @@
 	s.StringVar(&f.logLevel, "log-level", "info", "debug, info, warn or error")
 	s.StringVar(&f.peerAdvertise, "peer-advertise", "",
 		"host:port under which other instances reach this one, if they cannot use the address that it listens on")
-	s.Var(&f.without, "without", "mechanisms of the planner to switch off, with commas between them; OPERATIONS.md lists them")
+	s.Var(&f.disabled, "without", "mechanisms of the planner to switch off, with commas between them; OPERATIONS.md lists them")
 	s.Check("settings-file", "a path", func() bool { return f.settingsFile != "" })
 	s.Check("log-level", "debug, info, warn, error", func() bool {
 		return f.logLevel == "debug" || f.logLevel == "info" || f.logLevel == "warn" || f.logLevel == "error"
@@ -48,22 +48,22 @@
 	if code, done := parse(s, args, std); done {
 		return code
 	}
-	given, err := platform.ReadSettings(f.settingsFile)
+	nodeSettings, err := platform.ReadSettings(f.settingsFile)
 	if err != nil {
 		fmt.Fprintln(std.Err, err)
 		return exitUsage
 	}
-	given.PeerAdvertise = f.peerAdvertise
-	given.Disabled = f.without
-	if err := given.Validate(); err != nil {
+	nodeSettings.PeerAdvertise = f.peerAdvertise
+	nodeSettings.Disabled = f.disabled
+	if err := nodeSettings.Validate(); err != nil {
 		fmt.Fprintln(std.Err, err)
 		return exitUsage
 	}
-	log := node.NewLog(f.logLevel, given.Name, std.Out)
-	outside := node.Adapters{
-		Store: platform.NewStore(given.Store), Workers: platform.NewWorkers(), Adviser: platform.NewAdviser(given.Adviser),
+	log := node.NewLog(f.logLevel, nodeSettings.Name, std.Out)
+	adapters := node.Adapters{
+		Store: platform.NewStore(nodeSettings.Store), Workers: platform.NewWorkers(), Adviser: platform.NewAdviser(nodeSettings.Adviser),
 		Roster: platform.NewRoster, Catalogs: platform.NewCatalogs, Callers: platform.NewCallers,
-		Waves: platform.NewWaves, Fleet: platform.NewFleet(given.Fleet),
+		Waves: platform.NewWaves, Fleet: platform.NewFleet(nodeSettings.Fleet),
 	}
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
@@ -73,7 +73,7 @@
 			log.WithError(err).Info("settings_read_again")
 		}
 	}()
-	app := fx.New(node.Module(given, outside, log))
+	app := fx.New(node.Module(nodeSettings, adapters, log))
 	if err := app.Start(ctx); err != nil {
 		fmt.Fprintln(std.Err, err)
 		return exitFailed
--- a/internal/config/current.go
+++ b/internal/config/current.go
@@ -47,7 +47,7 @@
 		return nil
 	}
 	if Digest(rec.Text) != rec.Digest {
-		return errDamaged
+		return errDigestMismatch
 	}
 	text, err := spec.Parse(rec.Text)
 	if err != nil {
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -2,5 +2,5 @@
 
 import "errors"
 
-// errDamaged says that a record does not match its digest.
-var errDamaged = errors.New("the configuration does not match its digest")
+// errDigestMismatch says that a record does not match its digest.
+var errDigestMismatch = errors.New("the configuration does not match its digest")
--- a/internal/instance/parts.go
+++ b/internal/instance/components.go
@@ -19,8 +19,8 @@
 	"gentianstand/internal/spec"
 )
 
-// parts is everything of an instance that runs.
-type parts struct {
+// components is everything of an instance that runs.
+type components struct {
 	fx.In
 
 	Settings  Settings
@@ -40,7 +40,7 @@
 	Log       *logrus.Entry
 }
 
-func (p parts) start(ctx context.Context) {
+func (p components) start(ctx context.Context) {
 	p.Current.Watch(func(rec config.Record, _ *spec.Text) { p.Keeper.SetConfigVersion(rec.Number) })
 	go p.Directory.run(ctx, func(list []platform.Instance) {
 		p.Owner.SetDirectory(list)
@@ -53,37 +53,37 @@
 	go p.Keeper.Run(ctx)
 }
 
-// stopPoll is how often a graceful stop looks whether it is done, and
-// balancerGrace how long the balancer gets to notice the readiness probe.
+// stopPollInterval is how often a graceful stop looks whether it is done, and
+// readinessGrace how long the balancer gets to notice the readiness probe.
 const (
-	stopPoll      = 50 * time.Millisecond
-	balancerGrace = 500 * time.Millisecond
+	stopPollInterval = 50 * time.Millisecond
+	readinessGrace   = 500 * time.Millisecond
 )
 
 // stop hands over all shards, refuses new requests once that is done, and
 // waits for requests in progress.
-func (p parts) stop(ctx context.Context) {
+func (p components) stop(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, p.Settings.StopTimeout)
 	defer cancel()
 	p.Log.Info("stopping")
 	p.Lazy.stopping.Store(true)
 	p.Keeper.SetStopping()
-	wait(ctx, balancerGrace)
-	p.until(ctx, func() bool { return len(p.Lazy.get()) == 0 || p.alone() || p.cannotHandOver() })
+	sleep(ctx, readinessGrace)
+	p.waitUntil(ctx, func() bool { return len(p.Lazy.get()) == 0 || p.noSuccessor() || p.cannotHandOver() })
 	p.Entry.Stop()
-	p.until(ctx, func() bool { return p.Entry.InFlight() == 0 })
+	p.waitUntil(ctx, func() bool { return p.Entry.InFlight() == 0 })
 	p.Planner.SetShard(nil)
 	p.Log.Info("stopped")
 }
 
 // cannotHandOver reports whether the table is out of reach, so that waiting to
 // hand over would only use up the time for requests in progress.
-func (p parts) cannotHandOver() bool {
+func (p components) cannotHandOver() bool {
 	return p.Session.SinceTableAnswer(time.Now()) > p.Timing.SessionTTL
 }
 
-// alone reports whether nobody is there to hand over to.
-func (p parts) alone() bool {
+// noSuccessor reports whether nobody is there to hand over to.
+func (p components) noSuccessor() bool {
 	view := p.Keeper.View()
 	for _, r := range p.Hub.Remotes() {
 		row, ok := view.Instances[r.Process.Instance]
@@ -94,13 +94,13 @@
 	return true
 }
 
-func (p parts) until(ctx context.Context, done func() bool) {
+func (p components) waitUntil(ctx context.Context, done func() bool) {
 	for ctx.Err() == nil && !done() {
-		wait(ctx, stopPoll)
+		sleep(ctx, stopPollInterval)
 	}
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
--- a/internal/instance/config_follower.go
+++ b/internal/instance/config_follower.go
@@ -29,8 +29,8 @@
 	return &configFollower{current: current, store: store, log: log, wake: make(chan uint64, 1)}
 }
 
-// head notes which configuration the table names.
-func (f *configFollower) head(head live.ConfigHead) {
+// observeHead notes which configuration the table names.
+func (f *configFollower) observeHead(head live.ConfigHead) {
 	if head.Number > f.current.Number() {
 		f.notify(head.Number)
 	}
--- a/internal/instance/listener.go
+++ b/internal/instance/listener.go
@@ -15,7 +15,7 @@
 // listener passes what the keeper finds on to who needs it. It implements
 // ownership.Listener.
 type listener struct {
-	me       live.Process
+	self     live.Process
 	hub      *peer.Hub
 	owner    *owner.Owner
 	planner  *planner.Planner
@@ -32,8 +32,8 @@
 	l.readAt.Store(time.Now().UnixNano())
 	l.hub.SetView(view)
 	l.owner.SetDrains(view.Drains)
-	l.follower.head(view.Config)
-	if _, ok := view.Drains[l.me.Instance]; ok {
+	l.follower.observeHead(view.Config)
+	if _, ok := view.Drains[l.self.Instance]; ok {
 		l.drained()
 	}
 }
--- a/internal/instance/module.go
+++ b/internal/instance/module.go
@@ -43,7 +43,7 @@
 		fx.StopTimeout(s.StopTimeout+5*time.Second),
 		fx.Supply(s, log, membership.DefaultTiming()),
 		fx.Provide(
-			newIdentity, newPlatform, newMetrics, newSession, newView,
+			newIdentity, newPlatform, newMetrics, newSession, newLazyView,
 			membership.NewElector, config.NewCurrent, config.NewStore, routing.NewRouter,
 			newTrail, newDirectory, newConfigFollower, newHub, newPlannerClient, newOwner,
 			newPlanner, newRegister, newListener, newKeeper, newEntry, peer.NewServer, newProcess, newServers, newLazyShards,
@@ -79,13 +79,13 @@
 	return &directory{source: source, log: log}
 }
 
-// view breaks the circle between the keeper and those who look at what it
+// lazyView breaks the circle between the keeper and those who look at what it
 // read.
-type view struct{ keeper *ownership.Keeper }
+type lazyView struct{ keeper *ownership.Keeper }
 
-func newView() *view { return &view{} }
+func newLazyView() *lazyView { return &lazyView{} }
 
-func (v *view) get() live.View {
+func (v *lazyView) get() live.View {
 	if v.keeper == nil {
 		return live.View{}
 	}
@@ -104,7 +104,7 @@
 	return hub
 }
 
-func newPlannerClient(hub *peer.Hub, v *view) *peer.PlannerClient {
+func newPlannerClient(hub *peer.Hub, v *lazyView) *peer.PlannerClient {
 	return peer.NewPlannerClient(hub, v.get)
 }
 
@@ -117,7 +117,7 @@
 	return owner.New(s.ID, timing, session, dial, router, client, set, log)
 }
 
-func newPlanner(table platform.Table, objects platform.Objects, hub *peer.Hub, session *membership.Session, v *view, d *directory, current *config.Current, set *metrics.Set, log *logrus.Entry) *planner.Planner {
+func newPlanner(table platform.Table, objects platform.Objects, hub *peer.Hub, session *membership.Session, v *lazyView, d *directory, current *config.Current, set *metrics.Set, log *logrus.Entry) *planner.Planner {
 	around := planner.Environment{View: v.get, Directory: d.instances, Config: current}
 	return planner.New(table, objects, hub, session, around, set, log)
 }
@@ -127,7 +127,7 @@
 }
 
 func newListener(process live.Process, hub *peer.Hub, o *owner.Owner, p *planner.Planner, r *idempotency.Registry, f *configFollower, l *lazyShards, shutdown fx.Shutdowner, log *logrus.Entry) *listener {
-	lst := &listener{me: process, hub: hub, owner: o, planner: p, register: r, follower: f}
+	lst := &listener{self: process, hub: hub, owner: o, planner: p, register: r, follower: f}
 	l.listener = lst
 	lst.lost = func() {
 		log.Error("replaced_by_another_process")
@@ -136,7 +136,7 @@
 	return lst
 }
 
-func newKeeper(id ownership.Identity, timing membership.Timing, table platform.Table, hub *peer.Hub, session *membership.Session, d *directory, l *listener, lazy *lazyShards, v *view, current *config.Current, log *logrus.Entry) *ownership.Keeper {
+func newKeeper(id ownership.Identity, timing membership.Timing, table platform.Table, hub *peer.Hub, session *membership.Session, d *directory, l *listener, lazy *lazyShards, v *lazyView, current *config.Current, log *logrus.Entry) *ownership.Keeper {
 	k := ownership.NewKeeper(id, timing, table, hub, session, d.places, l, log)
 	v.keeper = k
 	l.drained = func() {
@@ -148,7 +148,7 @@
 	return k
 }
 
-func newEntry(s Settings, id ownership.Identity, router *routing.Router, hub *peer.Hub, current *config.Current, store *config.Store, trail *audit.Trail, table platform.Table, register *idempotency.Registry, client *peer.PlannerClient, v *view, k *ownership.Keeper, l *listener, lazy *lazyShards, o *owner.Owner, set *metrics.Set, log *logrus.Entry) *entry.Server {
+func newEntry(s Settings, id ownership.Identity, router *routing.Router, hub *peer.Hub, current *config.Current, store *config.Store, trail *audit.Trail, table platform.Table, register *idempotency.Registry, client *peer.PlannerClient, v *lazyView, k *ownership.Keeper, l *listener, lazy *lazyShards, o *owner.Owner, set *metrics.Set, log *logrus.Entry) *entry.Server {
 	return entry.NewServer(entry.Deps{
 		Identity: id, Router: router, Hub: hub, Config: current, Store: store, Trail: trail, Table: table,
 		Register: register, Runs: client, View: v.get, RowsChanged: k.Kick, Token: s.OperatorToken,
@@ -158,7 +158,7 @@
 }
 
 // run starts the loops and servers, and stops them in the reverse order.
-func run(lc fx.Lifecycle, p parts) {
+func run(lc fx.Lifecycle, p components) {
 	ctx, cancel := context.WithCancel(context.Background())
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
--- a/internal/live/instance.go
+++ b/internal/live/instance.go
@@ -10,8 +10,8 @@
 	Zone        string `json:"zone"`
 	// Stopping says that the process wants no shards any more.
 	Stopping bool `json:"stopping"`
-	// Beat grows with each renewal so that the row's version changes.
-	Beat uint64 `json:"beat"`
+	// HeartbeatCount grows with each renewal so that the row's version changes.
+	HeartbeatCount uint64 `json:"beat"`
 	// Electors are the processes whose majority can confirm to this one that
 	// the table is down for everybody; see package membership.
 	Electors []Process `json:"electors"`
--- a/internal/ownership/keeper_session.go
+++ b/internal/ownership/keeper_session.go
@@ -91,7 +91,7 @@
 	k.beat++
 	return live.Instance{
 		Process: k.id.Process, Address: k.id.Address, PeerAddress: k.id.PeerAddress,
-		Region: k.id.Region, Zone: k.id.Zone, Stopping: k.stopping, Beat: k.beat,
+		Region: k.id.Region, Zone: k.id.Zone, Stopping: k.stopping, HeartbeatCount: k.beat,
 		Electors: k.liveProcesses(view), ConfigVersion: k.configVersion,
 		Replaced: k.replaced.Process, ReplacedElectors: k.replaced.Electors,
 	}, k.stopping
