--- a/internal/audit/action.go
+++ b/internal/audit/action.go
@@ -1,9 +1,9 @@
 package audit
 
-// Action names a kind of change.
+// Action is the kind of a recorded change.
 type Action string
 
-// The actions that leave an entry.
+// The actions that are recorded in the audit trail.
 const (
 	Apply  Action = "apply"
 	Submit Action = "submit"
--- a/internal/audit/entry.go
+++ b/internal/audit/entry.go
@@ -1,22 +1,22 @@
-// Package audit keeps the trail of changes in the platform's table, so that it
-// outlives every instance.
+// Package audit stores the audit trail of changes in the platform's table, where it outlives the
+// instances.
 package audit
 
 import "time"
 
-// Entry is one change, accepted or not.
+// Entry records one requested change, whether it was accepted or refused.
 type Entry struct {
 	At time.Time `json:"at"`
-	// By is the operator or caller who asked for the change.
+	// By is the operator or caller who requested the change.
 	By string `json:"by"`
-	// Action says what was asked for.
+	// Action is the kind of change.
 	Action Action `json:"action"`
-	// Subject is what the change is about: a workload, a run, an instance.
+	// Subject identifies what the change applies to, such as a workload, a run or an instance.
 	Subject string `json:"subject"`
 	// From and To are configuration numbers; 0 where there is none.
 	From uint64 `json:"from,omitempty"`
 	To   uint64 `json:"to,omitempty"`
-	// Outcome is accepted, or the kind of error that it was answered with.
+	// Outcome is Accepted, or the error kind of the response.
 	Outcome string `json:"outcome"`
 	Detail  string `json:"detail,omitempty"`
 	// Instance is the entry instance that handled the change.
--- a/internal/audit/trail.go
+++ b/internal/audit/trail.go
@@ -11,7 +11,7 @@
 	"gentianstand/internal/platform"
 )
 
-// The layout of the trail in the table. Keys sort by time.
+// The layout of the trail in the table. Keys sort by the time of the entries.
 const (
 	prefix = "audit/"
 	// pageSize bounds one read of the trail.
@@ -24,28 +24,27 @@
 	instance string
 }
 
-// NewTrail returns the trail in table; entries name instance as their origin.
+// NewTrail returns the trail in table. New entries name instance as their origin.
 func NewTrail(table platform.Table, instance string) *Trail {
 	return &Trail{table: table, instance: instance}
 }
 
-// Put returns the row of an entry, to be committed together with the change
-// itself, so that neither exists without the other.
+// Put returns the row of an entry. The caller commits it in one transaction with the change itself,
+// so that neither exists without the other.
 func (t *Trail) Put(e Entry) platform.Put {
 	e.Instance = t.instance
 	value, _ := json.Marshal(e)
 	return platform.Put{Key: key(e.At), Value: value}
 }
 
-// Add writes the entry of a change that has no other row, such as a refused
-// one. It returns an error that wraps platform.ErrUnavailable if the table
-// does not answer.
+// Add writes an entry on its own, for a change that is not written in the same transaction, such as
+// a refused one. If the table does not respond, the error wraps platform.ErrUnavailable.
 func (t *Trail) Add(ctx context.Context, e Entry) error {
 	tx := platform.Tx{ID: uuid.NewString(), Puts: []platform.Put{t.Put(e)}}
 	return t.table.Commit(ctx, tx)
 }
 
-// List returns the entries since a time, oldest first, at most limit.
+// List returns up to limit entries since a time, oldest first.
 func (t *Trail) List(ctx context.Context, since time.Time, limit int) ([]Entry, error) {
 	after := prefix + timeKey(since)
 	var entries []Entry
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,4 +1,4 @@
-// Package client is how operators' commands talk to an instance.
+// Package client implements the client for the HTTP API of an instance that operators' commands use.
 package client
 
 import (
@@ -14,7 +14,7 @@
 	"gentianstand/internal/fault"
 )
 
-// Client calls one instance.
+// Client sends requests to the HTTP API of one instance.
 type Client struct {
 	server   string
 	token    string
@@ -22,13 +22,13 @@
 	http     *http.Client
 }
 
-// New returns a client of the instance at server (host:port). operator is the
-// name that goes into the audit trail.
+// New returns a client for the instance at server (host:port). operator is the name that the audit
+// trail records.
 func New(server, token, operator string, timeout time.Duration) *Client {
 	return &Client{server: server, token: token, operator: operator, http: &http.Client{Timeout: timeout}}
 }
 
-// errorBody is the part of an error answer that the client reads.
+// errorBody is the part of an error response that the client decodes.
 type errorBody struct {
 	Error struct {
 		Kind             fault.Kind    `json:"kind"`
@@ -38,8 +38,8 @@
 	} `json:"error"`
 }
 
-// Do sends body to path and decodes the answer into out. The error is a
-// fault.Error if the instance answered with one.
+// Do sends a request with body to path and decodes the response into out, unless out is nil. If the
+// instance responds with a fault, the error is that fault.Error.
 func (c *Client) Do(ctx context.Context, method, path string, query url.Values, header http.Header, body []byte, out any) error {
 	target := "http://" + c.server + path
 	if len(query) > 0 {
@@ -47,7 +47,7 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(body))
 	if err != nil {
-		return fmt.Errorf("request: %w", err)
+		return fmt.Errorf("create request: %w", err)
 	}
 	for name, values := range header {
 		req.Header[name] = values
@@ -63,7 +63,7 @@
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return fmt.Errorf("instance %s: the answer broke off: %w", c.server, err)
+		return fmt.Errorf("instance %s: read response: %w", c.server, err)
 	}
 	if resp.StatusCode != http.StatusOK {
 		return decodeError(resp.StatusCode, data)
@@ -72,7 +72,7 @@
 		return nil
 	}
 	if err := json.Unmarshal(data, out); err != nil {
-		return fmt.Errorf("instance %s: the answer is not understood: %w", c.server, err)
+		return fmt.Errorf("instance %s: decode response: %w", c.server, err)
 	}
 	return nil
 }
--- a/internal/command/apply.go
+++ b/internal/command/apply.go
@@ -13,16 +13,16 @@
 	"gentianstand/internal/settings"
 )
 
-const applyUsage = `Checks a text and puts it into force at all instances. With -base it is accepted
-only if that configuration is still in force; otherwise the answer names who
-changed it and the difference. Without -base it builds on whatever is in force.`
+const applyUsage = `Validates a text and puts it into force at all instances. With -base it is accepted
+only if that configuration is still in force; otherwise the error names who changed
+it and shows the difference. Without -base it is based on the configuration in force.`
 
 func apply(ctx context.Context, args []string, std Streams) int {
 	var f operatorFlags
 	s := settings.New("apply", applyUsage, std.Err)
 	f.register(s)
 	file := s.String("file", "-", "`file` with the text; - for standard input")
-	base := s.Int64("base", -1, "number of the configuration that the text was written for; -1: any")
+	base := s.Int64("base", -1, "number of the configuration that the text is based on; -1: any")
 	if code, done := parse(s, args, std); done {
 		return code
 	}
--- a/internal/command/audit.go
+++ b/internal/command/audit.go
@@ -13,14 +13,14 @@
 	"gentianstand/internal/settings"
 )
 
-const auditUsage = `Shows who changed what and when, oldest first, as kept at the platform.`
+const auditUsage = `Shows the audit trail: who changed what and when, oldest first.`
 
 func showAudit(ctx context.Context, args []string, std Streams) int {
 	var f operatorFlags
 	s := settings.New("audit", auditUsage, std.Err)
 	f.register(s)
-	since := s.String("since", "", "`time` to begin at, such as 2026-12-02T06:30:00Z; empty: the beginning")
-	limit := s.Int("limit", 100, "most entries to show")
+	since := s.String("since", "", "`time` of the earliest entry, such as 2026-12-02T06:30:00Z; empty: the beginning")
+	limit := s.Int("limit", 100, "maximum number of entries to show")
 	s.Check("limit", "1 to 10000", func() bool { return *limit >= 1 && *limit <= 10_000 })
 	if code, done := parse(s, args, std); done {
 		return code
--- a/internal/command/cancel.go
+++ b/internal/command/cancel.go
@@ -10,13 +10,13 @@
 	"gentianstand/internal/settings"
 )
 
-const cancelUsage = `Ends one run, or all runs of a workload. Exactly one of -id and -workload.`
+const cancelUsage = `Cancels one run, or all runs of a workload. Set exactly one of -id and -workload.`
 
 func cancel(ctx context.Context, args []string, std Streams) int {
 	var f operatorFlags
 	s := settings.New("cancel", cancelUsage, std.Err)
 	f.register(s)
-	id := s.String("id", "", "id of a run")
+	id := s.String("id", "", "ID of a run")
 	workload := s.String("workload", "", "name of a workload")
 	s.Check("id", "set exactly one of -id and -workload", func() bool { return (*id == "") != (*workload == "") })
 	if code, done := parse(s, args, std); done {
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,4 +1,4 @@
-// Package command is the command line: one file for each subcommand.
+// Package command implements the command line, with one file per subcommand.
 package command
 
 import (
@@ -15,14 +15,14 @@
 	exitUsage  = 2
 )
 
-// Streams is where a command reads and writes.
+// Streams are the standard streams of a command.
 type Streams struct {
 	In  io.Reader
 	Out io.Writer
 	Err io.Writer
 }
 
-// command is one subcommand.
+// command is a subcommand with its summary for the help text.
 type command struct {
 	summary string
 	run     func(ctx context.Context, args []string, std Streams) int
@@ -32,21 +32,21 @@
 	return map[string]command{
 		"serve":    {"run an entry instance", serve},
 		"instance": {"run an instance on the users' platform", instanceCommand},
-		"dev":      {"run a whole system in one process, to try it out", devCommand},
-		"apply":    {"put a text into force", apply},
-		"plan":     {"show what a text would change, and change nothing", plan},
+		"dev":      {"run a whole system in one process for trials", devCommand},
+		"apply":    {"put a configuration into force", apply},
+		"plan":     {"show what a configuration would change, without changing anything", plan},
 		"status":   {"show instances, shards and runs", status},
 		"submit":   {"start a run of a batch or job", submit},
 		"run":      {"show one run with its tasks", showRun},
-		"cancel":   {"end a run, or all runs of a workload", cancel},
-		"drain":    {"stop an instance or a worker as planned, or resume it", drain},
-		"audit":    {"show who changed what", showAudit},
-		"load":     {"send requests at a fixed rate and measure", loadCommand},
+		"cancel":   {"cancel a run, or all runs of a workload", cancel},
+		"drain":    {"drain an instance or a worker, or resume a worker", drain},
+		"audit":    {"show the audit trail", showAudit},
+		"load":     {"send requests at a fixed rate and measure latencies", loadCommand},
 		"version":  {"print the version", version},
 	}
 }
 
-// Main runs the subcommand that args name and returns the exit code.
+// Main runs the subcommand that the first of args names and returns the exit code.
 func Main(ctx context.Context, args []string, std Streams) int {
 	all := commands()
 	if len(args) == 0 || args[0] == "-h" || args[0] == "--help" || args[0] == "help" {
--- a/internal/command/dev.go
+++ b/internal/command/dev.go
@@ -9,16 +9,16 @@
 	"gentianstand/internal/settings"
 )
 
-const devUsage = `Runs a platform in memory, entry instances and pretended workers in one process
-on loopback ports, until Ctrl-C. With -check it runs a sample text through the
-whole path by itself, prints a line for each step, and ends: exit code 0 if all
-steps held, 1 if not.`
+const devUsage = `Runs an in-memory platform, entry instances and simulated workers in one process on
+loopback ports, until Ctrl-C. With -check it applies a sample configuration, runs
+it end to end, prints a line for each step, and exits: with code 0 if all steps
+passed, otherwise with code 1.`
 
 func devSettings(s *settings.Settings, c *dev.Settings) {
 	s.IntVar(&c.Instances, "instances", 3, "number of entry instances")
 	s.IntVar(&c.Workers, "workers", 6, "number of workers")
 	s.IntVar(&c.WorkersPerRack, "workers-per-rack", 2, "workers in a rack")
-	s.StringVar(&c.LogLevel, "log-level", "error", "least severe events to log: debug, info, warning or error")
+	s.StringVar(&c.LogLevel, "log-level", "error", "minimum severity of logged events: debug, info, warning or error")
 	s.Check("instances", "1 to 9", func() bool { return c.Instances >= 1 && c.Instances <= 9 })
 	s.Check("workers", "1 to 100", func() bool { return c.Workers >= 1 && c.Workers <= 100 })
 	s.Check("workers-per-rack", "1 to 100", func() bool { return c.WorkersPerRack >= 1 && c.WorkersPerRack <= 100 })
@@ -28,7 +28,7 @@
 	var c dev.Settings
 	s := settings.New("dev", devUsage, std.Err)
 	devSettings(s, &c)
-	check := s.Bool("check", false, "run the sample text through the whole path and end")
+	check := s.Bool("check", false, "run the sample configuration end to end and exit")
 	if code, done := parse(s, args, std); done {
 		return code
 	}
--- a/internal/command/drain.go
+++ b/internal/command/drain.go
@@ -10,16 +10,16 @@
 	"gentianstand/internal/settings"
 )
 
-const drainUsage = `Asks for the planned stop of a worker or an instance: it gets nothing new, its
-tasks move or finish, and requests in progress are answered. -resume takes the
-stop of a worker back; an instance that was drained is to be replaced.`
+const drainUsage = `Drains a worker or an instance before a planned stop: it gets no new work, its tasks
+move or finish, and requests in progress are answered. -resume cancels the drain of
+a worker; a drained instance has to be replaced.`
 
 func drain(ctx context.Context, args []string, std Streams) int {
 	var f operatorFlags
 	s := settings.New("drain", drainUsage, std.Err)
 	f.register(s)
-	id := s.String("id", "", "id of a worker or an instance")
-	resume := s.Bool("resume", false, "take the planned stop back")
+	id := s.String("id", "", "ID of a worker or an instance")
+	resume := s.Bool("resume", false, "cancel the drain of a worker")
 	s.Check("id", "the id of a worker or an instance", func() bool { return *id != "" })
 	if code, done := parse(s, args, std); done {
 		return code
--- a/internal/command/instance.go
+++ b/internal/command/instance.go
@@ -15,12 +15,12 @@
 	"gentianstand/platform"
 )
 
-const instanceUsage = `Runs an instance on the users' platform. Its addresses and bounds come from the
-platform's settings file; it keeps nothing of its own and runs until it gets
-SIGTERM or SIGINT, and then stops gracefully. SIGHUP has the settings file read
-and checked again.`
+const instanceUsage = `Runs an instance on the users' platform. Its addresses and limits come from the
+platform's settings file. It has no state of its own and runs until it receives
+SIGTERM or SIGINT, and then stops gracefully. On SIGHUP it reads and checks the
+settings file again and logs the result, without applying changes.`
 
-// instanceFlags are the settings of our own for this command.
+// instanceFlags are the settings of this command that are not in the platform's settings file.
 type instanceFlags struct {
 	settingsFile  string
 	logLevel      string
@@ -30,11 +30,11 @@
 
 func (f *instanceFlags) register(s *settings.Settings) {
 	s.StringVar(&f.settingsFile, "settings-file", os.Getenv(platform.SettingsVariable),
-		"path of the platform's settings file; by default what "+platform.SettingsVariable+" names")
+		"path of the platform's settings file; default: the value of "+platform.SettingsVariable)
 	s.StringVar(&f.logLevel, "log-level", "info", "debug, info, warn or error")
 	s.StringVar(&f.peerAdvertise, "peer-advertise", "",
-		"host:port under which other instances reach this one, if they cannot use the address that it listens on")
-	s.Var(&f.disabled, "without", "mechanisms of the planner to switch off, with commas between them; OPERATIONS.md lists them")
+		"host:port at which other instances reach this one, if it differs from the address it listens on")
+	s.Var(&f.disabled, "without", "planner mechanisms to switch off, separated by commas; OPERATIONS.md lists them")
 	s.Check("settings-file", "a path", func() bool { return f.settingsFile != "" })
 	s.Check("log-level", "debug, info, warn, error", func() bool {
 		return f.logLevel == "debug" || f.logLevel == "info" || f.logLevel == "warn" || f.logLevel == "error"
--- a/internal/command/load.go
+++ b/internal/command/load.go
@@ -12,9 +12,9 @@
 	"gentianstand/internal/settings"
 )
 
-const loadUsage = `Sends requests to a service at a fixed rate (open loop) and prints waiting times
-measured from the time each request was meant to be sent, throughput, and the
-answers by error kind. Times are of status 200 answers.`
+const loadUsage = `Sends requests to a service at a fixed rate (open loop) and prints latencies, which
+are measured from the scheduled send time of each request, the throughput, and the
+number of responses by error kind. Latencies cover responses with status 200 only.`
 
 func loadCommand(ctx context.Context, args []string, std Streams) int {
 	var c load.Settings
@@ -24,12 +24,12 @@
 	s.StringVar(&c.Service, "service", "", "name of the service")
 	s.StringVar(&c.Path, "path", "", "path within the service")
 	s.StringVar(&c.Method, "method", "GET", "HTTP method")
-	s.Float64Var(&c.Rate, "rate", 100, "requests a second")
-	s.DurationVar(&c.Duration, "duration", 10*time.Second, "how long to send")
-	s.DurationVar(&c.Timeout, "timeout", 5*time.Second, "longest wait for an answer")
+	s.Float64Var(&c.Rate, "rate", 100, "requests per second")
+	s.DurationVar(&c.Duration, "duration", 10*time.Second, "duration of the test")
+	s.DurationVar(&c.Timeout, "timeout", 5*time.Second, "timeout of each request")
 	s.IntVar(&c.BodySize, "body", 0, "size of the body in bytes")
 	s.BoolVar(&c.Keys, "keys", false, "give each request its own idempotency key")
-	s.IntVar(&c.MostOpen, "most-open", 10_000, "most requests under way; more are counted as not sent")
+	s.IntVar(&c.MostOpen, "most-open", 10_000, "maximum number of requests in progress; further ones are counted as not sent")
 	s.Check("service", "the name of a service", func() bool { return c.Service != "" })
 	s.Check("rate", "above 0, at most 1000000", func() bool { return c.Rate > 0 && c.Rate <= 1e6 })
 	s.Check("duration", "above 0", func() bool { return c.Duration > 0 })
--- a/internal/command/operator.go
+++ b/internal/command/operator.go
@@ -11,7 +11,7 @@
 	"gentianstand/internal/settings"
 )
 
-// operatorFlags are the flags that all operators' commands share.
+// operatorFlags are the flags that all commands for operators share.
 type operatorFlags struct {
 	server  string
 	token   string
@@ -22,10 +22,10 @@
 
 func (f *operatorFlags) register(s *settings.Settings) {
 	s.StringVar(&f.server, "server", "127.0.0.1:8080", "`host:port` of any instance")
-	s.StringVar(&f.token, "operator-token", "", "bearer token, if the instances ask for one")
-	s.StringVar(&f.by, "by", currentUser(), "who asks, for the audit trail")
+	s.StringVar(&f.token, "operator-token", "", "bearer token, if the instances require one")
+	s.StringVar(&f.by, "by", currentUser(), "name of the operator for the audit trail")
 	s.BoolVar(&f.json, "json", false, "print JSON")
-	s.DurationVar(&f.timeout, "timeout", 15*time.Second, "longest wait for the answer")
+	s.DurationVar(&f.timeout, "timeout", 15*time.Second, "timeout of the request")
 	s.Check("timeout", "above 0", func() bool { return f.timeout > 0 })
 }
 
@@ -40,7 +40,7 @@
 	return "anonymous"
 }
 
-// finish prints the result and returns the exit code.
+// finish prints err, or the result as JSON or by calling text, and returns the exit code.
 func (f *operatorFlags) finish(std Streams, err error, result any, text func()) int {
 	if err != nil {
 		return f.fail(std, err)
--- a/internal/command/parse.go
+++ b/internal/command/parse.go
@@ -8,8 +8,8 @@
 	"gentianstand/internal/settings"
 )
 
-// parse reads a command's flags. done says that the command should end now
-// with the exit code: after -h, or after mistakes, which are all printed.
+// parse reads a command's flags. If done is set, the command must exit with code: either -h was
+// given, or the flags are invalid and parse has printed all errors.
 func parse(s *settings.Settings, args []string, std Streams) (code int, done bool) {
 	err := s.Parse(args)
 	switch {
--- a/internal/command/plan.go
+++ b/internal/command/plan.go
@@ -9,7 +9,7 @@
 	"gentianstand/internal/settings"
 )
 
-const planUsage = `Checks a text and shows what applying it would change. Changes nothing.`
+const planUsage = `Validates a text and shows what applying it would change, without changing anything.`
 
 func plan(ctx context.Context, args []string, std Streams) int {
 	var f operatorFlags
--- a/internal/command/run.go
+++ b/internal/command/run.go
@@ -16,7 +16,7 @@
 	var f operatorFlags
 	s := settings.New("run", runUsage, std.Err)
 	f.register(s)
-	id := s.String("id", "", "id of the run")
+	id := s.String("id", "", "ID of the run")
 	s.Check("id", "the id of a run, as status shows it", func() bool { return *id != "" })
 	if code, done := parse(s, args, std); done {
 		return code
--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -10,9 +10,9 @@
 	"gentianstand/internal/settings"
 )
 
-const serveUsage = `Runs an entry instance until it gets SIGTERM or SIGINT, and then stops
-gracefully: it hands over what it owns, refuses new requests and finishes those
-in progress. Exit code 3 says that another process took this instance's place.`
+const serveUsage = `Runs an entry instance until it receives SIGTERM or SIGINT, and then stops
+gracefully: it hands over its shards, refuses new requests and finishes those in
+progress. Exit code 3 means that another process has replaced this instance.`
 
 func serve(ctx context.Context, args []string, std Streams) int {
 	var c instance.Settings
--- a/internal/command/submit.go
+++ b/internal/command/submit.go
@@ -10,8 +10,8 @@
 	"gentianstand/internal/settings"
 )
 
-const submitUsage = `Starts a run of a batch or job that the text declares. The same -key always
-gives the same run, so a command that got no answer can be repeated.`
+const submitUsage = `Starts a run of a batch or job that the configuration declares. The same -key always
+returns the same run, so a command that got no response can be retried safely.`
 
 func submit(ctx context.Context, args []string, std Streams) int {
 	var f operatorFlags
--- a/internal/config/current.go
+++ b/internal/config/current.go
@@ -6,9 +6,9 @@
 	"gentianstand/internal/spec"
 )
 
-// Current is the configuration in force at this instance. It only ever moves
-// to a higher number: a lagging read, an old peer or a lost answer cannot
-// bring an earlier text back. It is safe for concurrent use.
+// Current holds the configuration in force at this instance. It only advances to higher numbers:
+// a delayed read, an outdated peer or a lost response cannot restore an older text. It is safe for
+// concurrent use.
 type Current struct {
 	mu       sync.Mutex
 	record   Record
@@ -16,32 +16,32 @@
 	watchers []func(Record, *spec.Text)
 }
 
-// NewCurrent returns a Current with an empty text of number 0.
+// NewCurrent returns a Current that holds an empty text with number 0.
 func NewCurrent() *Current { return &Current{text: &spec.Text{}} }
 
-// Get returns the record and text in force. The text must not be changed.
+// Get returns the record and the text in force. Callers must not modify the text.
 func (c *Current) Get() (Record, *spec.Text) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.record, c.text
 }
 
-// Number returns the number in force.
+// Number returns the number of the configuration in force.
 func (c *Current) Number() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.record.Number
 }
 
-// Watch calls f with each text that comes into force from now on, in order.
+// Watch registers f, which is called in order with each text that comes into force from now on.
 func (c *Current) Watch(f func(Record, *spec.Text)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.watchers = append(c.watchers, f)
 }
 
-// Install puts rec into force if its number is higher than the present one.
-// It returns an error if the record's text cannot be read or is damaged.
+// Install puts rec into force if its number is higher than the one in force. It returns an error
+// if the record's text does not match its digest or cannot be parsed.
 func (c *Current) Install(rec Record) error {
 	if rec.Number <= c.Number() {
 		return nil
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -2,5 +2,5 @@
 
 import "errors"
 
-// errDigestMismatch says that a record does not match its digest.
+// errDigestMismatch is returned for a record whose text does not match its digest.
 var errDigestMismatch = errors.New("the configuration does not match its digest")
--- a/internal/config/record.go
+++ b/internal/config/record.go
@@ -1,12 +1,12 @@
-// Package config keeps the configuration: the texts that operators applied,
-// in one order of numbers, and the one in force at this instance.
+// Package config stores the texts of the configuration that operators have applied, numbered in
+// one sequence, and holds the one in force at this instance.
 package config
 
 import "time"
 
-// Record is one accepted text.
+// Record is one accepted version of the configuration.
 type Record struct {
-	// Number grows by one with each accepted text.
+	// Number increases by 1 with each accepted text.
 	Number uint64    `json:"number"`
 	Author string    `json:"author"`
 	At     time.Time `json:"at"`
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -23,13 +23,12 @@
 	trail *audit.Trail
 }
 
-// NewStore returns the store in table; accepted changes leave an entry in
-// trail.
+// NewStore returns a store in table. Each accepted change adds an entry to the audit trail.
 func NewStore(table platform.Table, trail *audit.Trail) *Store {
 	return &Store{table: table, trail: trail}
 }
 
-// Head returns which configuration the table says is in force.
+// Head returns the head of the configuration in the table. Its number is 0 if the table has none.
 func (s *Store) Head(ctx context.Context) (live.ConfigHead, error) {
 	row, err := s.table.Get(ctx, live.ConfigKey)
 	if err != nil {
@@ -45,7 +44,7 @@
 	return head, nil
 }
 
-// Load returns the record of a number.
+// Load returns the record with the given number.
 func (s *Store) Load(ctx context.Context, number uint64) (Record, error) {
 	var rec Record
 	row, err := s.table.Get(ctx, recordKey(number))
@@ -61,11 +60,11 @@
 	return rec, nil
 }
 
-// Apply makes text the next configuration if base is still in force. The
-// loser of a race gets a Conflict that names both authors and the difference.
+// Apply makes text the next configuration if base is still in force. If another change was
+// accepted first, the error is a Conflict that names both authors and contains the difference.
 //
-// The new head, the record and the audit entry are one transaction; the record
-// is never overwritten, so Settle can tell a lost answer from a lost race.
+// The new head, the record and the audit entry are written in one transaction. A record is never
+// overwritten, so Settle can distinguish a lost response from a conflict.
 func (s *Store) Apply(ctx context.Context, text, author string, base uint64) (Record, error) {
 	head, err := s.Head(ctx)
 	if err != nil {
@@ -132,7 +131,7 @@
 		winner.Author, winner.Number, winner.At.Format(time.RFC3339), author, base, Diff(winner.Text, text))
 }
 
-// Digest returns the hash of a text in hexadecimal.
+// Digest returns the SHA-256 digest of a text in hexadecimal.
 func Digest(text string) string {
 	sum := sha256.Sum256([]byte(text))
 	return hex.EncodeToString(sum[:])
--- a/internal/httpclient/transport.go
+++ b/internal/httpclient/transport.go
@@ -1,4 +1,4 @@
-// Package httpclient makes the HTTP transports of all clients.
+// Package httpclient creates the HTTP transports of all clients.
 package httpclient
 
 import (
@@ -9,13 +9,13 @@
 	"gentianstand/internal/traffic"
 )
 
-// idleTimeout is how long a connection without calls is kept: longer than any pause
-// between calls to a peer in use, shorter than what stateful middleboxes forget.
+// idleTimeout is how long an idle connection is kept open. It is longer than any pause between calls
+// to a peer in use, and shorter than the time after which stateful middleboxes drop a connection.
 const idleTimeout = 30 * time.Second
 
-// NewTransport returns a transport that keeps up to idle connections to each address
-// and gives a new one up after dialTimeout. Calls are bounded by their contexts. The
-// connections are counted for their purpose.
+// NewTransport returns a transport that keeps up to idle connections per address. dialTimeout bounds
+// the establishment of a connection; calls are bounded by their contexts. The traffic of the
+// connections is counted under the given purpose.
 func NewTransport(p traffic.Purpose, dialTimeout time.Duration, idle int) *http.Transport {
 	return &http.Transport{
 		DialContext:         traffic.CounterFor(p).WrapDial((&net.Dialer{Timeout: dialTimeout}).DialContext),
--- a/internal/instance/components.go
+++ b/internal/instance/components.go
@@ -19,7 +19,7 @@
 	"gentianstand/internal/spec"
 )
 
-// components is everything of an instance that runs.
+// components are the parts of an instance that are started and stopped.
 type components struct {
 	fx.In
 
@@ -53,15 +53,14 @@
 	go p.Keeper.Run(ctx)
 }
 
-// stopPollInterval is how often a graceful stop looks whether it is done, and
-// readinessGrace how long the balancer gets to notice the readiness probe.
+// stopPollInterval is how often a graceful stop checks whether a step is done, and
+// readinessGrace how long the load balancer gets to observe the failing readiness probe.
 const (
 	stopPollInterval = 50 * time.Millisecond
 	readinessGrace   = 500 * time.Millisecond
 )
 
-// stop hands over all shards, refuses new requests once that is done, and
-// waits for requests in progress.
+// stop hands over all shards, then refuses new requests and waits for the requests in progress.
 func (p components) stop(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, p.Settings.StopTimeout)
 	defer cancel()
@@ -76,13 +75,13 @@
 	p.Log.Info("stopped")
 }
 
-// cannotHandOver reports whether the table is out of reach, so that waiting to
-// hand over would only use up the time for requests in progress.
+// cannotHandOver reports whether the table is unreachable. Waiting for a handover would then only
+// consume the time for requests in progress.
 func (p components) cannotHandOver() bool {
 	return p.Session.SinceTableAnswer(time.Now()) > p.Timing.SessionTTL
 }
 
-// noSuccessor reports whether nobody is there to hand over to.
+// noSuccessor reports whether no other instance can take over the shards.
 func (p components) noSuccessor() bool {
 	view := p.Keeper.View()
 	for _, r := range p.Hub.Remotes() {
--- a/internal/instance/config_follower.go
+++ b/internal/instance/config_follower.go
@@ -11,12 +11,11 @@
 	"gentianstand/internal/peer"
 )
 
-// fetchTimeout bounds the fetching of one configuration.
+// fetchTimeout bounds the fetch of one configuration.
 const fetchTimeout = 3 * time.Second
 
-// configFollower brings later configurations into force here: when the table
-// names one, or another instance has one, which also works while the table is
-// down.
+// configFollower puts newer configurations into force at this instance. It fetches them from the
+// table or from another instance; the latter also works while the table is down.
 type configFollower struct {
 	current *config.Current
 	store   *config.Store
@@ -29,15 +28,15 @@
 	return &configFollower{current: current, store: store, log: log, wake: make(chan uint64, 1)}
 }
 
-// observeHead notes which configuration the table names.
+// observeHead requests a fetch if the table's configuration is newer than the one in force.
 func (f *configFollower) observeHead(head live.ConfigHead) {
 	if head.Number > f.current.Number() {
 		f.notify(head.Number)
 	}
 }
 
-// notify asks for a fetch; number 0 means that only a peer is known to be
-// ahead.
+// notify requests a fetch of a configuration. Number 0 means that a peer has a newer
+// configuration whose number is not known.
 func (f *configFollower) notify(number uint64) {
 	select {
 	case f.wake <- number:
--- a/internal/instance/directory.go
+++ b/internal/instance/directory.go
@@ -18,7 +18,8 @@
 // directoryPeriod is how often the platform's list is read.
 const directoryPeriod = time.Second
 
-// directory keeps the platform's list as last read, also while it cannot be.
+// directory caches the platform's list of instances. While the platform cannot be reached, the
+// last list remains available.
 type directory struct {
 	source platform.Directory
 	log    *logrus.Entry
@@ -57,8 +58,8 @@
 	return d.list
 }
 
-// places returns the shards that should have owners: the planner, and each
-// rack with a worker.
+// places returns the shards that need an owner: the planner shard, and one shard for each rack
+// with a worker.
 func (d *directory) places() []ownership.ShardLocation {
 	seen := map[string]bool{}
 	places := []ownership.ShardLocation{{Name: live.PlannerShard}}
--- a/internal/instance/docs_test.go
+++ b/internal/instance/docs_test.go
@@ -48,8 +48,7 @@
 	return all.String()
 }
 
-// TestFlagsArePublished: docs/OPERATIONS.md names each flag of serve, and no
-// other.
+// TestFlagsArePublished checks that docs/OPERATIONS.md names each flag of serve.
 func TestFlagsArePublished(t *testing.T) {
 	var c instance.Settings
 	s := settings.New("serve", "", io.Discard)
@@ -62,14 +61,12 @@
 	})
 }
 
-// TestMetricsArePublished: docs/OPERATIONS.md names exactly the metrics of the
-// code.
+// TestMetricsArePublished checks that docs/OPERATIONS.md names exactly the metrics of the code.
 func TestMetricsArePublished(t *testing.T) {
 	compare(t, "metric", words(metricPattern, sources(t), 0), words(metricPattern, operating(t), 0))
 }
 
-// TestLogEventsArePublished: docs/OPERATIONS.md explains each event that the
-// code logs.
+// TestLogEventsArePublished checks that docs/OPERATIONS.md names each event that the code logs.
 func TestLogEventsArePublished(t *testing.T) {
 	code := sources(t)
 	page := operating(t)
@@ -107,7 +104,7 @@
 	}
 	for name := range page {
 		if !code[name] {
-			t.Errorf("docs/OPERATIONS.md has a %s that the code has not: %s", what, name)
+			t.Errorf("docs/OPERATIONS.md has a %s that the code lacks: %s", what, name)
 		}
 	}
 }
--- a/internal/instance/gauges.go
+++ b/internal/instance/gauges.go
@@ -10,14 +10,15 @@
 	"gentianstand/internal/membership"
 )
 
-// The values of the gauge gentianstand_rights.
+// The values of the gauge gentianstand_rights: whether this instance may act for its shards, and
+// whether by its session or by a confirmed outage of the table.
 const (
 	rightsNone    = 0
 	rightsSession = 1
 	rightsOutage  = 2
 )
 
-// registerGauges publishes what an operator wants to be alarmed by.
+// registerGauges registers the gauges that operators use for alerts.
 func registerGauges(set *metrics.Set, session *membership.Session, current *config.Current, e *entry.Server) {
 	set.NewGauge("gentianstand_table_silence_seconds", func() float64 { return session.SinceTableAnswer(time.Now()).Seconds() })
 	set.NewGauge("gentianstand_rights", func() float64 { return rights(session, time.Now()) })
--- a/internal/instance/lazy_shards.go
+++ b/internal/instance/lazy_shards.go
@@ -2,8 +2,8 @@
 
 import "sync/atomic"
 
-// lazyShards breaks the circle between the hub, which tells others what this
-// instance holds, and the listener, which learns it.
+// lazyShards breaks a dependency cycle: the hub reports to other instances which shards this
+// instance holds, and the listener, which depends on the hub, records them.
 type lazyShards struct {
 	listener *listener
 	stopping atomic.Bool
--- a/internal/instance/listener.go
+++ b/internal/instance/listener.go
@@ -12,7 +12,7 @@
 	"gentianstand/internal/planner"
 )
 
-// listener passes what the keeper finds on to who needs it. It implements
+// listener distributes the keeper's events to the other components. It implements
 // ownership.Listener.
 type listener struct {
 	self     live.Process
--- a/internal/instance/log.go
+++ b/internal/instance/log.go
@@ -6,8 +6,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// NewLog returns a log that writes one line of key=value pairs for each event
-// to out, with the instance's id.
+// NewLog returns a logger that writes each event to out as one line of key=value pairs, with the
+// instance's ID.
 func NewLog(level, id string, out io.Writer) *logrus.Entry {
 	logger := logrus.New()
 	logger.SetOutput(out)
--- a/internal/instance/module.go
+++ b/internal/instance/module.go
@@ -1,5 +1,5 @@
-// Package instance puts an entry instance together with fx: it builds every
-// part, runs their loops and servers, and stops them gracefully.
+// Package instance assembles an entry instance with fx: it builds all components, runs their
+// loops and servers, and stops them gracefully.
 package instance
 
 import (
@@ -29,14 +29,14 @@
 	workerwire "gentianstand/internal/worker/httpwire"
 )
 
-// incarnationLength is how much of a random id tells one life of an instance
-// from another; an instance has a few lives a day.
+// incarnationLength is the length of the prefix of a random UUID that identifies an incarnation
+// of an instance. It is enough for the few incarnations that an instance has per day.
 const incarnationLength = 13
 
 // agentTimeout bounds one call to a worker's agent.
 const agentTimeout = time.Second
 
-// Module returns the fx options of an instance.
+// Module returns the fx options that assemble and run an entry instance.
 func Module(s Settings, log *logrus.Entry) fx.Option {
 	return fx.Options(
 		fx.NopLogger,
@@ -79,8 +79,7 @@
 	return &directory{source: source, log: log}
 }
 
-// lazyView breaks the circle between the keeper and those who look at what it
-// read.
+// lazyView breaks the dependency cycle between the keeper and the components that read its view.
 type lazyView struct{ keeper *ownership.Keeper }
 
 func newLazyView() *lazyView { return &lazyView{} }
@@ -157,7 +156,7 @@
 	})
 }
 
-// run starts the loops and servers, and stops them in the reverse order.
+// run registers the hooks that start the servers and the loops and stop them gracefully.
 func run(lc fx.Lifecycle, p components) {
 	ctx, cancel := context.WithCancel(context.Background())
 	lc.Append(fx.Hook{
--- a/internal/instance/readiness.go
+++ b/internal/instance/readiness.go
@@ -7,8 +7,8 @@
 	errDraining = errors.New("a planned stop is under way")
 )
 
-// readiness tells the balancer whether to send callers here. An outage of the
-// table does not make an instance unready: requests go on.
+// readiness returns an error if the load balancer should send no callers to this instance. An
+// outage of the table doesn't make an instance unready, because requests are still served.
 func readiness(l *listener, lazy *lazyShards) error {
 	switch {
 	case lazy.stopping.Load():
--- a/internal/instance/servers.go
+++ b/internal/instance/servers.go
@@ -23,7 +23,8 @@
 	closeTimeout   = 2 * time.Second
 )
 
-// servers is the two listeners of an instance.
+// servers are the HTTP servers of an instance: one for callers and operators, one for other
+// instances.
 type servers struct {
 	settings Settings
 	caller   *http.Server
@@ -39,7 +40,7 @@
 	}
 }
 
-// listen opens both addresses and serves them.
+// listen opens both addresses and serves them in the background.
 func (s *servers) listen() error {
 	caller, err := listen(s.settings.Listen)
 	if err != nil {
@@ -56,8 +57,8 @@
 	return nil
 }
 
-// listen opens a TCP address whose connections the kernel probes, so that a
-// caller that vanished without a word is noticed within seconds.
+// listen opens a TCP address with keep-alive probes, so that connections of callers that vanished
+// without closing them are detected within seconds.
 func listen(address string) (net.Listener, error) {
 	config := net.ListenConfig{KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: 2 * time.Second, Count: 3}}
 	l, err := config.Listen(context.Background(), "tcp", address)
@@ -73,7 +74,7 @@
 	}
 }
 
-// close ends both servers; what is in progress gets closeTimeout more.
+// close stops both servers. Requests in progress get closeTimeout to finish.
 func (s *servers) close() error {
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
--- a/internal/instance/settings.go
+++ b/internal/instance/settings.go
@@ -9,8 +9,8 @@
 	"gentianstand/internal/settings"
 )
 
-// Settings is what an entry instance is told at its start. Addresses and the
-// availability zone come from here only.
+// Settings are the settings of an entry instance, which it gets when it starts. They are the only
+// source of its addresses and its availability zone.
 type Settings struct {
 	ID              string
 	Listen          string
@@ -30,7 +30,7 @@
 
 // Register adds the flags of an instance to s.
 func (c *Settings) Register(s *settings.Settings) {
-	s.StringVar(&c.ID, "id", "", "id of this instance, the same as in the platform's list")
+	s.StringVar(&c.ID, "id", "", "ID of this instance, the same as in the platform's list")
 	s.StringVar(&c.Listen, "listen", "127.0.0.1:8080", "`host:port` for callers and operators")
 	s.StringVar(&c.Advertise, "advertise", "", "`host:port` at which other instances reach -listen (default: the same)")
 	s.StringVar(&c.PeerListen, "peer-listen", "127.0.0.1:8081", "`host:port` for other instances")
@@ -38,10 +38,10 @@
 	s.StringVar(&c.Region, "region", "", "region of this instance")
 	s.StringVar(&c.Zone, "zone", "", "availability zone of this instance")
 	s.StringVar(&c.Platform, "platform", "", "`URL` of the platform's services")
-	s.DurationVar(&c.PlatformTimeout, "platform-timeout", time.Second, "longest wait for one call to the platform")
-	s.StringVar(&c.OperatorToken, "operator-token", "", "bearer token that operators' calls must carry; empty: none")
-	s.StringVar(&c.LogLevel, "log-level", "info", "least severe events to log: debug, info, warning or error")
-	s.DurationVar(&c.StopTimeout, "stop-timeout", 30*time.Second, "longest time for a graceful stop")
+	s.DurationVar(&c.PlatformTimeout, "platform-timeout", time.Second, "timeout of one call to the platform")
+	s.StringVar(&c.OperatorToken, "operator-token", "", "bearer token that operators' requests must carry; empty: none")
+	s.StringVar(&c.LogLevel, "log-level", "info", "minimum severity of logged events: debug, info, warning or error")
+	s.DurationVar(&c.StopTimeout, "stop-timeout", 30*time.Second, "maximum duration of a graceful stop")
 	c.registerChecks(s)
 }
 
--- a/internal/instance/settings_test.go
+++ b/internal/instance/settings_test.go
@@ -8,8 +8,8 @@
 	"gentianstand/internal/settings"
 )
 
-// TestBadSettings: all mistakes are reported at once, each with the flag, its
-// value and what is allowed.
+// TestBadSettings checks that all errors are reported at once, each with the flag, its value and
+// the allowed values.
 func TestBadSettings(t *testing.T) {
 	var c Settings
 	s := settings.New("serve", "", io.Discard)
--- a/internal/live/drain.go
+++ b/internal/live/drain.go
@@ -1,9 +1,9 @@
 package live
 
-// Drain is the planned stop of a worker or an instance.
+// Drain is the row of a planned stop of a worker or an instance.
 type Drain struct {
 	ID string `json:"id"`
 	By string `json:"by"`
-	// AtUnix is when it was asked for, in seconds since 1970.
+	// AtUnix is the time of the request as a Unix time in seconds.
 	AtUnix int64 `json:"at_unix"`
 }
--- a/internal/live/predecessor.go
+++ b/internal/live/predecessor.go
@@ -1,10 +1,10 @@
 package live
 
-// Predecessor is an earlier owner of a shard.
+// Predecessor is a previous owner of a shard.
 type Predecessor struct {
 	Process Process `json:"process"`
-	// HandedOver says that it gave the shard away itself, and so stops soon.
+	// HandedOver is set if the owner handed the shard over itself, and so stops using it soon.
 	HandedOver bool `json:"handed_over,omitempty"`
-	// Electors are those that its row named; empty if they are not known.
+	// Electors are the electors in its instance row; empty if they are not known.
 	Electors []Process `json:"electors,omitempty"`
 }
--- a/internal/live/view.go
+++ b/internal/live/view.go
@@ -8,7 +8,7 @@
 	"gentianstand/internal/platform"
 )
 
-// View is all watched rows as of one read.
+// View is the content of all watched rows at the time of one read.
 type View struct {
 	Instances map[string]Instance
 	Shards    map[string]Shard
@@ -16,8 +16,8 @@
 	Config    ConfigHead
 }
 
-// Parse turns rows of one scan into a View. A row that cannot be read is an
-// error: guessing at who owns what is worse than waiting for the next read.
+// Parse decodes the rows of one scan into a View. It fails if any row cannot be decoded: a View
+// with incomplete ownership is worse than a wait for the next read.
 func Parse(rows []platform.Row) (View, error) {
 	v := View{Instances: map[string]Instance{}, Shards: map[string]Shard{}, Drains: map[string]Drain{}}
 	for _, row := range rows {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads settings from flags, then from environment variables,
-// then from defaults, and reports all mistakes at once.
+// Package settings reads settings from flags, environment variables and defaults, in this order of
+// precedence, and reports all errors at once.
 package settings
 
 import (
@@ -11,10 +11,10 @@
 	"strings"
 )
 
-// EnvPrefix starts the names of all environment variables.
+// EnvPrefix is the prefix of the names of all environment variables.
 const EnvPrefix = "GENTIANSTAND_"
 
-// Settings is a flag set whose flags can also be set in the environment.
+// Settings is a flag set whose flags can also be set by environment variables.
 type Settings struct {
 	*flag.FlagSet
 	checks []check
@@ -27,8 +27,7 @@
 	ok      func() bool
 }
 
-// New returns Settings for the command of a name. usage is printed by -h above
-// the flags.
+// New returns the Settings of a command. -h prints usage above the list of flags.
 func New(name, usage string, output io.Writer) *Settings {
 	s := &Settings{FlagSet: flag.NewFlagSet(name, flag.ContinueOnError), lookup: os.LookupEnv}
 	s.SetOutput(output)
@@ -39,14 +38,14 @@
 	return s
 }
 
-// Check adds a condition on a flag that must hold after Parse; allowed says
-// what the flag may be.
+// Check adds a condition on a flag, which Parse evaluates. allowed describes the valid values for the
+// error message.
 func (s *Settings) Check(flagName, allowed string, ok func() bool) {
 	s.checks = append(s.checks, check{flag: flagName, allowed: allowed, ok: ok})
 }
 
-// Parse reads args and the environment. It returns flag.ErrHelp for -h, and
-// otherwise every mistake, each with the flag, its value and what is allowed.
+// Parse reads args and the environment. It returns flag.ErrHelp for -h. Otherwise it returns all errors
+// together, each with the flag, its value and the allowed values.
 func (s *Settings) Parse(args []string) error {
 	if err := s.FlagSet.Parse(args); err != nil {
 		return err
@@ -61,7 +60,7 @@
 	return errors.Join(problems...)
 }
 
-// EnvName returns the environment variable of a flag.
+// EnvName returns the name of the environment variable for a flag.
 func EnvName(flagName string) string {
 	return EnvPrefix + strings.ToUpper(strings.ReplaceAll(flagName, "-", "_"))
 }
