--- a/test/e2e/build_test.go
+++ b/test/e2e/build_test.go
@@ -1,6 +1,6 @@
-// Package e2e holds the tests that run gentianstand as separate processes,
-// because the death, freeze or isolation of a process is their point. The
-// record of the worker stand-ins is the judge.
+// Package e2e tests gentianstand as separate processes, for failures that kill, freeze or
+// isolate a process. The tests check the record of the worker stand-ins for violations of the
+// scheduler's guarantees.
 package e2e
 
 import (
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// binaries is where TestMain has built the programs.
+// binaries is the directory into which TestMain builds the programs.
 var binaries string
 
 func TestMain(m *testing.M) {
--- a/test/e2e/cluster_state_test.go
+++ b/test/e2e/cluster_state_test.go
@@ -12,7 +12,7 @@
 	standworker "gentianstand/internal/standin/worker"
 )
 
-// metric returns the value of one of an instance's metrics, 0 if it has none.
+// metric returns the value of an instance's metric, or 0 if the metric does not exist.
 func (s *cluster) metric(inst *node, name string) int {
 	resp, err := http.Get("http://" + inst.address + "/metrics")
 	if err != nil {
@@ -29,7 +29,7 @@
 	return 0
 }
 
-// runs returns the latest run of each workload.
+// runs returns the latest run of each workload, as reported by an instance.
 func (s *cluster) runs(on *node) (map[string]planner.Summary, error) {
 	var list []planner.Summary
 	if err := s.getJSON(on.address, "/v1/runs", &list); err != nil {
@@ -44,6 +44,7 @@
 	return byWorkload, nil
 }
 
+// awaitState waits until the latest run of a workload is in a state.
 func (s *cluster) awaitState(on *node, workload, state string) {
 	s.t.Helper()
 	s.await(workload+" "+state, func() error {
@@ -58,6 +59,8 @@
 	})
 }
 
+// awaitRunning waits until the latest run of a workload has exactly the given number of running
+// tasks.
 func (s *cluster) awaitRunning(on *node, workload string, tasks int) {
 	s.t.Helper()
 	s.await(workload+" running", func() error {
@@ -78,7 +81,7 @@
 	return st, err
 }
 
-// planner returns the instance that plans.
+// planner returns the instance that is the planner according to from.
 func (s *cluster) planner(from *node) *node {
 	s.t.Helper()
 	var found *node
@@ -93,12 +96,12 @@
 				return nil
 			}
 		}
-		return fmt.Errorf("planner %q", st.Planner)
+		return fmt.Errorf("planner is %q", st.Planner)
 	})
 	return found
 }
 
-// others returns the instances but one.
+// others returns all instances except not.
 func (s *cluster) others(not *node) []*node {
 	var list []*node
 	for _, inst := range s.instances {
@@ -109,7 +112,7 @@
 	return list
 }
 
-// events returns the record of all workers in the order of time.
+// events returns the events of all workers, ordered by time.
 func (s *cluster) events() []standworker.Event {
 	s.t.Helper()
 	var all []standworker.Event
@@ -122,12 +125,13 @@
 	return all
 }
 
-// checkRecord fails the test if the workers' record shows a broken promise.
+// checkRecord fails the test if the workers' events violate the scheduler's guarantees. It
+// returns the events.
 func (s *cluster) checkRecord() []standworker.Event {
 	s.t.Helper()
 	events := s.events()
 	if broken := standworker.Violations(events); len(broken) > 0 {
-		s.t.Fatalf("broken promises:\n%s", strings.Join(broken, "\n"))
+		s.t.Fatalf("violations:\n%s", strings.Join(broken, "\n"))
 	}
 	return events
 }
--- a/test/e2e/cluster_test.go
+++ b/test/e2e/cluster_test.go
@@ -22,11 +22,11 @@
 	standworker "gentianstand/internal/standin/worker"
 )
 
-// waitTimeout bounds every wait; it is far above what is expected, so that a slow
-// machine does not change a verdict.
+// waitTimeout limits every wait. It is far longer than any expected wait, so that a slow
+// machine does not change the result of a test.
 const waitTimeout = 60 * time.Second
 
-// cluster is a whole system of separate processes.
+// cluster is a complete system of separate processes: a platform, workers and instances.
 type cluster struct {
 	t         testing.TB
 	platform  *process
@@ -35,7 +35,7 @@
 	instances []*node
 }
 
-// node is a worker or an instance with its process.
+// node is the process of a worker or an instance.
 type node struct {
 	*process
 	id      string
@@ -43,6 +43,8 @@
 	args    []string
 }
 
+// newCluster starts a cluster and waits until its platform and instances are ready. Workers
+// are distributed over racks of perRack workers.
 func newCluster(t testing.TB, instances, workers, perRack int) *cluster {
 	t.Helper()
 	s := &cluster{t: t, address: freePort(t)}
@@ -81,7 +83,7 @@
 	s.registerInstance(platform.Instance{ID: id, Role: platform.RoleEntry, Address: peer, Region: "r", Zone: zone})
 }
 
-// restart starts a new process in the place of a node's old one.
+// restart kills a node's process and starts a new one with the same arguments.
 func (s *cluster) restart(n *node) {
 	n.kill()
 	n.process = start(s.t, n.id+"'", "gentianstand", n.args...)
@@ -127,8 +129,7 @@
 	return json.Unmarshal(data, into)
 }
 
-// run runs an operators' command against an instance and returns what it
-// printed.
+// run runs an operator's command against an instance and returns its output.
 func (s *cluster) run(on *node, stdin string, args ...string) (string, error) {
 	all := append([]string{args[0], "-server", on.address}, args[1:]...)
 	cmd := exec.Command(filepath.Join(binaries, "gentianstand"), all...)
@@ -144,7 +145,7 @@
 	}
 }
 
-// logStatus logs what each instance says of the system.
+// logStatus logs the status that each instance reports.
 func (s *cluster) logStatus() {
 	for _, inst := range s.instances {
 		var st json.RawMessage
@@ -168,6 +169,7 @@
 	})
 }
 
+// await retries f until it succeeds and fails the test after waitTimeout.
 func (s *cluster) await(what string, f func() error) {
 	s.t.Helper()
 	deadline := time.Now().Add(waitTimeout)
@@ -184,7 +186,7 @@
 	}
 }
 
-// answer is an answer to a request to a service.
+// answer is the response to a service request.
 type answer struct {
 	status  int
 	body    string
@@ -194,6 +196,8 @@
 	header  http.Header
 }
 
+// request sends a request to a service through an instance, with an idempotency key unless key
+// is empty.
 func (s *cluster) request(on *node, method, path, key string) (answer, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
@@ -216,6 +220,7 @@
 	}, err
 }
 
+// awaitAnswered repeats a GET request through an instance until it succeeds.
 func (s *cluster) awaitAnswered(on *node, path string) {
 	s.t.Helper()
 	s.await("answer from "+on.id, func() error {
@@ -230,12 +235,10 @@
 	})
 }
 
-// nextPort counts the ports given out. They lie below the range from which the
-// kernel takes ports for outgoing connections, so that none is taken between
-// being chosen here and being listened on by a process. A port is tried by
-// connecting, not by listening: a process that is being started at the same
-// moment would hold a listener open for an instant longer, and keep the port
-// from the one it is meant for.
+// nextPort counts the ports handed out. They are below the kernel's range for outgoing
+// connections, so that no connection occupies a port before its process listens on it. A port
+// is probed by connecting, not by listening: a process that is being started at that moment
+// would inherit the listener, keep it open for an instant and block the port.
 var nextPort atomic.Int64
 
 const (
@@ -243,6 +246,7 @@
 	lastPort  = 32_000
 )
 
+// freePort returns a local address with a port on which no process listens.
 func freePort(t testing.TB) string {
 	t.Helper()
 	for {
--- a/test/e2e/commands_test.go
+++ b/test/e2e/commands_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// runJSON runs an operators' command with -json and decodes what it prints.
+// runJSON runs an operator's command with -json and decodes its output.
 func (s *cluster) runJSON(on *node, into any, args ...string) {
 	s.t.Helper()
 	out, err := s.run(on, "", append(args, "-json")...)
@@ -17,11 +17,11 @@
 		s.t.Fatalf("%v: %v\n%s", args, err, out)
 	}
 	if err := json.Unmarshal([]byte(out), into); err != nil {
-		s.t.Fatalf("%v prints no JSON: %v\n%s", args, err, out)
+		s.t.Fatalf("%v: output is not JSON: %v\n%s", args, err, out)
 	}
 }
 
-// TestCommands: each operators' command works against separate processes.
+// TestCommands checks each of the operator's commands against separate processes.
 func TestCommands(t *testing.T) {
 	s := newLoadedCluster(t)
 	on := s.instances[2]
@@ -67,8 +67,8 @@
 	s.checkRecord()
 }
 
-// TestHelpAndUsage: every command explains itself, and mistakes end with exit
-// code 2.
+// TestHelpAndUsage checks that every command prints its usage with -h, and that invalid
+// arguments lead to exit code 2.
 func TestHelpAndUsage(t *testing.T) {
 	program := filepath.Join(binaries, "gentianstand")
 	names := []string{"serve", "dev", "apply", "plan", "status", "submit", "run", "cancel", "drain", "audit", "load", "version"}
@@ -87,8 +87,8 @@
 	}
 }
 
-// TestExamplesApply: the examples of both users are accepted; what no worker of
-// this small site can hold is a warning.
+// TestExamplesApply checks that the example configurations are accepted. Tasks too large for any
+// worker of this small cluster lead to warnings only.
 func TestExamplesApply(t *testing.T) {
 	t.Parallel()
 	s := newCluster(t, 2, 2, 1)
--- a/test/e2e/cost_test.go
+++ b/test/e2e/cost_test.go
@@ -16,14 +16,14 @@
 	standworker "gentianstand/internal/standin/worker"
 )
 
-// window is how long each case is measured after it has settled.
+// window is the duration of each measurement, settle the wait before it.
 const (
 	window = 10 * time.Second
 	settle = 4 * time.Second
 )
 
-// newCostCluster returns instances as processes, with their workers in this process
-// to spare memory.
+// newCostCluster returns a cluster whose instances are processes and whose workers run in this
+// process to save memory.
 func newCostCluster(b *testing.B, instances, workers int) *cluster {
 	s := newCluster(b, instances, 0, 8)
 	record := &standworker.Record{}
@@ -62,8 +62,8 @@
 	})
 }
 
-// measure reports what the instances use during the window, for the average
-// instance and for the planner, and what the table is asked.
+// measure runs during and reports the resources that the instances use in the window, for the
+// average instance and for the planner, and the load on the table.
 func (s *cluster) measure(b *testing.B, during func()) {
 	time.Sleep(settle)
 	planner := s.planner(s.instances[0])
@@ -104,7 +104,8 @@
 	return c
 }
 
-// BenchmarkCostIdle: control cost with nothing to do, by workers and instances.
+// BenchmarkCostIdle measures the control cost of an idle system by number of workers and
+// instances.
 func BenchmarkCostIdle(b *testing.B) {
 	for _, size := range []struct{ instances, workers int }{{9, 10}, {9, 50}, {9, 200}, {9, 610}, {3, 50}, {5, 50}} {
 		b.Run(fmt.Sprintf("instances=%d/workers=%d", size.instances, size.workers), func(b *testing.B) {
@@ -116,7 +117,7 @@
 	}
 }
 
-// BenchmarkCostTasks: control cost with tasks running on 610 workers.
+// BenchmarkCostTasks measures the control cost by number of running tasks, on 610 workers.
 func BenchmarkCostTasks(b *testing.B) {
 	for _, tasks := range []int{1400, 3500, 7000, 14_000} {
 		b.Run(fmt.Sprintf("tasks=%d", tasks), func(b *testing.B) {
@@ -131,6 +132,8 @@
 	}
 }
 
+// standingText returns a configuration of 2 batches whose tasks run during the whole
+// measurement.
 func standingText(tasks int) string {
 	var text strings.Builder
 	text.WriteString("version: 1\nteams:\n  - name: a\n    quota: {cpu: 9000, memory: 20TiB}\nbatches:\n")
@@ -140,8 +143,8 @@
 	return text.String()
 }
 
-// BenchmarkCostStarts: control cost at a rate of task starts, 610 workers and
-// 7000 tasks standing. Each start is also an end a second later.
+// BenchmarkCostStarts measures the control cost by rate of task starts, with 610 workers and
+// 7000 running tasks. Each started task ends 1 second later.
 func BenchmarkCostStarts(b *testing.B) {
 	for _, rate := range []int{15, 50, 150} {
 		b.Run(fmt.Sprintf("starts/s=%d", rate), func(b *testing.B) {
@@ -170,8 +173,8 @@
 	b.ReportMetric(float64(failed.Load()), "failed-submits")
 }
 
-// BenchmarkCostRequests: cost of requests to a service with 50 replicas on 50
-// workers through 9 instances in turn, sent at a fixed rate.
+// BenchmarkCostRequests measures the cost of requests at a fixed rate to a service with 50
+// replicas on 50 workers, sent through 9 instances in turn.
 func BenchmarkCostRequests(b *testing.B) {
 	for _, rate := range []float64{100, 300, 1000, 3000} {
 		b.Run(fmt.Sprintf("requests/s=%g", rate), func(b *testing.B) {
--- a/test/e2e/failures_test.go
+++ b/test/e2e/failures_test.go
@@ -11,7 +11,7 @@
 	standworker "gentianstand/internal/standin/worker"
 )
 
-// newLoadedCluster returns a site with the service text in force and its work running.
+// newLoadedCluster returns a cluster that has applied serviceText and runs its workloads.
 func newLoadedCluster(t *testing.T) *cluster {
 	t.Helper()
 	t.Parallel()
@@ -26,7 +26,7 @@
 	return s
 }
 
-// starts counts how often each task was started.
+// starts returns the number of starts of each task.
 func starts(events []standworker.Event) map[string]int {
 	counts := map[string]int{}
 	for _, e := range events {
@@ -37,7 +37,7 @@
 	return counts
 }
 
-// startsOf sums the starts of tasks whose name contains part.
+// startsOf returns the total number of starts of the tasks whose name contains part.
 func startsOf(events []standworker.Event, part string) int {
 	n := 0
 	for task, count := range starts(events) {
@@ -48,7 +48,7 @@
 	return n
 }
 
-// Failure: work stops, or runs twice.
+// Guards against work that stops or runs twice because the planner is killed.
 func TestKilledPlanner(t *testing.T) {
 	s := newLoadedCluster(t)
 	victim := s.planner(s.instances[0])
@@ -69,7 +69,8 @@
 	}
 }
 
-// Failure: a worker is given more than it has, or a task runs in two places.
+// Guards against an owner that resumes after a freeze and starts tasks on workers which another
+// instance has taken over: workers over capacity, or a task on 2 workers.
 func TestFrozenOwnerReturns(t *testing.T) {
 	s := newLoadedCluster(t)
 	victim := s.planner(s.instances[0])
@@ -92,7 +93,7 @@
 	}
 }
 
-// Failure: a task runs twice or stops.
+// Guards against tasks that run twice or stop because an owner is partitioned from the table.
 func TestCutFromTable(t *testing.T) {
 	s := newLoadedCluster(t)
 	victim := s.planner(s.instances[0])
@@ -114,7 +115,8 @@
 	}
 }
 
-// Failure: counters stop although workers and instances are well.
+// Guards against services and accepted work that stop during an outage of the platform's storage
+// although workers and instances are healthy.
 func TestTableOutage(t *testing.T) {
 	s := newLoadedCluster(t)
 	s.setFault(standplatform.Fault{TableDown: true, ObjectsDown: true})
@@ -152,7 +154,8 @@
 	}
 }
 
-// Failure: tasks run twice after the outage.
+// Guards against tasks that run twice because the planner is killed during an outage of the
+// table, after starts that it could not store.
 func TestPlannerKilledInOutage(t *testing.T) {
 	s := newLoadedCluster(t)
 	victim := s.planner(s.instances[0])
@@ -176,8 +179,8 @@
 	}
 }
 
-// Failure: an operator sees an error for a change that was accepted, or a run exists
-// twice.
+// Guards against an error for a change that was accepted, and against a duplicate run, when
+// responses of the table are lost.
 func TestLostAnswers(t *testing.T) {
 	s := newLoadedCluster(t)
 	s.setFault(standplatform.Fault{LoseAnswers: 12})
@@ -198,7 +201,8 @@
 	}
 }
 
-// Failure: work lands on a worker that is gone, or a new instance is left out.
+// Guards against work on a dead worker, and against a new instance that stays unused, when the
+// platform's list of instances is outdated.
 func TestLaggingList(t *testing.T) {
 	s := newLoadedCluster(t)
 	s.setFault(standplatform.Fault{FreezeList: true})
@@ -212,7 +216,8 @@
 	s.checkRecord()
 }
 
-// Failure: a task runs in two places.
+// Guards against a task on 2 workers when a worker becomes reachable again after its tasks were
+// restarted elsewhere.
 func TestWorkerLostAndReturned(t *testing.T) {
 	s := newLoadedCluster(t)
 	var cut *node
@@ -239,7 +244,7 @@
 	s.checkRecord()
 }
 
-// Failure: what was accepted is forgotten, or run again.
+// Guards against losing or repeating accepted work when all instances restart.
 func TestAllInstancesRestarted(t *testing.T) {
 	s := newLoadedCluster(t)
 	s.await("most letters sent", func() error {
--- a/test/e2e/matrix_test.go
+++ b/test/e2e/matrix_test.go
@@ -12,11 +12,10 @@
 	standworker "gentianstand/internal/standin/worker"
 )
 
-// disruption is a failure that befalls a site, most of all one of its instances,
-// and passes.
+// disruption is a temporary failure of a cluster, in most cases of one of its instances.
 type disruption struct {
 	name string
-	// inject makes it happen to the site and the instance, end ends it.
+	// inject starts the failure, with victim as the affected instance; end ends it.
 	inject, end func(s *cluster, victim *node)
 }
 
@@ -54,24 +53,24 @@
 		func(s *cluster, v *node) { s.restart(v); s.setFault(standplatform.Fault{}) }},
 }
 
-// awaitTakenOver waits until others own everything that the victim did.
+// awaitTakenOver waits until other instances own all shards of the victim.
 func (s *cluster) awaitTakenOver(victim *node) {
 	s.t.Helper()
-	s.await("overtaken", func() error {
+	s.await("takeover", func() error {
 		st, err := s.status(s.others(victim)[0])
 		if err != nil {
 			return err
 		}
 		for _, shard := range st.Shards {
 			if shard.Owner.Instance == victim.id {
-				return fmt.Errorf("%s has %s", victim.id, shard.Name)
+				return fmt.Errorf("%s still owns %s", victim.id, shard.Name)
 			}
 		}
 		return nil
 	})
 }
 
-// ownerOf returns the instance that owns a worker's rack.
+// ownerOf returns the instance that owns the shard of a rack.
 func (s *cluster) ownerOf(rack string) *node {
 	s.t.Helper()
 	var found *node
@@ -88,12 +87,12 @@
 				}
 			}
 		}
-		return fmt.Errorf("nobody")
+		return fmt.Errorf("no owner")
 	})
 	return found
 }
 
-// Failure: a worker that is to be stopped gets work again.
+// Guards against new work on a drained worker after a failure.
 func TestDrainHolds(t *testing.T) {
 	for _, tr := range disruptions {
 		t.Run(tr.name, func(t *testing.T) {
@@ -122,7 +121,7 @@
 	}
 }
 
-// Failure: an instance falls back to an earlier text.
+// Guards against an instance that returns to an earlier configuration after a failure.
 func TestConfigurationHolds(t *testing.T) {
 	for _, tr := range disruptions {
 		t.Run(tr.name, func(t *testing.T) {
@@ -149,15 +148,15 @@
 				return err
 			}
 			if st.Config != want {
-				return fmt.Errorf("%s has %d", inst.id, st.Config)
+				return fmt.Errorf("%s has configuration %d", inst.id, st.Config)
 			}
 		}
 		return nil
 	})
 }
 
-// neverBelow fails if an instance that is up shows an earlier configuration;
-// one that has just started has none yet.
+// neverBelow fails the test if a ready instance uses a configuration before want. Instances
+// that have just started have none yet and are skipped.
 func (s *cluster) neverBelow(want uint64) {
 	s.t.Helper()
 	for range 20 {
@@ -168,15 +167,15 @@
 				continue
 			}
 			if n := s.metric(inst, "gentianstand_config_number"); n != 0 && n < int(want) {
-				s.t.Errorf("%s shows configuration %d", inst.id, n)
+				s.t.Errorf("%s uses configuration %d", inst.id, n)
 			}
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// Failure: an order is placed twice, or a caller is told that it did not run although
-// it did.
+// Guards against executing a keyed request twice, and against reporting that it did not run
+// although it did, after a failure.
 func TestKeysHold(t *testing.T) {
 	const keys = 8
 	for _, tr := range disruptions {
@@ -189,7 +188,7 @@
 					_, _ = s.request(victim, http.MethodPost, "casedesk/order?work=3s", fmt.Sprintf("k%d", k))
 				}()
 			}
-			s.await("all orders let go", func() error { return s.keysArrived(keys) })
+			s.await("all requests executing", func() error { return s.keysArrived(keys) })
 			tr.inject(s, victim)
 			tr.end(s, victim)
 			for k := range keys {
@@ -215,7 +214,7 @@
 	return nil
 }
 
-// awaitKeyedRequests waits until the homes of keys answer through an instance.
+// awaitKeyedRequests waits until an instance can serve requests with keys of various shards.
 func (s *cluster) awaitKeyedRequests(inst *node) {
 	s.t.Helper()
 	for k := range 12 {
@@ -229,12 +228,12 @@
 	}
 }
 
-// retryKeyed repeats a keyed request that was let go, until it is answered
-// with something else than that its home is not ready. Never may it be told
-// that the request itself did not run.
+// retryKeyed repeats a keyed request that has been executed until the key's owning shard
+// answers. The answer must be the replayed response or say that the request has run, is in
+// progress or has an unknown outcome, never that it did not run.
 func (s *cluster) retryKeyed(inst *node, key string) {
 	s.t.Helper()
-	s.await("honest answer for "+key, func() error {
+	s.await("answer for "+key, func() error {
 		a, err := s.request(inst, http.MethodPost, "casedesk/order?work=3s", key)
 		if err != nil {
 			return err
@@ -251,12 +250,12 @@
 	})
 }
 
-// Failure: a planned stop cuts off requests in progress when something else fails
-// beside it.
+// Guards against a graceful stop that aborts requests in progress because of another failure at
+// the same time.
 func TestStopHolds(t *testing.T) {
 	for _, tr := range disruptions {
 		if tr.name == "AllRestarted" {
-			continue // it would end the instance that is to stop
+			continue // would restart the instance that is to stop
 		}
 		t.Run(tr.name, func(t *testing.T) {
 			s := newLoadedCluster(t)
@@ -282,7 +281,7 @@
 			code := leaving.stop()
 			for range 4 {
 				if err := <-done; err != nil {
-					t.Errorf("a request in progress: %v", err)
+					t.Errorf("request in progress: %v", err)
 				}
 			}
 			if code != 0 {
--- a/test/e2e/path_test.go
+++ b/test/e2e/path_test.go
@@ -30,21 +30,20 @@
     command: [sleep, 50ms]
 `
 
-// TestWholePath starts three instances, a platform and three workers as
-// processes, applies a text with one of each kind of work, and follows each to
-// its end.
+// TestWholePath starts a platform, 3 instances and 3 workers as processes, applies a
+// configuration with one workload of each kind, and waits for their results.
 func TestWholePath(t *testing.T) {
 	s := newCluster(t, 3, 3, 1)
 	first := s.instances[0]
 	s.apply(first, text)
-	s.await("text in force everywhere", func() error {
+	s.await("configuration on all instances", func() error {
 		for _, inst := range s.instances {
 			st, err := s.status(inst)
 			if err != nil {
 				return err
 			}
 			if st.Config != 1 {
-				return fmt.Errorf("%s has %d", inst.id, st.Config)
+				return fmt.Errorf("%s has configuration %d", inst.id, st.Config)
 			}
 		}
 		return nil
--- a/test/e2e/process_test.go
+++ b/test/e2e/process_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// process is one program that a test started.
+// process is a program started by a test.
 type process struct {
 	t    testing.TB
 	name string
@@ -19,6 +19,7 @@
 	once sync.Once
 }
 
+// lockedBuffer is a buffer for concurrent use.
 type lockedBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -36,6 +37,8 @@
 	return b.buf.String()
 }
 
+// start starts a program and kills it at the end of the test. It logs the program's output if
+// the test fails.
 func start(t testing.TB, name, binary string, args ...string) *process {
 	t.Helper()
 	p := &process{t: t, name: name, cmd: exec.Command(filepath.Join(binaries, binary), args...)}
@@ -54,7 +57,7 @@
 
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// kill ends the process at once and waits until it is gone.
+// kill kills the process, also if it is stopped, and waits for its end.
 func (p *process) kill() {
 	p.once.Do(func() {
 		_ = p.cmd.Process.Signal(syscall.SIGCONT)
@@ -63,15 +66,15 @@
 	})
 }
 
-// stop asks for a graceful stop and returns the exit code.
+// stop requests a graceful stop and returns the exit code.
 func (p *process) stop() int {
 	p.signal(syscall.SIGTERM)
 	p.once.Do(func() { _ = p.cmd.Wait() })
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// tail returns the end of a log, without the lines that only repeat what
-// callers were told.
+// tail returns the end of a log without the lines about refused requests, which the callers'
+// answers show already.
 func tail(s string) string {
 	const most = 8000
 	var kept strings.Builder
--- a/test/e2e/recovery_test.go
+++ b/test/e2e/recovery_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// BenchmarkRecovery measures, for each trouble that takes an instance away, how
-// long its shards are without an owner, how long until a batch of 60 tasks that
-// was running ends compared with a quiet site, and what callers at the other
-// instances are told meanwhile.
+// BenchmarkRecovery measures, for each disruption that disables an instance: the time until its
+// shards have a new owner, the time until a running batch of 60 tasks ends, relative to a
+// cluster without disruptions, and the share of requests through the other instances that are
+// not answered.
 func BenchmarkRecovery(b *testing.B) {
 	quiet := 0.0
 	b.Run("Quiet", func(b *testing.B) {
@@ -44,6 +44,7 @@
 	}
 }
 
+// newBenchCluster returns a cluster that has applied serviceText and serves requests.
 func newBenchCluster(b *testing.B) *cluster {
 	s := newCluster(b, 3, 6, 2)
 	s.awaitOwned()
--- a/test/e2e/requests_test.go
+++ b/test/e2e/requests_test.go
@@ -12,7 +12,7 @@
 	standworker "gentianstand/internal/standin/worker"
 )
 
-// ranWith counts how often a request with the key was executed.
+// ranWith returns the number of executed requests with an idempotency key.
 func ranWith(events []standworker.Event, key string) int {
 	n := 0
 	for _, e := range events {
@@ -23,7 +23,8 @@
 	return n
 }
 
-// Failure: an order is placed twice.
+// Guards against executing a request with an idempotency key twice when it is sent concurrently
+// and repeatedly through several instances.
 func TestKeyRunsOnce(t *testing.T) {
 	s := newLoadedCluster(t)
 	var wg sync.WaitGroup
@@ -36,7 +37,7 @@
 		}
 	}
 	wg.Wait()
-	s.await("a late repeat gets the first answer", func() error {
+	s.await("late repeat gets the first answer", func() error {
 		a, err := s.request(s.instances[2], http.MethodPost, "casedesk/order?work=50ms", "order-1")
 		if err == nil && a.header.Get("Idempotency-Replayed") != "true" {
 			err = fmt.Errorf("%+v", a)
@@ -44,12 +45,12 @@
 		return err
 	})
 	if n := ranWith(s.checkRecord(), "order-1"); n != 1 {
-		t.Errorf("the order ran %d times", n)
+		t.Errorf("the request ran %d times", n)
 	}
 }
 
-// sendKeyed sends a keyed request and demands an answer that is an
-// upstream's own, or says that the key is in progress or did not run.
+// sendKeyed sends a keyed request and fails the test unless the answer is the upstream's or says
+// that the key is in progress or that the request did not run.
 func (s *cluster) sendKeyed(inst *node, key string, round int) {
 	a, err := s.request(inst, http.MethodPost, "casedesk/order?work=50ms", key)
 	if err != nil || (a.status != http.StatusOK && a.kind != "key_in_progress" && a.outcome != "did_not_run") {
@@ -57,11 +58,12 @@
 	}
 }
 
-// Failure: an order is placed twice, or its repeat is told that it did not run.
+// Guards against executing a keyed request twice, and against reporting that it did not run,
+// after the instance with the key's owning shard was killed.
 func TestKeyWhoseOwnerDied(t *testing.T) { testKeyWhoseOwnerDied(t, standplatform.Fault{}) }
 
-// TestKeyWhoseOwnerDiedInOutage is the same while the table is down: the keys
-// are in the object store then.
+// TestKeyWhoseOwnerDiedInOutage checks the same during an outage of the table, in which the keys
+// are kept in the object store.
 func TestKeyWhoseOwnerDiedInOutage(t *testing.T) {
 	testKeyWhoseOwnerDied(t, standplatform.Fault{TableDown: true})
 }
@@ -79,7 +81,7 @@
 	for k := range keys {
 		go func() { _, _ = s.request(victim, http.MethodPost, "casedesk/order?work=20s", fmt.Sprintf("k%d", k)) }()
 	}
-	s.await("all orders let go", func() error {
+	s.await("all requests executing", func() error {
 		events := s.events()
 		for k := range keys {
 			if ranWith(events, fmt.Sprintf("k%d", k)) == 0 {
@@ -92,7 +94,7 @@
 	s.setFault(standplatform.Fault{})
 	for k := range keys {
 		key := fmt.Sprintf("k%d", k)
-		s.await("honest answer for "+key, func() error {
+		s.await("answer for "+key, func() error {
 			a, err := s.request(rest[k%2], http.MethodPost, "casedesk/order?work=20s", key)
 			if err != nil {
 				return err
@@ -111,14 +113,15 @@
 	}
 }
 
-// Failure: orders cannot be placed while the table is down.
+// Guards against refusing keyed requests while the table is down although the object store can
+// keep their keys.
 func TestKeysInOutage(t *testing.T) {
 	s := newLoadedCluster(t)
-	s.awaitKeyedRequests(s.instances[0]) // a home that was taken over must have read its keys before
+	s.awaitKeyedRequests(s.instances[0]) // a shard that was taken over must have loaded its keys before the outage
 	s.setFault(standplatform.Fault{TableDown: true})
 	for k := range 6 {
 		key := fmt.Sprintf("k%d", k)
-		s.await("order "+key, func() error {
+		s.await("request with key "+key, func() error {
 			a, err := s.request(s.instances[k%3], http.MethodPost, "casedesk/order", key)
 			if err == nil && a.status != http.StatusOK {
 				err = fmt.Errorf("%+v", a)
@@ -129,14 +132,14 @@
 	s.setFault(standplatform.Fault{TableDown: true, ObjectsDown: true})
 	a, err := s.request(s.instances[0], http.MethodPost, "casedesk/order", "k-none")
 	if err != nil || a.kind != "platform_unavailable" || a.outcome != "did_not_run" || a.retry == "" {
-		t.Errorf("with nowhere to keep the key: %+v %v", a, err)
+		t.Errorf("with table and object store down: %+v %v", a, err)
 	}
 	if n := ranWith(s.checkRecord(), "k-none"); n != 0 {
 		t.Errorf("a request that was answered did_not_run ran %d times", n)
 	}
 }
 
-// Failure: requests hang although the worker is well.
+// Guards against requests that hang on an unresponsive connection to a healthy worker.
 func TestUnresponsiveConnections(t *testing.T) {
 	s := newLoadedCluster(t)
 	tr := s.sendTraffic(s.instances, 4)
@@ -160,13 +163,13 @@
 	}()
 	a, err := s.request(s.instances[1], http.MethodPost, "casedesk/once", "")
 	if err != nil || (a.status != http.StatusOK && a.outcome != "did_not_run") {
-		t.Errorf("a request on a silent connection: %+v %v", a, err)
+		t.Errorf("request on an unresponsive connection: %+v %v", a, err)
 	}
 	if took := time.Since(started); took > 25*time.Second {
-		t.Errorf("noticed after %s, close to the deadline", took)
+		t.Errorf("detected after %s, close to the deadline", took)
 	}
 	if err := <-slow; err != nil {
-		t.Errorf("the slow request: %v", err)
+		t.Errorf("slow request: %v", err)
 	}
 	ok, refused, broken := tr.stop(s)
 	if ok < 100 || refused > 0 || broken > 0 {
@@ -175,7 +178,7 @@
 	s.checkRecord()
 }
 
-// Failure: one operator's change overwrites another's unseen.
+// Guards against a change of one operator that silently overwrites a concurrent one.
 func TestRacingOperators(t *testing.T) {
 	s := newLoadedCluster(t)
 	results := make([]string, 2)
@@ -190,7 +193,7 @@
 	}
 	wg.Wait()
 	if failed[0] == failed[1] {
-		t.Fatalf("not exactly one winner: %q %q", results[0], results[1])
+		t.Fatalf("want exactly 1 accepted change: %q %q", results[0], results[1])
 	}
 	loser, winner := 0, 1
 	if failed[1] {
@@ -198,10 +201,10 @@
 	}
 	for _, want := range []string{"conflict", fmt.Sprintf("operator-%d", winner), fmt.Sprintf("operator-%d", loser), "replicas: 4", "replicas: 5"} {
 		if !strings.Contains(results[loser], want) {
-			t.Errorf("the loser was not told %q: %s", want, results[loser])
+			t.Errorf("output of the refused change lacks %q: %s", want, results[loser])
 		}
 	}
-	s.await("in force everywhere", func() error {
+	s.await("configuration on all instances", func() error {
 		for _, inst := range s.instances {
 			if st, err := s.status(inst); err != nil || st.Config != 2 {
 				return fmt.Errorf("%s: %d %v", inst.id, st.Config, err)
@@ -215,7 +218,8 @@
 	}
 }
 
-// Failure: an instance comes back with an old text or none.
+// Guards against an instance that restarts during an outage of the table with an outdated
+// configuration or none.
 func TestConfigurationSurvivesOutage(t *testing.T) {
 	s := newLoadedCluster(t)
 	s.setFault(standplatform.Fault{TableDown: true})
--- a/test/e2e/stops_test.go
+++ b/test/e2e/stops_test.go
@@ -9,8 +9,8 @@
 	standworker "gentianstand/internal/standin/worker"
 )
 
-// Failure: a request in progress is cut off, or workers are without an owner for a
-// while.
+// Guards against a graceful stop that aborts requests in progress or leaves workers without an
+// owner for some time.
 func TestGracefulStop(t *testing.T) {
 	s := newLoadedCluster(t)
 	leaving := s.instances[1]
@@ -31,7 +31,7 @@
 	}
 	for range 4 {
 		if err := <-done; err != nil {
-			t.Errorf("a request in progress: %v", err)
+			t.Errorf("request in progress: %v", err)
 		}
 	}
 	ok, _, broken := tr.stop(s)
@@ -42,7 +42,7 @@
 	s.checkRecord()
 }
 
-// Failure: a worker that is to be stopped still gets work.
+// Guards against new work on a drained worker.
 func TestDrainedWorker(t *testing.T) {
 	s := newLoadedCluster(t)
 	target := s.workers[0]
@@ -65,7 +65,7 @@
 	}
 }
 
-// checkWorkerEmpty returns an error while the record shows a running task.
+// checkWorkerEmpty returns an error if the record shows running tasks on a worker.
 func (s *cluster) checkWorkerEmpty(w *node) error {
 	running := 0
 	for _, e := range s.events() {
--- a/test/e2e/texts_test.go
+++ b/test/e2e/texts_test.go
@@ -1,7 +1,7 @@
 package e2e
 
-// serviceText has a service, a batch that runs for a while and one that
-// callers submit.
+// serviceText is a configuration with a service, a batch that ends (letters), a batch that runs
+// throughout a test (watch), and a batch that starts when it is submitted (extra).
 const serviceText = `version: 1
 teams:
   - name: wards
--- a/test/e2e/traffic_test.go
+++ b/test/e2e/traffic_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// traffic sends requests in the background and keeps every answer.
+// traffic sends requests in the background and records every answer.
 type traffic struct {
 	quit    chan struct{}
 	wg      sync.WaitGroup
@@ -16,8 +16,8 @@
 	errors  []error
 }
 
-// sendTraffic sends GET requests through the given instances in turn until
-// stop is called.
+// sendTraffic sends GET requests through the given instances in turn, from several concurrent
+// senders, until stop is called.
 func (s *cluster) sendTraffic(through []*node, senders int) *traffic {
 	tr := &traffic{quit: make(chan struct{})}
 	for n := range senders {
@@ -48,6 +48,8 @@
 	tr.answers = append(tr.answers, a)
 }
 
+// count returns the number of requests with status 200, with another status, and without an
+// answer.
 func (tr *traffic) count() (ok, refused, broken int) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -61,7 +63,8 @@
 	return ok, refused, len(tr.errors)
 }
 
-// stop ends the sending and checks that every answer belongs to its request.
+// stop stops the senders and checks that every answer belongs to its request and that every
+// refusal has a kind and an outcome.
 func (tr *traffic) stop(s *cluster) (ok, refused, broken int) {
 	s.t.Helper()
 	close(tr.quit)
--- a/test/e2e/usage_test.go
+++ b/test/e2e/usage_test.go
@@ -7,19 +7,19 @@
 	"strings"
 )
 
-// usage is what a process has used since its start.
+// usage holds the resources that a process has used since its start.
 type usage struct {
 	cpuSeconds float64
 	rssMiB     float64
-	// moved is bytes read and written by system calls, nearly all of them on
+	// moved is the number of bytes read and written by system calls, almost all of them on
 	// sockets.
 	moved float64
 }
 
-// clockTicks is the unit of CPU times in /proc, ticks a second on Linux.
+// clockTicks is the number of clock ticks per second on Linux, the unit of CPU times in /proc.
 const clockTicks = 100
 
-// usage reads /proc, so it measures the one process whatever else runs.
+// usage reads the process's usage from /proc, which is not affected by other processes.
 func (p *process) usage() usage {
 	var u usage
 	pid := p.cmd.Process.Pid
