--- a/test/e2e/cluster_test.go
+++ b/test/e2e/cluster_test.go
@@ -93,9 +93,9 @@
 	s.post(s.address, standplatform.PathInstance, inst)
 }
 
-func (s *cluster) setFault(f standplatform.Fault) { s.post(s.address, standplatform.PathFault, f) }
+func (s *cluster) fault(f standplatform.Fault) { s.post(s.address, standplatform.PathFault, f) }
 
-func (s *cluster) setWorkerFault(n *node, f standworker.Fault) {
+func (s *cluster) workerFault(n *node, f standworker.Fault) {
 	s.post(n.address, standworker.PathFault, f)
 }
 
--- a/test/e2e/failures_test.go
+++ b/test/e2e/failures_test.go
@@ -98,7 +98,7 @@
 	s := newLoadedCluster(t)
 	victim := s.planner(s.instances[0])
 	rest := s.others(victim)
-	s.setFault(standplatform.Fault{Cut: []string{victim.id}})
+	s.fault(standplatform.Fault{Cut: []string{victim.id}})
 	s.await("another planner", func() error {
 		st, err := s.status(rest[0])
 		if err == nil && st.Planner == victim.id {
@@ -108,7 +108,7 @@
 	})
 	s.awaitAnswered(victim, "casedesk/cut")
 	s.awaitState(rest[0], "letters", "succeeded")
-	s.setFault(standplatform.Fault{})
+	s.fault(standplatform.Fault{})
 	s.awaitRunning(rest[0], "watch", 3)
 	if n := startsOf(s.checkRecord(), "watch"); n != 3 {
 		t.Errorf("the three watch tasks were started %d times", n)
@@ -119,7 +119,7 @@
 // although workers and instances are healthy.
 func TestTableOutage(t *testing.T) {
 	s := newLoadedCluster(t)
-	s.setFault(standplatform.Fault{TableDown: true, ObjectsDown: true})
+	s.fault(standplatform.Fault{TableDown: true, ObjectsDown: true})
 	tr := s.sendTraffic(s.instances, 2)
 	down := time.Now()
 	s.await("accepted batch in the outage", func() error {
@@ -140,7 +140,7 @@
 	if ok == 0 || refused > 0 || broken > 0 {
 		t.Errorf("in the outage: %d answered, %d refused, %d broken", ok, refused, broken)
 	}
-	s.setFault(standplatform.Fault{})
+	s.fault(standplatform.Fault{})
 	s.awaitState(s.instances[2], "letters", "succeeded")
 	s.await("submit after the outage", func() error {
 		_, err := s.run(s.instances[1], "", "submit", "-workload", "extra", "-key", "k1")
@@ -160,7 +160,7 @@
 	s := newLoadedCluster(t)
 	victim := s.planner(s.instances[0])
 	rest := s.others(victim)
-	s.setFault(standplatform.Fault{TableDown: true})
+	s.fault(standplatform.Fault{TableDown: true})
 	before := startsOf(s.events(), "letters")
 	s.await("starts in the outage", func() error {
 		if n := startsOf(s.events(), "letters"); n < before+6 {
@@ -170,7 +170,7 @@
 	})
 	victim.kill()
 	time.Sleep(time.Second)
-	s.setFault(standplatform.Fault{})
+	s.fault(standplatform.Fault{})
 	s.awaitState(rest[0], "letters", "succeeded")
 	for task, n := range starts(s.checkRecord()) {
 		if n != 1 {
@@ -183,12 +183,12 @@
 // responses of the table are lost.
 func TestLostAnswers(t *testing.T) {
 	s := newLoadedCluster(t)
-	s.setFault(standplatform.Fault{LoseAnswers: 12})
+	s.fault(standplatform.Fault{LoseAnswers: 12})
 	out, err := s.run(s.instances[1], strings.Replace(serviceText, "tasks: 60", "tasks: 6", 1), "apply", "-base", "1")
 	if err != nil || !strings.Contains(out, "configuration 2") {
 		t.Errorf("apply with lost answers: %v %s", err, out)
 	}
-	s.setFault(standplatform.Fault{LoseAnswers: 6})
+	s.fault(standplatform.Fault{LoseAnswers: 6})
 	s.await("submit with lost answers", func() error {
 		_, err := s.run(s.instances[2], "", "submit", "-workload", "extra", "-key", "k1")
 		return err
@@ -205,7 +205,7 @@
 // platform's list of instances is outdated.
 func TestLaggingList(t *testing.T) {
 	s := newLoadedCluster(t)
-	s.setFault(standplatform.Fault{FreezeList: true})
+	s.fault(standplatform.Fault{FreezeList: true})
 	s.workers[5].kill()
 	replaced := s.others(s.planner(s.instances[0]))[0]
 	s.restart(replaced)
@@ -231,14 +231,14 @@
 			}
 		}
 	}
-	s.setWorkerFault(cut, standworker.Fault{DropAgent: true})
+	s.workerFault(cut, standworker.Fault{DropAgent: true})
 	s.await("tasks moved", func() error {
 		if n := startsOf(s.events(), "watch"); n <= 3 {
 			return fmt.Errorf("%d starts", n)
 		}
 		return nil
 	})
-	s.setWorkerFault(cut, standworker.Fault{})
+	s.workerFault(cut, standworker.Fault{})
 	s.awaitRunning(s.instances[0], "watch", 3)
 	s.awaitState(s.instances[0], "letters", "succeeded")
 	s.checkRecord()
--- a/test/e2e/matrix_test.go
+++ b/test/e2e/matrix_test.go
@@ -25,18 +25,15 @@
 		func(s *cluster, v *node) { v.signal(syscall.SIGSTOP); s.awaitTakenOver(v) },
 		func(_ *cluster, v *node) { v.signal(syscall.SIGCONT) }},
 	{"Cut",
-		func(s *cluster, v *node) { s.setFault(standplatform.Fault{Cut: []string{v.id}}); s.awaitTakenOver(v) },
-		func(s *cluster, _ *node) { s.setFault(standplatform.Fault{}) }},
+		func(s *cluster, v *node) { s.fault(standplatform.Fault{Cut: []string{v.id}}); s.awaitTakenOver(v) },
+		func(s *cluster, _ *node) { s.fault(standplatform.Fault{}) }},
 	{"Outage",
-		func(s *cluster, _ *node) {
-			s.setFault(standplatform.Fault{TableDown: true})
-			time.Sleep(6 * time.Second)
-		},
-		func(s *cluster, _ *node) { s.setFault(standplatform.Fault{}) }},
-	{"LostAnswers", func(s *cluster, _ *node) { s.setFault(standplatform.Fault{LoseAnswers: 8}) }, func(*cluster, *node) {}},
+		func(s *cluster, _ *node) { s.fault(standplatform.Fault{TableDown: true}); time.Sleep(6 * time.Second) },
+		func(s *cluster, _ *node) { s.fault(standplatform.Fault{}) }},
+	{"LostAnswers", func(s *cluster, _ *node) { s.fault(standplatform.Fault{LoseAnswers: 8}) }, func(*cluster, *node) {}},
 	{"LaggingList",
-		func(s *cluster, v *node) { s.setFault(standplatform.Fault{FreezeList: true}); s.restart(v) },
-		func(s *cluster, _ *node) { s.setFault(standplatform.Fault{}) }},
+		func(s *cluster, v *node) { s.fault(standplatform.Fault{FreezeList: true}); s.restart(v) },
+		func(s *cluster, _ *node) { s.fault(standplatform.Fault{}) }},
 	{"AllRestarted",
 		func(s *cluster, _ *node) {
 			for _, inst := range s.instances {
@@ -46,11 +43,11 @@
 		func(*cluster, *node) {}},
 	{"KillInOutage",
 		func(s *cluster, v *node) {
-			s.setFault(standplatform.Fault{TableDown: true})
+			s.fault(standplatform.Fault{TableDown: true})
 			time.Sleep(4 * time.Second)
 			v.kill()
 		},
-		func(s *cluster, v *node) { s.restart(v); s.setFault(standplatform.Fault{}) }},
+		func(s *cluster, v *node) { s.restart(v); s.fault(standplatform.Fault{}) }},
 }
 
 // awaitTakenOver waits until other instances own all shards of the victim.
--- a/test/e2e/requests_test.go
+++ b/test/e2e/requests_test.go
@@ -73,7 +73,7 @@
 	victim := s.others(s.planner(s.instances[0]))[0]
 	rest := s.others(victim)
 	s.awaitKeyedRequests(victim)
-	s.setFault(fault)
+	s.fault(fault)
 	if fault.TableDown {
 		time.Sleep(4 * time.Second)
 	}
@@ -91,7 +91,7 @@
 		return nil
 	})
 	victim.kill()
-	s.setFault(standplatform.Fault{})
+	s.fault(standplatform.Fault{})
 	for k := range keys {
 		key := fmt.Sprintf("k%d", k)
 		s.await("answer for "+key, func() error {
@@ -118,7 +118,7 @@
 func TestKeysInOutage(t *testing.T) {
 	s := newLoadedCluster(t)
 	s.awaitKeyedRequests(s.instances[0]) // a shard that was taken over must have loaded its keys before the outage
-	s.setFault(standplatform.Fault{TableDown: true})
+	s.fault(standplatform.Fault{TableDown: true})
 	for k := range 6 {
 		key := fmt.Sprintf("k%d", k)
 		s.await("request with key "+key, func() error {
@@ -129,7 +129,7 @@
 			return err
 		})
 	}
-	s.setFault(standplatform.Fault{TableDown: true, ObjectsDown: true})
+	s.fault(standplatform.Fault{TableDown: true, ObjectsDown: true})
 	a, err := s.request(s.instances[0], http.MethodPost, "casedesk/order", "k-none")
 	if err != nil || a.kind != "platform_unavailable" || a.outcome != "did_not_run" || a.retry == "" {
 		t.Errorf("with table and object store down: %+v %v", a, err)
@@ -150,7 +150,7 @@
 		return nil
 	})
 	for _, w := range s.workers {
-		s.setWorkerFault(w, standworker.Fault{SilenceConnections: true})
+		s.workerFault(w, standworker.Fault{SilenceConnections: true})
 	}
 	started := time.Now()
 	slow := make(chan error, 1)
@@ -222,7 +222,7 @@
 // configuration or none.
 func TestConfigurationSurvivesOutage(t *testing.T) {
 	s := newLoadedCluster(t)
-	s.setFault(standplatform.Fault{TableDown: true})
+	s.fault(standplatform.Fault{TableDown: true})
 	replaced := s.others(s.planner(s.instances[0]))[0]
 	s.restart(replaced)
 	s.awaitAnswered(replaced, "casedesk/new")
@@ -230,7 +230,7 @@
 	if err != nil || st.Config != 1 {
 		t.Errorf("configuration %d, %v", st.Config, err)
 	}
-	s.setFault(standplatform.Fault{})
+	s.fault(standplatform.Fault{})
 	s.awaitRunning(s.instances[0], "watch", 3)
 	s.checkRecord()
 }
