--- a/test/e2e/commands_test.go
+++ b/test/e2e/commands_test.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// TestExamplesApply checks that the example configurations are accepted. Tasks too large for any
-// worker of this small cluster lead to warnings only.
+// TestExamplesApply checks that the example configurations of both users are accepted. Tasks too
+// large for any worker of this small cluster lead to warnings only.
 func TestExamplesApply(t *testing.T) {
 	t.Parallel()
 	s := newCluster(t, 2, 2, 1)
