--- a/test/e2e/failures_test.go
+++ b/test/e2e/failures_test.go
@@ -11,7 +11,7 @@
 	standworker "gentianstand/internal/standin/worker"
 )
 
-// newLoadedCluster returns a site with the service text in force and its work running.
+// newLoadedCluster returns a cluster that has applied serviceText and runs its workloads.
 func newLoadedCluster(t *testing.T) *cluster {
 	t.Helper()
 	t.Parallel()
@@ -26,7 +26,7 @@
 	return s
 }
 
-// starts counts how often each task was started.
+// starts returns the number of starts of each task.
 func starts(events []standworker.Event) map[string]int {
 	counts := map[string]int{}
 	for _, e := range events {
@@ -37,7 +37,7 @@
 	return counts
 }
 
-// startsOf sums the starts of tasks whose name contains part.
+// startsOf returns the total number of starts of the tasks whose name contains part.
 func startsOf(events []standworker.Event, part string) int {
 	n := 0
 	for task, count := range starts(events) {
@@ -48,7 +48,7 @@
 	return n
 }
 
-// Failure: work stops, or runs twice.
+// Guards against work that stops or runs twice because the planner is killed.
 func TestKilledPlanner(t *testing.T) {
 	s := newLoadedCluster(t)
 	victim := s.planner(s.instances[0])
@@ -69,7 +69,8 @@
 	}
 }
 
-// Failure: a worker is given more than it has, or a task runs in two places.
+// Guards against an owner that resumes after a freeze and starts tasks on workers which another
+// instance has taken over: workers over capacity, or a task on 2 workers.
 func TestFrozenOwnerReturns(t *testing.T) {
 	s := newLoadedCluster(t)
 	victim := s.planner(s.instances[0])
@@ -92,12 +93,12 @@
 	}
 }
 
-// Failure: a task runs twice or stops.
+// Guards against tasks that run twice or stop because an owner is partitioned from the table.
 func TestCutFromTable(t *testing.T) {
 	s := newLoadedCluster(t)
 	victim := s.planner(s.instances[0])
 	rest := s.others(victim)
-	s.setFault(standplatform.Fault{Cut: []string{victim.id}})
+	s.fault(standplatform.Fault{Cut: []string{victim.id}})
 	s.await("another planner", func() error {
 		st, err := s.status(rest[0])
 		if err == nil && st.Planner == victim.id {
@@ -107,17 +108,18 @@
 	})
 	s.awaitAnswered(victim, "casedesk/cut")
 	s.awaitState(rest[0], "letters", "succeeded")
-	s.setFault(standplatform.Fault{})
+	s.fault(standplatform.Fault{})
 	s.awaitRunning(rest[0], "watch", 3)
 	if n := startsOf(s.checkRecord(), "watch"); n != 3 {
 		t.Errorf("the three watch tasks were started %d times", n)
 	}
 }
 
-// Failure: counters stop although workers and instances are well.
+// Guards against services and accepted work that stop during an outage of the platform's storage
+// although workers and instances are healthy.
 func TestTableOutage(t *testing.T) {
 	s := newLoadedCluster(t)
-	s.setFault(standplatform.Fault{TableDown: true, ObjectsDown: true})
+	s.fault(standplatform.Fault{TableDown: true, ObjectsDown: true})
 	tr := s.sendTraffic(s.instances, 2)
 	down := time.Now()
 	s.await("accepted batch in the outage", func() error {
@@ -138,7 +140,7 @@
 	if ok == 0 || refused > 0 || broken > 0 {
 		t.Errorf("in the outage: %d answered, %d refused, %d broken", ok, refused, broken)
 	}
-	s.setFault(standplatform.Fault{})
+	s.fault(standplatform.Fault{})
 	s.awaitState(s.instances[2], "letters", "succeeded")
 	s.await("submit after the outage", func() error {
 		_, err := s.run(s.instances[1], "", "submit", "-workload", "extra", "-key", "k1")
@@ -152,12 +154,13 @@
 	}
 }
 
-// Failure: tasks run twice after the outage.
+// Guards against tasks that run twice because the planner is killed during an outage of the
+// table, after starts that it could not store.
 func TestPlannerKilledInOutage(t *testing.T) {
 	s := newLoadedCluster(t)
 	victim := s.planner(s.instances[0])
 	rest := s.others(victim)
-	s.setFault(standplatform.Fault{TableDown: true})
+	s.fault(standplatform.Fault{TableDown: true})
 	before := startsOf(s.events(), "letters")
 	s.await("starts in the outage", func() error {
 		if n := startsOf(s.events(), "letters"); n < before+6 {
@@ -167,7 +170,7 @@
 	})
 	victim.kill()
 	time.Sleep(time.Second)
-	s.setFault(standplatform.Fault{})
+	s.fault(standplatform.Fault{})
 	s.awaitState(rest[0], "letters", "succeeded")
 	for task, n := range starts(s.checkRecord()) {
 		if n != 1 {
@@ -176,16 +179,16 @@
 	}
 }
 
-// Failure: an operator sees an error for a change that was accepted, or a run exists
-// twice.
+// Guards against an error for a change that was accepted, and against a duplicate run, when
+// responses of the table are lost.
 func TestLostAnswers(t *testing.T) {
 	s := newLoadedCluster(t)
-	s.setFault(standplatform.Fault{LoseAnswers: 12})
+	s.fault(standplatform.Fault{LoseAnswers: 12})
 	out, err := s.run(s.instances[1], strings.Replace(serviceText, "tasks: 60", "tasks: 6", 1), "apply", "-base", "1")
 	if err != nil || !strings.Contains(out, "configuration 2") {
 		t.Errorf("apply with lost answers: %v %s", err, out)
 	}
-	s.setFault(standplatform.Fault{LoseAnswers: 6})
+	s.fault(standplatform.Fault{LoseAnswers: 6})
 	s.await("submit with lost answers", func() error {
 		_, err := s.run(s.instances[2], "", "submit", "-workload", "extra", "-key", "k1")
 		return err
@@ -198,10 +201,11 @@
 	}
 }
 
-// Failure: work lands on a worker that is gone, or a new instance is left out.
+// Guards against work on a dead worker, and against a new instance that stays unused, when the
+// platform's list of instances is outdated.
 func TestLaggingList(t *testing.T) {
 	s := newLoadedCluster(t)
-	s.setFault(standplatform.Fault{FreezeList: true})
+	s.fault(standplatform.Fault{FreezeList: true})
 	s.workers[5].kill()
 	replaced := s.others(s.planner(s.instances[0]))[0]
 	s.restart(replaced)
@@ -212,7 +216,8 @@
 	s.checkRecord()
 }
 
-// Failure: a task runs in two places.
+// Guards against a task on 2 workers when a worker becomes reachable again after its tasks were
+// restarted elsewhere.
 func TestWorkerLostAndReturned(t *testing.T) {
 	s := newLoadedCluster(t)
 	var cut *node
@@ -226,20 +231,20 @@
 			}
 		}
 	}
-	s.setWorkerFault(cut, standworker.Fault{DropAgent: true})
+	s.workerFault(cut, standworker.Fault{DropAgent: true})
 	s.await("tasks moved", func() error {
 		if n := startsOf(s.events(), "watch"); n <= 3 {
 			return fmt.Errorf("%d starts", n)
 		}
 		return nil
 	})
-	s.setWorkerFault(cut, standworker.Fault{})
+	s.workerFault(cut, standworker.Fault{})
 	s.awaitRunning(s.instances[0], "watch", 3)
 	s.awaitState(s.instances[0], "letters", "succeeded")
 	s.checkRecord()
 }
 
-// Failure: what was accepted is forgotten, or run again.
+// Guards against losing or repeating accepted work when all instances restart.
 func TestAllInstancesRestarted(t *testing.T) {
 	s := newLoadedCluster(t)
 	s.await("most letters sent", func() error {
