--- a/internal/cell/cordon_test.go
+++ b/internal/cell/cordon_test.go
@@ -86,7 +86,7 @@
 	s.report("a")
 	s.advance(watchPeriod)
 	if starts := s.plan(); len(starts) > 0 {
-		t.Fatalf("started %v on a closed worker", starts)
+		t.Fatalf("started %v on a cordoned worker", starts)
 	}
 	s.commit()
 	if starts := s.plan(); len(starts) != 1 {
--- a/internal/cell/evacuate_test.go
+++ b/internal/cell/evacuate_test.go
@@ -28,7 +28,7 @@
 }
 
 // reportAndPlan advances the time by 100 ms, has workers report and runs a planning pass, as an
-// owner does all the time.
+// owner does periodically.
 func (s *site) reportAndPlan(workers ...string) map[string]StartOrder {
 	s.t.Helper()
 	s.advance(100 * time.Millisecond)
--- a/internal/cell/long_running_reservation_test.go
+++ b/internal/cell/long_running_reservation_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Guards against a long-running task that stays down while its worker is reserved for a large task,
-// again and again, although the worker has free capacity.
+// Guards against a long-running task that stays down because its worker is repeatedly reserved for
+// a large task, although the worker has free capacity.
 func TestReservationsKeepNoLongRunningTaskDown(t *testing.T) {
 	s := newReportedSite(t, usualWorker("a"))
 	inTheWay := s.longRunningRecord(1, 6000)
--- a/internal/cell/long_running_retry_test.go
+++ b/internal/cell/long_running_retry_test.go
@@ -161,7 +161,7 @@
 	}
 }
 
-// Guards against sending a long-running task again and again to a worker that refuses it.
+// Guards against sending a long-running task repeatedly to a worker that refuses it.
 func TestLongRunningTaskIsNotTriedOnAWorkerThatJustRefused(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
 	s.report("a")
--- a/internal/cell/model_long_running_test.go
+++ b/internal/cell/model_long_running_test.go
@@ -67,14 +67,14 @@
 		m.failSomeRun()
 		return
 	}
-	if rapid.IntRange(0, 11).Draw(m.rt, "rare") == 0 {
+	if rapid.IntRange(0, 11).Draw(m.rt, "rare fault") == 0 {
 		m.rareFault()
 		return
 	}
 	o := m.anyOwner()
 	switch rapid.IntRange(0, 6).Draw(m.rt, "action") {
 	case 0:
-		m.now = m.now.Add(time.Duration(rapid.IntRange(5, 900).Draw(m.rt, "pass")) * time.Millisecond)
+		m.now = m.now.Add(time.Duration(rapid.IntRange(5, 900).Draw(m.rt, "advance")) * time.Millisecond)
 		for _, w := range m.workers {
 			w.expireLease()
 		}
--- a/internal/cell/model_orders_test.go
+++ b/internal/cell/model_orders_test.go
@@ -20,7 +20,7 @@
 		m.rt.Logf("%v term %d: %T %v", m.now.Sub(siteStart), o.cell.settings.Term, order, order)
 		fate := 0
 		if faults {
-			fate = rapid.IntRange(0, 6).Draw(m.rt, "fate")
+			fate = rapid.IntRange(0, 6).Draw(m.rt, "delivery")
 		}
 		switch order := order.(type) {
 		case StartOrder:
--- a/internal/cell/model_quotas_test.go
+++ b/internal/cell/model_quotas_test.go
@@ -36,7 +36,7 @@
 
 // configure gives an owner the newest configuration, or leaves it at the one it has.
 func (m *model) configure(o *modelOwner) {
-	if !m.faultsEnded && rapid.IntRange(0, 3).Draw(m.rt, "behind") == 0 {
+	if !m.faultsEnded && rapid.IntRange(0, 3).Draw(m.rt, "old configuration") == 0 {
 		return
 	}
 	o.config = len(m.quotas.caps)
--- a/internal/cell/model_test.go
+++ b/internal/cell/model_test.go
@@ -128,7 +128,7 @@
 	}
 	o := &modelOwner{cell: c, since: m.now}
 	for _, w := range m.workers {
-		if w.alive && rapid.IntRange(0, 4).Draw(m.rt, "unlisted") > 0 {
+		if w.alive && rapid.IntRange(0, 4).Draw(m.rt, "registered") > 0 {
 			c.register(w.roster, m.now)
 		}
 	}
@@ -164,7 +164,7 @@
 	o := m.anyOwner()
 	switch rapid.IntRange(0, 11).Draw(m.rt, "action") {
 	case 0:
-		m.now = m.now.Add(time.Duration(rapid.IntRange(5, 900).Draw(m.rt, "pass")) * time.Millisecond)
+		m.now = m.now.Add(time.Duration(rapid.IntRange(5, 900).Draw(m.rt, "advance")) * time.Millisecond)
 		for _, w := range m.workers {
 			w.expireLease()
 		}
@@ -191,7 +191,7 @@
 }
 
 func (m *model) rareFault() {
-	switch rapid.IntRange(0, 8).Draw(m.rt, "rare") {
+	switch rapid.IntRange(0, 8).Draw(m.rt, "rare fault") {
 	case 8:
 		m.changeQuota()
 	case 0:
--- a/internal/cell/parking_test.go
+++ b/internal/cell/parking_test.go
@@ -140,7 +140,7 @@
 	}
 }
 
-// Guards against workers that are woken and parked again and again.
+// Guards against workers that are woken and parked repeatedly.
 func TestAWorkerIsParkedOnlyAfterAWhile(t *testing.T) {
 	s := idleSite(t, 6, 1)
 	s.cell.Add(s.record(1, wide(5)), true)
--- a/internal/cell/recover_test.go
+++ b/internal/cell/recover_test.go
@@ -115,7 +115,7 @@
 		t.Fatal("the end of an unknown job was acknowledged")
 	}
 	if missing := s.cell.UnknownJobs(); len(missing) != 1 || missing[0] != r.ID {
-		t.Fatalf("missing jobs %v", missing)
+		t.Fatalf("unknown jobs %v, want the one of the reported end", missing)
 	}
 	s.cell.Add(r, false)
 	if len(s.plan()) != 0 {
@@ -124,7 +124,7 @@
 	s.report("a")
 	s.report("b")
 	if again, ok := s.plan()[task]; ok {
-		t.Fatalf("run %d was started of a task that was done", again.Start.Run)
+		t.Fatalf("run %d was started although the task was done", again.Start.Run)
 	}
 	s.commit()
 	if state, _ := s.cell.State(r.ID); state != job.Completed {
@@ -197,12 +197,12 @@
 	}
 	unknown, soon, late := waited(0), waited(300*time.Millisecond), waited(3*time.Second)
 	if gain := unknown - soon; gain < time.Second || gain > overtakenOwnerLimit {
-		t.Errorf("waited %v, and %v with the previous owner that is known to have stopped", unknown, soon)
+		t.Errorf("waited %v, and %v when the previous owner was known to have stopped", unknown, soon)
 	}
 	if soon < 3500*time.Millisecond {
 		t.Errorf("waited %v, less than a lease", soon)
 	}
 	if late != unknown {
-		t.Errorf("waited %v, and %v with the previous owner whose stop became known late", unknown, late)
+		t.Errorf("waited %v, and %v when the stop of the previous owner became known late", unknown, late)
 	}
 }
