--- a/internal/catalog/current.go
+++ b/internal/catalog/current.go
@@ -8,7 +8,7 @@
 
 // Current holds the catalog in force in this process. It only advances to higher versions: a
 // delayed read of an older version must not restore a removed queue. It is safe for concurrent
-// use.
+// use; its zero value holds no catalog.
 type Current struct{ value atomic.Pointer[View] }
 
 // Get returns the catalog in force, or nil before the first one is known.
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,4 +1,4 @@
-// Package client implements the client for the HTTP API of an instance that operators' commands use.
+// Package client implements the HTTP client with which operators' commands call an instance.
 package client
 
 import (
@@ -22,8 +22,8 @@
 	http     *http.Client
 }
 
-// New returns a client for the instance at server (host:port). operator is the name that the audit
-// trail records.
+// New returns a client for the instance at server (host:port). operator is the name that the
+// audit trail records.
 func New(server, token, operator string, timeout time.Duration) *Client {
 	return &Client{server: server, token: token, operator: operator, http: &http.Client{Timeout: timeout}}
 }
@@ -38,8 +38,8 @@
 	} `json:"error"`
 }
 
-// Do sends a request with body to path and decodes the response into out, unless out is nil. If the
-// instance responds with a fault, the error is that fault.Error.
+// Do sends a request with body to path and decodes the response into out, unless out is nil. If
+// the instance responds with a fault, the error is that fault.Error.
 func (c *Client) Do(ctx context.Context, method, path string, query url.Values, header http.Header, body []byte, out any) error {
 	target := "http://" + c.server + path
 	if len(query) > 0 {
--- a/internal/command/instance.go
+++ b/internal/command/instance.go
@@ -30,7 +30,7 @@
 
 func (f *instanceFlags) register(s *settings.Settings) {
 	s.StringVar(&f.settingsFile, "settings-file", os.Getenv(platform.SettingsVariable),
-		"path of the platform's settings file; default: the value of "+platform.SettingsVariable)
+		"path of the platform's settings file; default: the value of "+platform.SettingsVariable+" in the environment")
 	s.StringVar(&f.logLevel, "log-level", "info", "debug, info, warn or error")
 	s.StringVar(&f.peerAdvertise, "peer-advertise", "",
 		"host:port at which other instances reach this one, if it differs from the address it listens on")
--- a/internal/node/catalog_follower.go
+++ b/internal/node/catalog_follower.go
@@ -31,11 +31,11 @@
 type catalogFollower struct {
 	reader *catalogReader
 	// peers confirms the view while the store is unreachable; nil if no API keys are needed.
-	peers   access.Confirmer
-	wait    time.Duration
-	log     logrus.FieldLogger
-	failing bool
-	askedAt time.Time
+	peers       access.Confirmer
+	wait        time.Duration
+	log         logrus.FieldLogger
+	failing     bool
+	peerAskedAt time.Time
 }
 
 // newCatalogFollower returns a follower that confirms the view often enough for the access
@@ -77,10 +77,10 @@
 // confirmWithPeer confirms the view with an instance that can reach the store, at most once per
 // peerPeriod.
 func (f *catalogFollower) confirmWithPeer(ctx context.Context) {
-	if f.peers == nil || time.Since(f.askedAt) < peerPeriod {
+	if f.peers == nil || time.Since(f.peerAskedAt) < peerPeriod {
 		return
 	}
-	f.askedAt = time.Now()
+	f.peerAskedAt = time.Now()
 	if err := f.peers.Confirm(ctx); err != nil {
 		f.log.WithError(err).Debug("catalog_not_confirmed_by_peer")
 	}
--- a/internal/node/catalog_peers.go
+++ b/internal/node/catalog_peers.go
@@ -43,7 +43,7 @@
 	if c := p.reader.current.Get(); c != nil {
 		known = c.Version
 	}
-	asked := p.reader.now()
+	startedAt := p.reader.now()
 	reply, err := p.clients.To(peer.Address).NewestCatalog(ctx, &cellpb.NewestCatalogRequest{Version: known})
 	if err != nil {
 		return fmt.Errorf("newest catalog of instance %s: %w", peer.Name, err)
@@ -57,7 +57,7 @@
 	}
 	// The age in the reply counts from before the request was sent, because the transfer
 	// takes time, too.
-	p.reader.current.Confirm(asked.Add(-time.Duration(reply.AgeMicros) * time.Microsecond))
+	p.reader.current.Confirm(startedAt.Add(-time.Duration(reply.AgeMicros) * time.Microsecond))
 	return nil
 }
 
--- a/internal/node/catalog_reader.go
+++ b/internal/node/catalog_reader.go
@@ -40,7 +40,7 @@
 	position, known := r.resume()
 	// The response may lack a change that is made while the read is in progress, so the
 	// view is confirmed as of the start of the read.
-	asked := r.now()
+	startedAt := r.now()
 	update, err := r.fetch(ctx, position, known, wait)
 	if errors.Is(err, store.ErrHistoryGone) {
 		r.resetPosition(position)
@@ -54,7 +54,7 @@
 	}
 	r.advanceTo(update.Position)
 	if !update.Partial {
-		r.current.Confirm(asked)
+		r.current.Confirm(startedAt)
 	}
 	return nil
 }
--- a/internal/node/module.go
+++ b/internal/node/module.go
@@ -56,7 +56,7 @@
 		fx.NopLogger,
 		fx.StopTimeout(max(s.TerminationGrace, time.Second)),
 		fx.Supply(s, outside, log),
-		fx.Provide(newSelf, newWatched, newJobs, newDirectory, newOwnerMetrics, newLeader, newIntake,
+		fx.Provide(newSelf, newMonitoredStore, newJobs, newDirectory, newOwnerMetrics, newLeader, newIntake,
 			newRelays, cellpeer.NewClients, cellpeer.NewStoreFinder, metrics.NewSet, newCurrent, newState,
 			newReader, newCatalogPeers, newGate),
 		fx.Invoke(run),
@@ -86,7 +86,7 @@
 	return cellpeer.Instance{Name: s.Name, Address: cmp.Or(s.PeerAdvertise, s.PeerListen), Zone: s.Zone, Incarnation: uuid.NewString(), StartedAt: time.Now(), Cores: s.Cores}
 }
 
-func newWatched(o Adapters) *store.Monitored { return store.NewMonitored(o.Store) }
+func newMonitoredStore(o Adapters) *store.Monitored { return store.NewMonitored(o.Store) }
 
 func newJobs(s Settings, w *store.Monitored) *celljobs.Jobs {
 	return celljobs.New(w, cellPartition).WithReaders(celljobs.ReadersFor(s.LinkMbps))
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads settings from flags, environment variables and defaults, in this order of
-// precedence, and reports all errors at once.
+// Package settings reads settings from flags, environment variables and defaults, in this order
+// of precedence, and reports all errors at once.
 package settings
 
 import (
@@ -38,14 +38,14 @@
 	return s
 }
 
-// Check adds a condition on a flag, which Parse evaluates. allowed describes the valid values for the
-// error message.
+// Check adds a condition on a flag, which Parse evaluates. allowed describes the valid values for
+// the error message.
 func (s *Settings) Check(flagName, allowed string, ok func() bool) {
 	s.checks = append(s.checks, check{flag: flagName, allowed: allowed, ok: ok})
 }
 
-// Parse reads args and the environment. It returns flag.ErrHelp for -h. Otherwise it returns all errors
-// together, each with the flag, its value and the allowed values.
+// Parse reads args and the environment. It returns flag.ErrHelp for -h. Otherwise it returns all
+// errors together, each with the flag, its value and the allowed values.
 func (s *Settings) Parse(args []string) error {
 	if err := s.FlagSet.Parse(args); err != nil {
 		return err
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestAllMistakesAtOnce checks that all errors are reported together, each with the flag, its value and
-// the allowed values.
+// TestAllMistakesAtOnce checks that all errors are reported together, each with the flag, its
+// value and the allowed values.
 func TestAllMistakesAtOnce(t *testing.T) {
 	s, _, _ := newTestSettings(map[string]string{"GENTIANSTAND_MOST_OPEN": "x"})
 	err := s.Parse(nil)
--- a/internal/upkeep/stage.go
+++ b/internal/upkeep/stage.go
@@ -39,8 +39,8 @@
 // finished reports whether the maintenance of a machine that is up again is over. A changed
 // worker ID is not required: the next worker may have the ID of the previous one. Nor is a
 // listing as down: the machine may have been down only between two listings.
-func (p *progress) finished(m Machine, lasts time.Duration, now time.Time) bool {
-	return m.Worker != p.worker || p.seenDown || now.Sub(p.begunAt) >= lasts
+func (p *progress) finished(m Machine, duration time.Duration, now time.Time) bool {
+	return m.Worker != p.worker || p.seenDown || now.Sub(p.begunAt) >= duration
 }
 
 // down reports whether the machine is or may be down for maintenance. An order without a
--- a/internal/upkeep/tracker.go
+++ b/internal/upkeep/tracker.go
@@ -30,14 +30,15 @@
 	machines map[string]*progress
 }
 
-// NewTracker returns a tracker of a wave that was first seen at now. had lists the
-// machines whose maintenance is known to have begun already.
-func NewTracker(w Wave, lasts time.Duration, had []string, now time.Time) *Tracker {
-	t := &Tracker{wave: w, duration: lasts, seenAt: now, machines: map[string]*progress{}}
+// NewTracker returns a tracker of a wave that was first seen at now. duration is how long the
+// maintenance of one machine takes, and begunMachines lists the machines whose maintenance is
+// known to have begun already.
+func NewTracker(w Wave, duration time.Duration, begunMachines []string, now time.Time) *Tracker {
+	t := &Tracker{wave: w, duration: duration, seenAt: now, machines: map[string]*progress{}}
 	for _, name := range w.Machines {
 		t.machines[name] = &progress{}
 	}
-	for _, name := range had {
+	for _, name := range begunMachines {
 		if p := t.machines[name]; p != nil {
 			p.stage = done
 		}
@@ -80,9 +81,9 @@
 // exists needs no maintenance.
 func (t *Tracker) observe(now time.Time, listed map[string]Machine) {
 	for name, p := range t.machines {
-		m, there := listed[name]
+		m, exists := listed[name]
 		switch {
-		case !there:
+		case !exists:
 			p.stage = done
 		case p.down() && m.InMaintenance:
 			p.seenDown = true
@@ -115,8 +116,8 @@
 		}
 	}
 	sort.SliceStable(candidates, func(a, b int) bool { return candidates[a].runs < candidates[b].runs })
-	for _, chosen := range candidates[:min(more, len(candidates))] {
-		*t.machines[chosen.machine] = progress{stage: evacuating, worker: chosen.worker, evacuatingSince: now}
+	for _, c := range candidates[:min(more, len(candidates))] {
+		*t.machines[c.machine] = progress{stage: evacuating, worker: c.worker, evacuatingSince: now}
 	}
 }
 
--- a/internal/upkeep/tracker_test.go
+++ b/internal/upkeep/tracker_test.go
@@ -110,7 +110,7 @@
 		f := newFleet(rapid.IntRange(1, 12).Draw(rt, "machines"))
 		atOnce := rapid.IntRange(1, 5).Draw(rt, "at once")
 		tracker := f.tracker(atOnce, time.Duration(rapid.IntRange(1, 30).Draw(rt, "within"))*time.Second)
-		w := &waveWorld{rt: rt, fleet: f, atOnce: atOnce, sameIDs: rapid.Bool().Draw(rt, "same ids"), upAt: map[string]time.Time{}, had: map[string]bool{}, late: map[string]time.Time{}}
+		w := &waveWorld{rt: rt, fleet: f, atOnce: atOnce, sameIDs: rapid.Bool().Draw(rt, "same ids"), upAt: map[string]time.Time{}, maintained: map[string]bool{}, late: map[string]time.Time{}}
 		now := start
 		for range 2000 {
 			now = now.Add(300 * time.Millisecond)
@@ -122,24 +122,24 @@
 			}
 			if plan.Completed {
 				for _, name := range f.names {
-					if !w.had[name] {
+					if !w.maintained[name] {
 						rt.Fatalf("completed without %s", name)
 					}
 				}
 				return
 			}
 		}
-		rt.Fatalf("the wave does not complete: %d of %d machines maintained", len(w.had), len(f.names))
+		rt.Fatalf("the wave does not complete: %d of %d machines maintained", len(w.maintained), len(f.names))
 	})
 }
 
 // waveWorld simulates a fleet that carries orders out at once, late, or without an answer.
 type waveWorld struct {
-	rt     *rapid.T
-	fleet  *fleet
-	atOnce int
-	upAt   map[string]time.Time
-	had    map[string]bool
+	rt         *rapid.T
+	fleet      *fleet
+	atOnce     int
+	upAt       map[string]time.Time
+	maintained map[string]bool
 	// sameIDs is set if workers restart under the same IDs.
 	sameIDs bool
 	// late holds the orders that are still to be carried out, with their times.
@@ -147,13 +147,13 @@
 }
 
 func (w *waveWorld) begin(name string, now time.Time) {
-	if w.had[name] {
+	if w.maintained[name] {
 		return
 	}
 	if len(w.upAt) >= w.atOnce {
 		w.rt.Fatalf("%s begins while %d are down, %d may be", name, len(w.upAt), w.atOnce)
 	}
-	w.had[name] = true
+	w.maintained[name] = true
 	w.upAt[name] = now.Add(2 * time.Second)
 	w.fleet.set(name, "", false)
 }
