--- a/internal/cell/adopt.go
+++ b/internal/cell/adopt.go
@@ -96,7 +96,7 @@
 		a.percent = r.Percent
 		a.progressedAt = now
 	}
-	a.tailLatencyMillis = r.Gauge
+	a.gauge = r.Gauge
 	if r.Checkpoint != "" {
 		a.task.saveCheckpoint(r.Checkpoint)
 	}
--- a/internal/cell/answers.go
+++ b/internal/cell/answers.go
@@ -27,7 +27,7 @@
 	case errors.As(err, &refusal):
 		c.startRefused(a, refusal, now)
 	case errors.Is(err, runner.ErrIncarnationGone):
-		// The worker's next poll also fails with ErrGone, and then drops all its runs.
+		// The worker's next poll also fails with ErrIncarnationGone, and then drops all its runs.
 		c.drop(a, "worker_replaced", now)
 	default:
 		c.log.WithFields(attemptFields(a)).WithError(err).Info("start_unanswered")
--- a/internal/cell/attempt.go
+++ b/internal/cell/attempt.go
@@ -34,9 +34,10 @@
 	// percent is the last reported progress, and progressedAt is when it last changed.
 	percent      int
 	progressedAt time.Time
-	// tailLatencyMillis is the tail latency that a latency-sensitive run last reported; see
+	// gauge is the measurement that the run last reported: the tail latency in milliseconds of
+	// a latency-sensitive task, the thousandths of a core in use of any other task. See
 	// runner.RunState.
-	tailLatencyMillis float64
+	gauge float64
 	// speedPercent is the share of its full speed that the run is allowed.
 	speedPercent int
 	throttledAt  time.Time
--- a/internal/cell/throttle.go
+++ b/internal/cell/throttle.go
@@ -29,7 +29,7 @@
 	worst := 0.0
 	for a := range w.attempts {
 		if target := a.task.stage.step.TailLatencyTarget; target > 0 && a.phase == running {
-			worst = max(worst, a.tailLatencyMillis/float64(target.Milliseconds()))
+			worst = max(worst, a.gauge/float64(target.Milliseconds()))
 		}
 	}
 	for a := range w.attempts {
--- a/internal/cellleader/queries.go
+++ b/internal/cellleader/queries.go
@@ -28,7 +28,7 @@
 	return l.term.owner
 }
 
-// Submitted implements cellpeer.Owning.
+// Submitted implements cellpeer.CellOwner.
 func (l *Leader) Submitted(r *job.Record) bool {
 	o := l.LocalOwner()
 	if o != nil {
@@ -37,7 +37,7 @@
 	return o != nil
 }
 
-// Backlogs implements cellpeer.Owning.
+// Backlogs implements cellpeer.CellOwner.
 func (l *Leader) Backlogs() []admission.Backlog {
 	o := l.LocalOwner()
 	if o == nil {
@@ -46,7 +46,7 @@
 	return o.Cell().Backlogs(time.Now())
 }
 
-// Cancelled implements cellpeer.Owning.
+// Cancelled implements cellpeer.CellOwner.
 func (l *Leader) Cancelled(id string) bool {
 	o := l.LocalOwner()
 	if o != nil {
@@ -55,7 +55,7 @@
 	return o != nil
 }
 
-// Status implements cellpeer.Owning. The state is empty for an unknown job.
+// Status implements cellpeer.CellOwner. The state is empty for an unknown job.
 func (l *Leader) Status(id string) (job.Status, bool) {
 	o := l.LocalOwner()
 	if o == nil {
@@ -65,7 +65,7 @@
 	return status, true
 }
 
-// Waiting implements cellpeer.Owning.
+// Waiting implements cellpeer.CellOwner.
 func (l *Leader) Waiting(queue string) (int, bool) {
 	o := l.LocalOwner()
 	if o == nil {
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -65,7 +65,7 @@
 // loser of a race gets a Conflict that names both authors and the difference.
 //
 // The new head, the record and the audit entry are one transaction; the record
-// is never overwritten, so Settle can tell a lost answer from a lost race.
+// is never overwritten, so CommitWithRetry can tell a lost answer from a lost race.
 func (s *Store) Apply(ctx context.Context, text, author string, base uint64) (Record, error) {
 	head, err := s.Head(ctx)
 	if err != nil {
--- a/internal/entry/deps.go
+++ b/internal/entry/deps.go
@@ -24,7 +24,7 @@
 	Store    *config.Store
 	Trail    *audit.Trail
 	Table    platform.Table
-	Register *idempotency.Registry
+	Registry *idempotency.Registry
 	Runs     Runs
 	View     func() live.View
 	Ready    func() error
--- a/internal/entry/headers.go
+++ b/internal/entry/headers.go
@@ -12,7 +12,7 @@
 	HeaderIdempotencyKey = "Idempotency-Key"
 	// HeaderReplayed marks a stored response to an earlier request with the same key.
 	HeaderReplayed = "Idempotency-Replayed"
-	// HeaderOutcome and HeaderKind repeat the outcome and the error kind of an
+	// HeaderOutcome and HeaderErrorKind repeat the outcome and the error kind of an
 	// error response that does not come from an upstream.
 	HeaderOutcome   = "X-Gentianstand-Outcome"
 	HeaderErrorKind = "X-Gentianstand-Error"
--- a/internal/entry/keyed.go
+++ b/internal/entry/keyed.go
@@ -38,7 +38,7 @@
 // serveAsKeyOwner executes the request once its key is stored, and records the outcome. An
 // outcome that is not certain is recorded as unknown.
 func (s *Server) serveAsKeyOwner(ctx context.Context, w http.ResponseWriter, c *call, shard string) error {
-	response, err := s.register.Begin(ctx, shard, c.service.Name, c.key)
+	response, err := s.registry.Begin(ctx, shard, c.service.Name, c.key)
 	if response != nil {
 		replay(w, response)
 		return nil
@@ -51,7 +51,7 @@
 	ended := false
 	defer func() {
 		if !ended {
-			s.register.End(shard, c.service.Name, c.key, idempotency.Unknown, nil)
+			s.registry.End(shard, c.service.Name, c.key, idempotency.Unknown, nil)
 		}
 	}()
 	err = s.execute(ctx, recorder, c, capture)
@@ -68,14 +68,14 @@
 	name := c.service.Name
 	switch {
 	case outcome == fault.DidNotRun:
-		s.register.Release(shard, name, c.key)
+		s.registry.Release(shard, name, c.key)
 	case outcome != "":
-		s.register.End(shard, name, c.key, idempotency.Unknown, nil)
+		s.registry.End(shard, name, c.key, idempotency.Unknown, nil)
 	case capture.overflow:
-		s.register.End(shard, name, c.key, idempotency.Ended, nil)
+		s.registry.End(shard, name, c.key, idempotency.Ended, nil)
 	default:
 		kept := &idempotency.Response{Status: recorder.status, Header: recorder.Header().Clone(), Body: capture.body.Bytes()}
-		s.register.End(shard, name, c.key, idempotency.Ended, kept)
+		s.registry.End(shard, name, c.key, idempotency.Ended, kept)
 	}
 }
 
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -37,7 +37,7 @@
 	store         *config.Store
 	trail         *audit.Trail
 	table         platform.Table
-	register      *idempotency.Registry
+	registry      *idempotency.Registry
 	runs          Runs
 	view          func() live.View
 	ready         func() error
@@ -58,7 +58,7 @@
 func NewServer(d Deps) *Server {
 	return &Server{
 		identity: d.Identity, router: d.Router, hub: d.Hub, config: d.Config, store: d.Store, trail: d.Trail,
-		table: d.Table, register: d.Register, runs: d.Runs, view: d.View, ready: d.Ready, largestWorker: d.LargestWorker, rowsChanged: d.RowsChanged,
+		table: d.Table, registry: d.Registry, runs: d.Runs, view: d.View, ready: d.Ready, largestWorker: d.LargestWorker, rowsChanged: d.RowsChanged,
 		token: d.Token, set: d.Metrics, metrics: newRequestMetrics(d.Metrics), log: d.Log,
 		upstreams: newTransport(upstreamConnections), instances: newTransport(peerConnections),
 	}
--- a/internal/instance/module.go
+++ b/internal/instance/module.go
@@ -118,8 +118,8 @@
 }
 
 func newPlanner(table platform.Table, objects platform.Objects, hub *peer.Hub, session *membership.Session, v *view, d *directory, current *config.Current, set *metrics.Set, log *logrus.Entry) *planner.Planner {
-	around := planner.Environment{View: v.get, Directory: d.instances, Config: current}
-	return planner.New(table, objects, hub, session, around, set, log)
+	env := planner.Environment{View: v.get, Directory: d.instances, Config: current}
+	return planner.New(table, objects, hub, session, env, set, log)
 }
 
 func newRegister(process live.Process, timing membership.Timing, table platform.Table, objects platform.Objects, session *membership.Session, set *metrics.Set, log *logrus.Entry) *idempotency.Registry {
@@ -151,7 +151,7 @@
 func newEntry(s Settings, id ownership.Identity, router *routing.Router, hub *peer.Hub, current *config.Current, store *config.Store, trail *audit.Trail, table platform.Table, register *idempotency.Registry, client *peer.PlannerClient, v *view, k *ownership.Keeper, l *listener, lazy *lazyShards, o *owner.Owner, set *metrics.Set, log *logrus.Entry) *entry.Server {
 	return entry.NewServer(entry.Deps{
 		Identity: id, Router: router, Hub: hub, Config: current, Store: store, Trail: trail, Table: table,
-		Register: register, Runs: client, View: v.get, RowsChanged: k.Kick, Token: s.OperatorToken,
+		Registry: register, Runs: client, View: v.get, RowsChanged: k.Kick, Token: s.OperatorToken,
 		LargestWorker: o.MaxCapacity, Metrics: set, Log: log,
 		Ready: func() error { return readiness(l, lazy) },
 	})
--- a/internal/instance/parts.go
+++ b/internal/instance/parts.go
@@ -30,7 +30,7 @@
 	Hub       *peer.Hub
 	Owner     *owner.Owner
 	Planner   *planner.Planner
-	Register  *idempotency.Registry
+	Registry  *idempotency.Registry
 	Entry     *entry.Server
 	Servers   *servers
 	Current   *config.Current
@@ -49,7 +49,7 @@
 	go p.Follower.run(ctx)
 	go p.Hub.Run(ctx)
 	go p.Owner.Run(ctx)
-	go p.Register.Run(ctx)
+	go p.Registry.Run(ctx)
 	go p.Keeper.Run(ctx)
 }
 
