--- a/internal/access/call.go
+++ b/internal/access/call.go
@@ -1,6 +1,6 @@
 package access
 
-import "gentianstand/internal/steady"
+import "gentianstand/internal/boottime"
 
 // Call holds the properties of a request that decide whether it is served.
 type Call struct {
@@ -9,5 +9,5 @@
 	// Key is the API key, or empty.
 	Key string
 	// ArrivedAt is when the request was read.
-	ArrivedAt steady.Instant
+	ArrivedAt boottime.Instant
 }
--- a/internal/access/gate.go
+++ b/internal/access/gate.go
@@ -7,9 +7,9 @@
 	"github.com/sirupsen/logrus"
 	"golang.org/x/sync/singleflight"
 
+	"gentianstand/internal/boottime"
 	"gentianstand/internal/catalog"
 	"gentianstand/internal/fault"
-	"gentianstand/internal/steady"
 )
 
 const (
@@ -31,16 +31,16 @@
 	metrics    *Metrics
 	log        logrus.FieldLogger
 	// now is the clock; tests replace it.
-	now func() steady.Instant
+	now func() boottime.Instant
 }
 
 // NewGate returns a Gate that decides calls by the configuration in current.
 func NewGate(p Policy, current *catalog.Current, c Confirmer, m *Metrics, log logrus.FieldLogger) *Gate {
-	return &Gate{policy: p, current: current, confirmer: c, metrics: m, log: log, now: steady.Now}
+	return &Gate{policy: p, current: current, confirmer: c, metrics: m, log: log, now: boottime.Now}
 }
 
 // Now returns the current instant, for Call.ArrivedAt.
-func (g *Gate) Now() steady.Instant { return g.now() }
+func (g *Gate) Now() boottime.Instant { return g.now() }
 
 // Admit returns how a call is served, or an error of kind UnknownPath, UnknownKey or
 // PlatformUnavailable. In both cases no work has been done for the call.
--- a/internal/access/gate_test.go
+++ b/internal/access/gate_test.go
@@ -10,9 +10,9 @@
 	"github.com/VictoriaMetrics/metrics"
 	logtest "github.com/sirupsen/logrus/hooks/test"
 
+	"gentianstand/internal/boottime"
 	"gentianstand/internal/catalog"
 	"gentianstand/internal/fault"
-	"gentianstand/internal/steady"
 )
 
 // scriptedConfirmer runs the function that a test sets.
@@ -32,7 +32,7 @@
 	current := &catalog.Current{}
 	current.Advance(testCatalog())
 	g := NewGate(Policy{KeysNeeded: true, RevokedWithin: 5 * time.Second}, current, c, NewMetrics(metrics.NewSet()), log)
-	g.now = func() steady.Instant { return steady.Instant(time.Hour) }
+	g.now = func() boottime.Instant { return boottime.Instant(time.Hour) }
 	current.Confirm(g.now().Add(-age))
 	return g, current, hook
 }
--- a/internal/access/model_test.go
+++ b/internal/access/model_test.go
@@ -7,8 +7,8 @@
 
 	"pgregory.net/rapid"
 
+	"gentianstand/internal/boottime"
 	"gentianstand/internal/catalog"
-	"gentianstand/internal/steady"
 )
 
 const (
@@ -32,7 +32,7 @@
 
 // modelQuery is an outstanding query to the store or to another instance.
 type modelQuery struct {
-	asked    steady.Instant
+	asked    boottime.Instant
 	answered bool
 	found    *catalog.Catalog
 	age      time.Duration
@@ -56,8 +56,8 @@
 	instances []*modelInstance
 }
 
-func (m *accessModel) clock(i *modelInstance) steady.Instant {
-	return steady.Instant(i.offset + time.Duration(float64(m.now)*(1+i.drift)))
+func (m *accessModel) clock(i *modelInstance) boottime.Instant {
+	return boottime.Instant(i.offset + time.Duration(float64(m.now)*(1+i.drift)))
 }
 
 func (m *accessModel) newest() *catalog.Catalog {
--- a/internal/access/policy.go
+++ b/internal/access/policy.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"gentianstand/internal/boottime"
 	"gentianstand/internal/catalog"
-	"gentianstand/internal/steady"
 )
 
 const (
@@ -36,7 +36,7 @@
 
 // decide evaluates a call against a view of the configuration. now is an instant after the call
 // was read.
-func (p Policy) decide(view catalog.View, call Call, now steady.Instant) (Grant, verdict) {
+func (p Policy) decide(view catalog.View, call Call, now boottime.Instant) (Grant, verdict) {
 	if view.Catalog == nil {
 		return Grant{}, noCatalog
 	}
--- a/internal/access/policy_test.go
+++ b/internal/access/policy_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
+	"gentianstand/internal/boottime"
 	"gentianstand/internal/catalog"
-	"gentianstand/internal/steady"
 )
 
 const (
@@ -27,13 +27,13 @@
 
 func TestPolicyDecides(t *testing.T) {
 	keyed := Policy{KeysNeeded: true, RevokedWithin: 5 * time.Second}
-	now := steady.Instant(time.Hour)
-	ago := func(d time.Duration) steady.Instant { return now.Add(-d) }
+	now := boottime.Instant(time.Hour)
+	ago := func(d time.Duration) boottime.Instant { return now.Add(-d) }
 	for _, test := range []struct {
 		name      string
 		policy    Policy
 		catalog   *catalog.Catalog
-		confirmed steady.Instant
+		confirmed boottime.Instant
 		path, key string
 		want      verdict
 		workspace string
--- a/internal/patience/adaptive_timeout.go
+++ b/internal/adaptivetimeout/adaptive_timeout.go
@@ -1,5 +1,5 @@
-// Package patience computes timeouts for calls from the latencies of recent calls.
-package patience
+// Package adaptivetimeout computes timeouts for calls from the latencies of recent calls.
+package adaptivetimeout
 
 import (
 	"sync"
--- a/internal/patience/settings.go
+++ b/internal/adaptivetimeout/settings.go
@@ -1,4 +1,4 @@
-package patience
+package adaptivetimeout
 
 import "time"
 
--- a/internal/steady/instant.go
+++ b/internal/boottime/instant.go
@@ -1,6 +1,6 @@
-// Package steady provides a monotonic clock that includes the time during which the machine is
+// Package boottime provides a monotonic clock that includes the time during which the machine is
 // suspended. The monotonic clock of time.Time stops during a suspension.
-package steady
+package boottime
 
 import (
 	"time"
@@ -17,7 +17,7 @@
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		// CLOCK_BOOTTIME exists on every kernel that Go supports.
-		panic("steady: " + err.Error())
+		panic("boottime: " + err.Error())
 	}
 	return Instant(t.Nano())
 }
--- a/internal/catalog/current.go
+++ b/internal/catalog/current.go
@@ -3,7 +3,7 @@
 import (
 	"sync/atomic"
 
-	"gentianstand/internal/steady"
+	"gentianstand/internal/boottime"
 )
 
 // Current holds the catalog in force in this process. It only advances to higher versions: a
@@ -42,7 +42,7 @@
 
 // Confirm records that the catalog in force was the newest version at an instant. The instant
 // must lie before the request was sent whose response confirmed it.
-func (c *Current) Confirm(at steady.Instant) {
+func (c *Current) Confirm(at boottime.Instant) {
 	for {
 		old := c.value.Load()
 		if old == nil || at <= old.ConfirmedAt {
--- a/internal/catalog/view.go
+++ b/internal/catalog/view.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"gentianstand/internal/steady"
+	"gentianstand/internal/boottime"
 )
 
 // View is a catalog and the time until which it is known to have been the newest version.
@@ -12,8 +12,8 @@
 	Catalog *Catalog
 	// ConfirmedAt is an instant up to which the catalog contains every acknowledged change.
 	// It has no meaning without a catalog.
-	ConfirmedAt steady.Instant
+	ConfirmedAt boottime.Instant
 }
 
 // Age returns the time since the view was last confirmed.
-func (v View) Age(now steady.Instant) time.Duration { return now.Sub(v.ConfirmedAt) }
+func (v View) Age(now boottime.Instant) time.Duration { return now.Sub(v.ConfirmedAt) }
--- a/internal/cellowner/order_timeout.go
+++ b/internal/cellowner/order_timeout.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"gentianstand/internal/patience"
+	"gentianstand/internal/adaptivetimeout"
 )
 
 // orderTimeoutSettings bounds the wait for the answer to an order. Orders take milliseconds, and
@@ -11,7 +11,7 @@
 // until it is revoked. A start that timed out counts as an answer that took as long as the
 // timeout: on a saturated link all answers take longer than the timeout, and if only answers
 // changed it, every start would be sent twice and revoked.
-var orderTimeoutSettings = patience.Settings{
+var orderTimeoutSettings = adaptivetimeout.Settings{
 	Min: 200 * time.Millisecond, Max: 800 * time.Millisecond, Factor: 15, AnswerWeight: 0.05, TimeoutWeight: 0.05,
 }
 
--- a/internal/cellowner/order_timeout_test.go
+++ b/internal/cellowner/order_timeout_test.go
@@ -4,13 +4,13 @@
 	"testing"
 	"time"
 
-	"gentianstand/internal/patience"
+	"gentianstand/internal/adaptivetimeout"
 )
 
 // Answers take 3 ms; then the instance is short of CPU and they take 100 ms. The timeout must
 // follow within its bounds, so that late answers do not count as lost orders.
 func TestOrderTimeoutFollowsUsualAnswers(t *testing.T) {
-	p := patience.New(orderTimeoutSettings)
+	p := adaptivetimeout.New(orderTimeoutSettings)
 	for range 100 {
 		p.ObserveAnswer(3 * time.Millisecond)
 	}
--- a/internal/cellowner/owner.go
+++ b/internal/cellowner/owner.go
@@ -6,10 +6,10 @@
 	"sync"
 	"time"
 
+	"gentianstand/internal/adaptivetimeout"
 	"gentianstand/internal/cell"
 	"gentianstand/internal/celljobs"
 	"gentianstand/internal/job"
-	"gentianstand/internal/patience"
 	"gentianstand/internal/store"
 )
 
@@ -48,7 +48,7 @@
 	commitMu            sync.Mutex
 	// sequence is the version of the sequence row.
 	sequence     uint64
-	orderTimeout *patience.AdaptiveTimeout
+	orderTimeout *adaptivetimeout.AdaptiveTimeout
 	waitStats    *waitStats
 	planStats    planStats
 }
@@ -61,7 +61,7 @@
 		waitStats: waits,
 		deps:      deps, claim: claim, term: s.Term, lease: s.Lease, cell: cell.New(s, time.Now(), deps.Log),
 		planSignal: make(chan struct{}, 1), commitSignal: make(chan struct{}, 1), jobsSignal: make(chan struct{}, 1),
-		orderTimeout: patience.New(orderTimeoutSettings), commitDone: make(chan struct{}), polled: map[string]struct{}{},
+		orderTimeout: adaptivetimeout.New(orderTimeoutSettings), commitDone: make(chan struct{}), polled: map[string]struct{}{},
 	}
 }
 
--- a/internal/packed/text.go
+++ b/internal/compressed/text.go
@@ -1,7 +1,7 @@
-// Package packed compresses texts of callers for transfer between instances and for the store.
+// Package compressed compresses texts of callers for transfer between instances and for the store.
 // An owner on a slow link receives each text twice and forwards it to each relay that starts a
 // task. Compression reduces a text to half its length or less.
-package packed
+package compressed
 
 import (
 	"bytes"
@@ -31,7 +31,7 @@
 var writers = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(nil, flate.DefaultCompression)
 	if err != nil {
-		panic(fmt.Sprintf("packed: %v", err)) // the level is a valid constant
+		panic(fmt.Sprintf("compressed: %v", err)) // the level is a valid constant
 	}
 	return w
 }}
--- a/internal/packed/text_test.go
+++ b/internal/compressed/text_test.go
@@ -1,4 +1,4 @@
-package packed
+package compressed
 
 import (
 	"strings"
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -17,9 +17,9 @@
 	"gentianstand/internal/celljobs"
 	"gentianstand/internal/cellpeer"
 	"gentianstand/internal/cellpeer/cellpb"
+	"gentianstand/internal/compressed"
 	"gentianstand/internal/fault"
 	"gentianstand/internal/job"
-	"gentianstand/internal/packed"
 	"gentianstand/internal/store"
 )
 
@@ -83,7 +83,7 @@
 		i.metrics.Refused.Inc()
 		return err
 	}
-	r.Spec = packed.Pack(string(r.Spec))
+	r.Spec = compressed.Pack(string(r.Spec))
 	r.Submission = rand.Uint64()
 	created, err := i.create(ctx, r)
 	i.metrics.SubmitSeconds.UpdateDuration(began)
--- a/internal/job/codec_test.go
+++ b/internal/job/codec_test.go
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	"gentianstand/internal/packed"
+	"gentianstand/internal/compressed"
 )
 
 func TestProgressSurvivesEncoding(t *testing.T) {
@@ -87,7 +87,7 @@
 		"cycle":          step(func(s *Step) { s.DependsOn = []int{0} }),
 		"negative limit": step(func(s *Step) { s.MaxPerWorker = -1 }),
 		"too many tasks": step(func(s *Step) { s.Count = MaxTasks + 1 }),
-		"long spec":      {Spec: packed.Text(make([]byte, MaxSpecBytes+1)), Steps: []Step{{Count: 1}}},
+		"long spec":      {Spec: compressed.Text(make([]byte, MaxSpecBytes+1)), Steps: []Step{{Count: 1}}},
 		"no occurrence":  {Steps: []Step{{Count: 1}}, Schedule: &Schedule{}},
 	}
 	for name, r := range bad {
--- a/internal/job/record.go
+++ b/internal/job/record.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"gentianstand/internal/packed"
+	"gentianstand/internal/compressed"
 )
 
 // Record is an accepted job. It is immutable once stored, so every instance may cache it.
@@ -34,7 +34,7 @@
 	// AcceptedAt is the time of acceptance on the accepting instance's wall clock.
 	AcceptedAt time.Time `cbor:"9,keyasint"`
 	// Spec is the opaque text that is passed to every task at its start.
-	Spec packed.Text `cbor:"10,keyasint"`
+	Spec compressed.Text `cbor:"10,keyasint"`
 	// Steps are the stages of one occurrence.
 	Steps []Step `cbor:"11,keyasint"`
 	// Schedule repeats the steps; if nil, they run once, immediately.
--- a/internal/node/catalog_peers_test.go
+++ b/internal/node/catalog_peers_test.go
@@ -8,10 +8,10 @@
 
 	logtest "github.com/sirupsen/logrus/hooks/test"
 
+	"gentianstand/internal/boottime"
 	"gentianstand/internal/catalog"
 	"gentianstand/internal/cellpeer"
 	"gentianstand/internal/cellpeer/cellpb"
-	"gentianstand/internal/steady"
 	"gentianstand/internal/store"
 )
 
@@ -41,7 +41,7 @@
 func TestViewIsConfirmedByAnotherInstance(t *testing.T) {
 	log, _ := logtest.NewNullLogger()
 	// The clocks of the two instances are unrelated.
-	theirs := &slowSource{now: steady.Instant(time.Hour), update: catalog.Update{Position: 5, Catalog: catalog.New(catalog.Content{Version: 4,
+	theirs := &slowSource{now: boottime.Instant(time.Hour), update: catalog.Update{Position: 5, Catalog: catalog.New(catalog.Content{Version: 4,
 		Workspaces: []catalog.Workspace{{Name: "north", Keys: []catalog.KeyDigest{catalog.DigestOf("k")}}}})}}
 	peer := readerOf(theirs)
 	if err := peer.read(t.Context(), 0); err != nil {
@@ -59,7 +59,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	clients := cellpeer.NewClients()
-	ours := readerOf(&slowSource{now: steady.Instant(time.Minute), err: store.ErrUnavailable})
+	ours := readerOf(&slowSource{now: boottime.Instant(time.Minute), err: store.ErrUnavailable})
 	asking := &catalogPeers{reader: ours, finder: cellpeer.NewStoreFinder(directory, clients), clients: clients}
 	if err := asking.Confirm(t.Context()); err != nil {
 		t.Fatal(err)
--- a/internal/node/catalog_reader.go
+++ b/internal/node/catalog_reader.go
@@ -8,8 +8,8 @@
 
 	"github.com/sirupsen/logrus"
 
+	"gentianstand/internal/boottime"
 	"gentianstand/internal/catalog"
-	"gentianstand/internal/steady"
 	"gentianstand/internal/store"
 )
 
@@ -23,7 +23,7 @@
 	source  catalog.Source
 	current *catalog.Current
 	log     logrus.FieldLogger
-	now     func() steady.Instant
+	now     func() boottime.Instant
 
 	mu sync.Mutex
 	// position is where the feed resumes. It is valid only if known is set.
@@ -32,7 +32,7 @@
 }
 
 func newCatalogReader(s catalog.Source, current *catalog.Current, log logrus.FieldLogger) *catalogReader {
-	return &catalogReader{source: s, current: current, log: log, now: steady.Now}
+	return &catalogReader{source: s, current: current, log: log, now: boottime.Now}
 }
 
 // read reads the changes of the configuration, waiting for one for at most wait.
--- a/internal/node/catalog_reader_test.go
+++ b/internal/node/catalog_reader_test.go
@@ -8,14 +8,14 @@
 	logtest "github.com/sirupsen/logrus/hooks/test"
 
 	"gentianstand/internal/access"
+	"gentianstand/internal/boottime"
 	"gentianstand/internal/catalog"
-	"gentianstand/internal/steady"
 	"gentianstand/internal/store"
 )
 
 // slowSource returns the same update on every read and advances the test's clock by took.
 type slowSource struct {
-	now    steady.Instant
+	now    boottime.Instant
 	took   time.Duration
 	update catalog.Update
 	err    error
@@ -33,13 +33,13 @@
 func readerOf(s *slowSource) *catalogReader {
 	log, _ := logtest.NewNullLogger()
 	r := newCatalogReader(s, &catalog.Current{}, log)
-	r.now = func() steady.Instant { return s.now }
+	r.now = func() boottime.Instant { return s.now }
 	return r
 }
 
 // Guards against a key that remains valid too long when it is removed during a read.
 func TestViewIsConfirmedFromTheStartOfTheRead(t *testing.T) {
-	source := &slowSource{now: steady.Instant(time.Hour), took: 2 * time.Second, update: catalog.Update{Catalog: catalog.New(catalog.Content{Version: 1}), Position: 7}}
+	source := &slowSource{now: boottime.Instant(time.Hour), took: 2 * time.Second, update: catalog.Update{Catalog: catalog.New(catalog.Content{Version: 1}), Position: 7}}
 	r := readerOf(source)
 	if err := r.read(t.Context(), 0); err != nil {
 		t.Fatal(err)
@@ -63,7 +63,7 @@
 		{"history gone", catalog.Update{}, store.ErrHistoryGone},
 		{"a part of the changes", catalog.Update{Position: 9, Partial: true}, nil},
 	} {
-		source := &slowSource{now: steady.Instant(time.Hour), update: first}
+		source := &slowSource{now: boottime.Instant(time.Hour), update: first}
 		r := readerOf(source)
 		if err := r.read(t.Context(), 0); err != nil {
 			t.Fatal(err)
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -1,6 +1,6 @@
 package relay
 
-import "gentianstand/internal/packed"
+import "gentianstand/internal/compressed"
 
 // request is one call to a worker or to the placement adviser, from the owner to a relay.
 // Exactly one of Poll, Start, Stop, Throttle and Advice is set.
@@ -71,7 +71,7 @@
 	// that the slot already holds the spec and that Spec is omitted.
 	Slot  uint32
 	Known bool
-	Spec  packed.Text
+	Spec  compressed.Text
 }
 
 // stop is the frame form of runner.Stop.
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -10,7 +10,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"gentianstand/internal/packed"
+	"gentianstand/internal/compressed"
 	"gentianstand/internal/runner"
 )
 
@@ -28,7 +28,7 @@
 	// workers, ids, specs, delays and the counters are used by the reading goroutine only.
 	workers           map[uint32]runner.Target
 	ids               []string
-	specs             [specSlotCount]packed.Text
+	specs             [specSlotCount]compressed.Text
 	delays            delayTracker
 	requests, overdue int
 
--- a/internal/relay/spec_slots.go
+++ b/internal/relay/spec_slots.go
@@ -1,6 +1,6 @@
 package relay
 
-import "gentianstand/internal/packed"
+import "gentianstand/internal/compressed"
 
 // specSlotCount is how many specs both ends of a link remember. A spec has up to 4 KB and
 // is needed while its job has tasks to start; a link carries some dozens of jobs at the
@@ -11,16 +11,16 @@
 // many tasks would make up most of an owner's traffic, because every start carries one. It
 // is not safe for concurrent use.
 type specSlots struct {
-	bySpec map[packed.Text]uint32
-	specs  [specSlotCount]packed.Text
+	bySpec map[compressed.Text]uint32
+	specs  [specSlotCount]compressed.Text
 	next   uint32
 }
 
-func newSpecSlots() *specSlots { return &specSlots{bySpec: map[packed.Text]uint32{}} }
+func newSpecSlots() *specSlots { return &specSlots{bySpec: map[compressed.Text]uint32{}} }
 
 // place returns the slot of a spec; known reports that the spec was already in it. A new
 // spec replaces the oldest.
-func (s *specSlots) place(spec packed.Text) (slot uint32, known bool) {
+func (s *specSlots) place(spec compressed.Text) (slot uint32, known bool) {
 	if slot, known = s.bySpec[spec]; known {
 		return slot, true
 	}
--- a/internal/relay/spec_slots_test.go
+++ b/internal/relay/spec_slots_test.go
@@ -6,16 +6,16 @@
 
 	"pgregory.net/rapid"
 
-	"gentianstand/internal/packed"
+	"gentianstand/internal/compressed"
 )
 
 // The relay must restore exactly the specs that the owner omitted, whatever specs are sent.
 func TestLeftOutSpecsAreThoseThatWereSent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		owner := newSpecSlots()
-		var relay [specSlotCount]packed.Text
+		var relay [specSlotCount]compressed.Text
 		for range rapid.IntRange(1, 600).Draw(t, "starts") {
-			spec := packed.Text(fmt.Sprint("spec-", rapid.IntRange(0, 2*specSlotCount).Draw(t, "spec")))
+			spec := compressed.Text(fmt.Sprint("spec-", rapid.IntRange(0, 2*specSlotCount).Draw(t, "spec")))
 			slot, known := owner.place(spec)
 			if !known {
 				relay[slot] = spec
--- a/internal/runner/start.go
+++ b/internal/runner/start.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"gentianstand/internal/packed"
+	"gentianstand/internal/compressed"
 )
 
 // Start orders a run of a task.
@@ -11,7 +11,7 @@
 	Task string
 	Run  uint64
 	// Spec is the spec text of the task's job.
-	Spec  packed.Text
+	Spec  compressed.Text
 	Token uint64
 	// LeaseUntil is the end of the worker's lease on its own clock.
 	LeaseUntil time.Duration
--- a/internal/store/monitored.go
+++ b/internal/store/monitored.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"gentianstand/internal/patience"
+	"gentianstand/internal/adaptivetimeout"
 )
 
 // A pending call is overdue, and the store counts as unreachable, after overdueShare of the
@@ -32,7 +32,7 @@
 	// pending holds the start times of the calls in progress.
 	pending map[int]time.Time
 	next    int
-	timeout *patience.AdaptiveTimeout
+	timeout *adaptivetimeout.AdaptiveTimeout
 	// endedAt is when the last call ended, with or without an answer.
 	endedAt time.Time
 }
@@ -40,7 +40,7 @@
 // NewMonitored wraps s in a Monitored store. The store counts as reachable until a call fails.
 func NewMonitored(s Store) *Monitored {
 	return &Monitored{Store: s, answeredAt: time.Now(), reachableSince: time.Now(), pending: map[int]time.Time{},
-		timeout: patience.New(callTimeouts)}
+		timeout: adaptivetimeout.New(callTimeouts)}
 }
 
 // Reachable reports whether the last call was answered and none is overdue.
--- a/internal/store/monitored_test.go
+++ b/internal/store/monitored_test.go
@@ -6,7 +6,7 @@
 	"testing/synctest"
 	"time"
 
-	"gentianstand/internal/patience"
+	"gentianstand/internal/adaptivetimeout"
 )
 
 // scripted is a store whose commits take a set time and return a set error.
@@ -55,7 +55,7 @@
 // Guards against retries that lengthen the queues of a slow store: the store becomes 60 times
 // slower and recovers, and the timeout has to adapt within a few calls.
 func TestCallTimeoutAdaptsToASlowStore(t *testing.T) {
-	p := patience.New(callTimeouts)
+	p := adaptivetimeout.New(callTimeouts)
 	for range 50 {
 		p.ObserveAnswer(5 * time.Millisecond)
 	}
