--- a/internal/adaptivetimeout/settings.go
+++ b/internal/adaptivetimeout/settings.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Settings are the parameters of an AdaptiveTimeout.
+// Settings are the parameters of a Timeout.
 type Settings struct {
 	// Min and Max bound the timeout.
 	Min, Max time.Duration
--- a/internal/cellowner/owner.go
+++ b/internal/cellowner/owner.go
@@ -48,7 +48,7 @@
 	commitMu            sync.Mutex
 	// sequence is the version of the sequence row.
 	sequence     uint64
-	orderTimeout *adaptivetimeout.AdaptiveTimeout
+	orderTimeout *adaptivetimeout.Timeout
 	waitStats    *waitStats
 	planStats    planStats
 }
--- a/internal/store/monitored.go
+++ b/internal/store/monitored.go
@@ -32,7 +32,7 @@
 	// pending holds the start times of the calls in progress.
 	pending map[int]time.Time
 	next    int
-	timeout *adaptivetimeout.AdaptiveTimeout
+	timeout *adaptivetimeout.Timeout
 	// endedAt is when the last call ended, with or without an answer.
 	endedAt time.Time
 }
