--- a/internal/dev/check.go
+++ b/internal/dev/check.go
@@ -61,7 +61,7 @@
 		{"requests are answered whole", c.requests},
 		{"the batch run succeeds", func(ctx context.Context) (string, error) { return c.runEnds(ctx, "letters") }},
 		{"the job succeeds", func(ctx context.Context) (string, error) { return c.runEnds(ctx, "routes") }},
-		{"no promise was broken", c.judge},
+		{"no promise was broken", c.checkViolations},
 	}
 }
 
@@ -83,10 +83,10 @@
 
 func (c *checker) inForce(ctx context.Context) (string, error) {
 	for _, address := range c.sys.Instances {
-		one := client.New(address, "", "dev", stepTimeout)
+		instance := client.New(address, "", "dev", stepTimeout)
 		err := poll(ctx, func() error {
 			var st entry.Status
-			if err := one.Do(ctx, http.MethodGet, "/v1/status", nil, nil, nil, &st); err != nil {
+			if err := instance.Do(ctx, http.MethodGet, "/v1/status", nil, nil, nil, &st); err != nil {
 				return err
 			}
 			if st.Config < 1 {
@@ -160,10 +160,10 @@
 	return planner.Summary{}, fmt.Errorf("%s has no run yet", workload)
 }
 
-func (c *checker) judge(context.Context) (string, error) {
+func (c *checker) checkViolations(context.Context) (string, error) {
 	events := c.sys.Record.Events()
-	if broken := worker.Violations(events); len(broken) > 0 {
-		return "", fmt.Errorf("%s", strings.Join(broken, "; "))
+	if violations := worker.Violations(events); len(violations) > 0 {
+		return "", fmt.Errorf("%s", strings.Join(violations, "; "))
 	}
 	return fmt.Sprintf("%d events on the workers' record", len(events)), nil
 }
@@ -206,7 +206,7 @@
 	return check(body.String())
 }
 
-func copyBody(into io.Writer, resp *http.Response) error {
-	_, err := io.Copy(into, resp.Body)
+func copyBody(dst io.Writer, resp *http.Response) error {
+	_, err := io.Copy(dst, resp.Body)
 	return err
 }
--- a/internal/dev/system.go
+++ b/internal/dev/system.go
@@ -32,19 +32,19 @@
 	Instances []string
 	Record    *standworker.Record
 
-	settings Settings
-	faulty   *standplatform.FaultyStore
-	store    *standplatform.Store
-	apps     []*fx.App
-	servers  []*http.Server
-	workers  []*standworker.Worker
+	settings    Settings
+	faultyStore *standplatform.FaultyStore
+	store       *standplatform.Store
+	apps        []*fx.App
+	servers     []*http.Server
+	workers     []*standworker.Worker
 }
 
 // Start starts a system. It must be stopped also after an error.
 func Start(ctx context.Context, s Settings, log io.Writer) (*System, error) {
 	sys := &System{settings: s, Record: &standworker.Record{}, store: standplatform.NewStore()}
-	sys.faulty = standplatform.NewFaultyStore(sys.store)
-	address, err := sys.serve(standplatform.NewServer(sys.store, sys.faulty).Handler())
+	sys.faultyStore = standplatform.NewFaultyStore(sys.store)
+	address, err := sys.serve(standplatform.NewServer(sys.store, sys.faultyStore).Handler())
 	if err != nil {
 		return sys, err
 	}
--- a/internal/dev/system_test.go
+++ b/internal/dev/system_test.go
@@ -146,7 +146,7 @@
 		{"body cut short", "POST /s/casedesk/x HTTP/1.1\r\nHost: x\r\nContent-Length: 50\r\n\r\nhello", "400"},
 		{"length too large", "POST /s/casedesk/x HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999999\r\n\r\n", "413"},
 	}
-	before := requestsRun(sys)
+	before := countRequests(sys)
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			if line := rawRequest(t, address, c.request, true); !strings.Contains(line, c.want) {
@@ -154,7 +154,7 @@
 			}
 		})
 	}
-	if after := requestsRun(sys); after != before {
+	if after := countRequests(sys); after != before {
 		t.Errorf("%d bad requests reached a worker", after-before)
 	}
 	resp, err := http.Get("http://" + address + "/s/casedesk/still-there")
@@ -166,7 +166,7 @@
 // Failure: an instance runs out of connections.
 func TestSlowSenders(t *testing.T) {
 	sys := newSystem(t)
-	before := requestsRun(sys)
+	before := countRequests(sys)
 	cases := []struct{ name, request, want string }{
 		{"header", "GET /s/casedesk/x HTTP/1.1\r\nHost: x\r\n", ""},
 		{"body", "POST /s/casedesk/x HTTP/1.1\r\nHost: x\r\nContent-Length: 50\r\n\r\nhello", "400"},
@@ -177,14 +177,14 @@
 			if line := rawRequest(t, sys.Instances[0], c.request, false); !strings.Contains(line, c.want) {
 				t.Errorf("got %q, want %s", line, c.want)
 			}
-			if after := requestsRun(sys); after != before {
+			if after := countRequests(sys); after != before {
 				t.Errorf("%d of them reached a worker", after-before)
 			}
 		})
 	}
 }
 
-func requestsRun(sys *dev.System) int {
+func countRequests(sys *dev.System) int {
 	n := 0
 	for _, e := range sys.Record.Events() {
 		if e.Type == standworker.RequestRan {
@@ -198,11 +198,11 @@
 func TestWorkerAnswersNonsense(t *testing.T) {
 	sys := newSystem(t)
 	sys.WorkerFaults(standworker.Fault{Nonsense: true})
-	before := requestsRun(sys)
+	before := countRequests(sys)
 	req, _ := http.NewRequest(http.MethodPost, "http://"+sys.Instances[0]+"/s/casedesk/order", nil)
 	req.Header.Set(entry.HeaderRequestID, "test-17")
 	expect(t, req, http.StatusBadGateway, "upstream_failed", "worker")
-	if n := requestsRun(sys) - before; n != 1 {
+	if n := countRequests(sys) - before; n != 1 {
 		t.Errorf("the request ran %d times", n)
 	}
 }
--- a/internal/load/generator.go
+++ b/internal/load/generator.go
@@ -28,7 +28,7 @@
 	settings Settings
 	client   *http.Client
 	body     []byte
-	open     chan struct{}
+	inFlight chan struct{}
 
 	mu        sync.Mutex
 	histogram *hdrhistogram.Histogram
@@ -41,10 +41,10 @@
 func NewGenerator(s Settings) *Generator {
 	transport := http.DefaultTransport.(*http.Transport).Clone()
 	transport.Proxy = nil
-	transport.MaxIdleConnsPerHost = s.MostOpen
+	transport.MaxIdleConnsPerHost = s.MaxInFlight
 	return &Generator{
 		settings: s, client: &http.Client{Transport: transport, Timeout: s.Timeout},
-		body: bytes.Repeat([]byte("x"), s.BodySize), open: make(chan struct{}, s.MostOpen),
+		body: bytes.Repeat([]byte("x"), s.BodySize), inFlight: make(chan struct{}, s.MaxInFlight),
 		histogram: hdrhistogram.New(lowestMicros, highestMicros, digits), answers: map[string]int64{},
 	}
 }
@@ -53,36 +53,36 @@
 // returns what was measured.
 func (g *Generator) Run(ctx context.Context) Report {
 	started := time.Now()
-	gap := time.Duration(float64(time.Second) / g.settings.Rate)
+	interval := time.Duration(float64(time.Second) / g.settings.Rate)
 	var wg sync.WaitGroup
 	for n := 0; ; n++ {
-		meant := started.Add(time.Duration(n) * gap)
-		if meant.Sub(started) >= g.settings.Duration || ctx.Err() != nil {
+		scheduled := started.Add(time.Duration(n) * interval)
+		if scheduled.Sub(started) >= g.settings.Duration || ctx.Err() != nil {
 			break
 		}
-		time.Sleep(time.Until(meant))
+		time.Sleep(time.Until(scheduled))
 		select {
-		case g.open <- struct{}{}:
+		case g.inFlight <- struct{}{}:
 		default:
 			g.notSent.Add(1)
 			continue
 		}
 		wg.Go(func() {
-			defer func() { <-g.open }()
-			g.send(ctx, n, meant)
+			defer func() { <-g.inFlight }()
+			g.send(ctx, n, scheduled)
 		})
 	}
 	wg.Wait()
 	return g.report(time.Since(started))
 }
 
-func (g *Generator) send(ctx context.Context, n int, meant time.Time) {
+func (g *Generator) send(ctx context.Context, n int, scheduled time.Time) {
 	g.sent.Add(1)
 	server := g.settings.Servers[n%len(g.settings.Servers)]
 	target := "http://" + server + entry.PathServices + g.settings.Service + "/" + g.settings.Path
 	req, err := http.NewRequestWithContext(ctx, g.settings.Method, target, bytes.NewReader(g.body))
 	if err != nil {
-		g.note("bad_request_here", 0)
+		g.recordAnswer("bad_request_here", 0)
 		return
 	}
 	req.Header.Set(entry.HeaderTimeout, strconv.FormatFloat(g.settings.Timeout.Seconds(), 'f', 3, 64))
@@ -91,15 +91,15 @@
 	}
 	resp, err := g.client.Do(req)
 	if err != nil {
-		g.note("no_answer", 0)
+		g.recordAnswer("no_answer", 0)
 		return
 	}
 	defer resp.Body.Close()
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-		g.note("broken_answer", 0)
+		g.recordAnswer("broken_answer", 0)
 		return
 	}
-	g.note(answerName(resp), time.Since(meant))
+	g.recordAnswer(answerName(resp), time.Since(scheduled))
 }
 
 func answerName(resp *http.Response) string {
@@ -109,8 +109,8 @@
 	return "status_" + strconv.Itoa(resp.StatusCode)
 }
 
-// note counts an answer; only upstreams' own answers enter the histogram.
-func (g *Generator) note(name string, took time.Duration) {
+// recordAnswer counts an answer; only upstreams' own answers enter the histogram.
+func (g *Generator) recordAnswer(name string, took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.answers[name]++
--- a/internal/spec/check.go
+++ b/internal/spec/check.go
@@ -22,19 +22,19 @@
 		return
 	}
 	team, ok := doc.text.Team(w.Team)
-	at := doc.places[w.Name]
+	at := doc.nodes[w.Name]
 	if !ok {
 		r.fail(at, "%s %q names the unknown team %q", w.Kind, w.Name, w.Team)
 		return
 	}
-	if need := smallestUse(w); !team.Borrow && !need.Fits(team.Quota) {
+	if need := minUsage(w); !team.Borrow && !need.Fits(team.Quota) {
 		r.fail(at, "%s %q needs at least %s at once, above the quota of team %q, which may not borrow: %s", w.Kind, w.Name, need, w.Team, team.Quota)
 	}
 }
 
-// smallestUse is what must fit the quota for the workload to make progress:
+// minUsage is what must fit the quota for the workload to make progress:
 // all tasks of a service or job, one task of a batch run.
-func smallestUse(w Workload) resource.Amount {
+func minUsage(w Workload) resource.Amount {
 	if w.Kind == Batch {
 		return w.Need
 	}
@@ -43,13 +43,13 @@
 
 func (r *reader) checkNeed(doc *document, w Workload) {
 	if w.Need.IsZero() {
-		r.fail(doc.places[w.Name], "%s %q needs nothing; allowed: some cpu, memory or accelerators", w.Kind, w.Name)
+		r.fail(doc.nodes[w.Name], "%s %q needs nothing; allowed: some cpu, memory or accelerators", w.Kind, w.Name)
 	}
 }
 
 func (r *reader) checkDependencies(doc *document, w Workload) {
 	for i, name := range w.DependsOn {
-		at := doc.dependsAt[w.Name][i]
+		at := doc.dependsOnNodes[w.Name][i]
 		if _, ok := doc.text.Workload(name); !ok && name != "" {
 			r.fail(at, "%q depends on the unknown %q", w.Name, name)
 		}
@@ -58,7 +58,7 @@
 
 func (r *reader) checkTimes(doc *document, w Workload) {
 	if w.RunTime > 0 && w.RunTimeLimit > 0 && w.RunTime > w.RunTimeLimit {
-		r.fail(doc.places[w.Name], "%q declares run_time %s above its run_time_limit %s", w.Name, w.RunTime, w.RunTimeLimit)
+		r.fail(doc.nodes[w.Name], "%q declares run_time %s above its run_time_limit %s", w.Name, w.RunTime, w.RunTimeLimit)
 	}
 }
 
@@ -67,15 +67,15 @@
 func (r *reader) checkCycles(doc *document) {
 	done := map[string]bool{}
 	for _, w := range doc.text.Workloads {
-		r.walk(doc, w.Name, nil, done)
+		r.findCycle(doc, w.Name, nil, done)
 	}
 }
 
-func (r *reader) walk(doc *document, name string, path []string, done map[string]bool) {
+func (r *reader) findCycle(doc *document, name string, path []string, done map[string]bool) {
 	for i, seen := range path {
 		if seen == name {
 			cycle := append(append([]string{}, path[i:]...), name)
-			r.fail(doc.places[name], "dependency cycle: %s", strings.Join(cycle, " -> "))
+			r.fail(doc.nodes[name], "dependency cycle: %s", strings.Join(cycle, " -> "))
 			return
 		}
 	}
@@ -88,6 +88,6 @@
 		return
 	}
 	for _, next := range w.DependsOn {
-		r.walk(doc, next, append(path, name), done)
+		r.findCycle(doc, next, append(path, name), done)
 	}
 }
--- a/internal/spec/parse.go
+++ b/internal/spec/parse.go
@@ -19,10 +19,10 @@
 
 // document is a text with the places of what later checks talk about.
 type document struct {
-	text      Text
-	places    map[string]*yaml.Node
-	dependsAt map[string][]*yaml.Node
-	teamAt    map[string]*yaml.Node
+	text           Text
+	nodes          map[string]*yaml.Node
+	dependsOnNodes map[string][]*yaml.Node
+	teamNodes      map[string]*yaml.Node
 }
 
 // Parse reads a text. The error is a Problems with every mistake found.
@@ -70,7 +70,7 @@
 }
 
 func (r *reader) document(root *yaml.Node) *document {
-	doc := &document{places: map[string]*yaml.Node{}, dependsAt: map[string][]*yaml.Node{}, teamAt: map[string]*yaml.Node{}}
+	doc := &document{nodes: map[string]*yaml.Node{}, dependsOnNodes: map[string][]*yaml.Node{}, teamNodes: map[string]*yaml.Node{}}
 	var version int64
 	r.mapping(root, "the text", map[string]fieldReader{
 		"version":  r.integer(&version, FormatVersion, FormatVersion),
@@ -91,7 +91,7 @@
 		"borrow":    r.boolean(&team.Borrow),
 		"protected": r.boolean(&team.Protected),
 	}, "name", "quota")
-	if _, twice := doc.text.Team(team.Name); twice && team.Name != "" {
+	if _, duplicate := doc.text.Team(team.Name); duplicate && team.Name != "" {
 		r.fail(n, "team %q stands twice, with quotas that may contradict each other", team.Name)
 		return
 	}
@@ -109,7 +109,7 @@
 	var dependsAt []*yaml.Node
 	fields := map[string]fieldReader{
 		"name":       r.name(&w.Name),
-		"team":       func(v *yaml.Node) { doc.teamAt[w.Name] = v; r.name(&w.Team)(v) },
+		"team":       func(v *yaml.Node) { doc.teamNodes[w.Name] = v; r.name(&w.Team)(v) },
 		"resources":  r.amount(&w.Need),
 		"urgency":    choice(r, &w.Urgency, Urgent, Normal, Low),
 		"depends_on": r.nameList(&w.DependsOn, &dependsAt),
@@ -128,12 +128,12 @@
 		fields["start"] = choice(r, &w.Start, StartOnApply, StartOnSubmit)
 	}
 	r.mapping(n, "a "+string(kind), fields, "name", "team", "resources")
-	if _, twice := doc.places[w.Name]; twice {
+	if _, duplicate := doc.nodes[w.Name]; duplicate {
 		r.fail(n, "the name %q stands twice; services, batches and jobs share their names", w.Name)
 		return
 	}
-	doc.places[w.Name] = n
-	doc.dependsAt[w.Name] = dependsAt
+	doc.nodes[w.Name] = n
+	doc.dependsOnNodes[w.Name] = dependsAt
 	doc.text.Workloads = append(doc.text.Workloads, w)
 }
 
--- a/internal/spec/reader.go
+++ b/internal/spec/reader.go
@@ -25,9 +25,9 @@
 // mapping reads a mapping whose fields are all known; required ones must be
 // there.
 func (r *reader) mapping(n *yaml.Node, what string, fields map[string]fieldReader, required ...string) {
-	n = resolved(n)
+	n = resolveAlias(n)
 	if n.Kind != yaml.MappingNode {
-		r.fail(n, "%s must be a mapping with the fields %s", what, names(fields))
+		r.fail(n, "%s must be a mapping with the fields %s", what, fieldNames(fields))
 		return
 	}
 	seen := map[string]bool{}
@@ -36,11 +36,11 @@
 		read, known := fields[key.Value]
 		switch {
 		case !known:
-			r.fail(key, "unknown field %q in %s; allowed: %s", key.Value, what, names(fields))
+			r.fail(key, "unknown field %q in %s; allowed: %s", key.Value, what, fieldNames(fields))
 		case seen[key.Value]:
 			r.fail(key, "field %q stands twice in %s", key.Value, what)
 		default:
-			read(resolved(value))
+			read(resolveAlias(value))
 		}
 		seen[key.Value] = true
 	}
@@ -57,7 +57,7 @@
 		return
 	}
 	for _, item := range n.Content {
-		each(resolved(item))
+		each(resolveAlias(item))
 	}
 }
 
@@ -69,14 +69,14 @@
 	return n.Value, true
 }
 
-func resolved(n *yaml.Node) *yaml.Node {
+func resolveAlias(n *yaml.Node) *yaml.Node {
 	for n.Kind == yaml.AliasNode {
 		n = n.Alias
 	}
 	return n
 }
 
-func names(fields map[string]fieldReader) string {
+func fieldNames(fields map[string]fieldReader) string {
 	list := make([]string, 0, len(fields))
 	for name := range fields {
 		list = append(list, name)
--- a/internal/spec/values.go
+++ b/internal/spec/values.go
@@ -40,13 +40,13 @@
 	}
 }
 
-func (r *reader) nameList(into *[]string, places *[]*yaml.Node) fieldReader {
+func (r *reader) nameList(into *[]string, nodes *[]*yaml.Node) fieldReader {
 	return func(n *yaml.Node) {
 		r.list(n, "this field", func(item *yaml.Node) {
 			var s string
 			r.name(&s)(item)
 			*into = append(*into, s)
-			*places = append(*places, item)
+			*nodes = append(*nodes, item)
 		})
 	}
 }
