--- a/internal/spec/check.go
+++ b/internal/spec/check.go
@@ -6,7 +6,7 @@
 	"gentianstand/internal/resource"
 )
 
-// check finds mistakes that need the whole text.
+// check reports mistakes that can be found only once the whole text is read.
 func (r *reader) check(doc *document) {
 	for _, w := range doc.text.Workloads {
 		r.checkTeam(doc, w)
@@ -32,8 +32,8 @@
 	}
 }
 
-// minUsage is what must fit the quota for the workload to make progress:
-// all tasks of a service or job, one task of a batch run.
+// minUsage returns the resources that must fit into the quota for the workload to make
+// progress: those of all tasks of a service or job, or of one task of a batch run.
 func minUsage(w Workload) resource.Amount {
 	if w.Kind == Batch {
 		return w.Need
@@ -62,8 +62,7 @@
 	}
 }
 
-// checkCycles reports each workload from which a depth-first walk comes back
-// to itself, once per cycle.
+// checkCycles reports each dependency cycle once. It searches depth-first from every workload.
 func (r *reader) checkCycles(doc *document) {
 	done := map[string]bool{}
 	for _, w := range doc.text.Workloads {
--- a/internal/spec/kind.go
+++ b/internal/spec/kind.go
@@ -1,11 +1,11 @@
 package spec
 
-// Kind tells how the tasks of a workload behave.
+// Kind determines how the tasks of a workload run.
 type Kind string
 
 // The kinds of workload.
 const (
-	// Service runs its replicas until the text no longer names it.
+	// Service runs its replicas until the workload is removed from the text.
 	Service Kind = "service"
 	// Batch runs each of its tasks once, in any order.
 	Batch Kind = "batch"
--- a/internal/spec/parse.go
+++ b/internal/spec/parse.go
@@ -11,13 +11,13 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// FormatVersion is the version of the text's format.
+// FormatVersion is the only supported version of the text's format.
 const FormatVersion = 1
 
-// MaxTextBytes bounds a text.
+// MaxTextBytes is the maximum size of a text.
 const MaxTextBytes = 1 << 20
 
-// document is a text with the places of what later checks talk about.
+// document is a text together with the YAML nodes that later checks report as positions.
 type document struct {
 	text           Text
 	nodes          map[string]*yaml.Node
@@ -25,7 +25,7 @@
 	teamNodes      map[string]*yaml.Node
 }
 
-// Parse reads a text. The error is a Problems with every mistake found.
+// Parse parses a text. The error is of type Problems and contains every mistake found.
 func Parse(source string) (*Text, error) {
 	if len(source) > MaxTextBytes {
 		return nil, Problems{{Line: 1, Column: 1, Message: fmt.Sprintf("the text has %d bytes; allowed: at most %d", len(source), MaxTextBytes)}}
--- a/internal/spec/parse_test.go
+++ b/internal/spec/parse_test.go
@@ -11,7 +11,7 @@
 
 const head = "version: 1\nteams:\n  - name: a\n    quota: {cpu: 4, memory: 8GiB}\n"
 
-// TestBadTexts: each mistake is answered with its line, its column and what is
+// TestBadTexts checks that each mistake is reported with its line, its column and what is
 // allowed.
 func TestBadTexts(t *testing.T) {
 	cases := []struct{ name, text, want string }{
@@ -50,7 +50,7 @@
 	}
 }
 
-// TestAllMistakesAtOnce: one answer names every mistake, in the order of lines.
+// TestAllMistakesAtOnce checks that one error contains every mistake, sorted by line.
 func TestAllMistakesAtOnce(t *testing.T) {
 	_, err := Parse("version: 1\nteams:\n  - name: A\n    quota: {cpu: x, memory: 1}\nfoo: 1\n")
 	problems, ok := err.(Problems)
@@ -59,7 +59,7 @@
 	}
 	for i := 1; i < len(problems); i++ {
 		if problems[i].Line < problems[i-1].Line {
-			t.Errorf("not in the order of lines: %v", problems)
+			t.Errorf("problems are not sorted by line: %v", problems)
 		}
 	}
 }
@@ -80,8 +80,8 @@
 	}
 }
 
-// TestParseNeverPanics: whatever is sent, the answer is a text or a list of
-// mistakes with places.
+// TestParseNeverPanics checks that every input yields either a text or a list of mistakes with
+// their positions.
 func TestParseNeverPanics(t *testing.T) {
 	pieces := []string{"version: 1\n", "teams:\n", "  - name: a\n", "    quota: {cpu: 1, memory: 1GiB}\n", "jobs:\n", "  - ", "&x ", "*x", "[", "{", ": ", "\t", "depends_on: [a]\n", "null\n", "- - -\n", "\x00"}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -92,7 +92,7 @@
 		}
 		problems, ok := err.(Problems)
 		if !ok || len(problems) == 0 || problems[0].Line < 1 || problems[0].Column < 1 {
-			rt.Fatalf("mistakes without places: %#v", err)
+			rt.Fatalf("mistakes without positions: %#v", err)
 		}
 	})
 }
--- a/internal/spec/problem.go
+++ b/internal/spec/problem.go
@@ -4,14 +4,14 @@
 
 // Problem is one mistake in a text, or one warning about it.
 type Problem struct {
-	// Line and Column count from 1.
+	// Line and Column start at 1.
 	Line   int `json:"line"`
 	Column int `json:"column"`
-	// Message says what is wrong and what is allowed.
+	// Message describes the mistake and what is allowed.
 	Message string `json:"message"`
 }
 
-// String returns line:column: message.
+// String returns the problem in the form "line:column: message".
 func (p Problem) String() string {
 	return fmt.Sprintf("%d:%d: %s", p.Line, p.Column, p.Message)
 }
--- a/internal/spec/problems.go
+++ b/internal/spec/problems.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// Problems is every mistake of one text, as an error.
+// Problems is an error that contains every mistake of one text.
 type Problems []Problem
 
-// Error implements the error interface with one mistake a line.
+// Error implements the error interface. It returns one mistake per line.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i, problem := range p {
--- a/internal/spec/reader.go
+++ b/internal/spec/reader.go
@@ -9,8 +9,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// reader walks a YAML tree and gathers problems instead of stopping at the
-// first.
+// reader decodes a YAML tree and collects problems instead of stopping at the first one.
 type reader struct {
 	problems Problems
 }
@@ -22,8 +21,7 @@
 // fieldReader reads the value of one field.
 type fieldReader func(value *yaml.Node)
 
-// mapping reads a mapping whose fields are all known; required ones must be
-// there.
+// mapping reads a mapping. Unknown, duplicate and missing required fields are problems.
 func (r *reader) mapping(n *yaml.Node, what string, fields map[string]fieldReader, required ...string) {
 	n = resolveAlias(n)
 	if n.Kind != yaml.MappingNode {
@@ -85,7 +83,7 @@
 	return strings.Join(list, ", ")
 }
 
-// choice reads one of a closed set of words.
+// choice reads a value that must be one of the allowed words.
 func choice[T ~string](r *reader, into *T, allowed ...T) fieldReader {
 	return func(n *yaml.Node) {
 		s, ok := r.scalar(n, "this field")
--- a/internal/spec/spread.go
+++ b/internal/spec/spread.go
@@ -1,9 +1,9 @@
 package spec
 
-// Spread names what replicas are kept apart on.
+// Spread is the kind of failure domain across which the tasks of a workload are spread.
 type Spread string
 
-// The levels of spreading.
+// The failure domains, from the largest to none.
 const (
 	SpreadZone   Spread = "zone"
 	SpreadRack   Spread = "rack"
--- a/internal/spec/start.go
+++ b/internal/spec/start.go
@@ -1,9 +1,9 @@
 package spec
 
-// Start tells when a batch or job runs.
+// Start determines when a batch or job runs.
 type Start string
 
-// The starts.
+// The start modes.
 const (
 	// StartOnApply runs once for each accepted change of the workload.
 	StartOnApply Start = "on-apply"
--- a/internal/spec/urgency.go
+++ b/internal/spec/urgency.go
@@ -1,6 +1,6 @@
 package spec
 
-// Urgency orders workloads that compete.
+// Urgency is the priority class of a workload when workloads compete for resources.
 type Urgency string
 
 // The urgencies, most important first.
@@ -10,7 +10,7 @@
 	Low    Urgency = "low"
 )
 
-// Rank returns 0 for the most important urgency and grows from there.
+// Rank returns 0 for the most important urgency, and higher numbers for less important ones.
 func (u Urgency) Rank() int {
 	switch u {
 	case Urgent:
--- a/internal/spec/values.go
+++ b/internal/spec/values.go
@@ -12,7 +12,7 @@
 	"gentianstand/internal/resource"
 )
 
-// The bounds of values in a text.
+// The upper limits of values in a text.
 const (
 	maxTasks    = 10_000
 	maxRetries  = 100
--- a/internal/spec/workload.go
+++ b/internal/spec/workload.go
@@ -6,7 +6,7 @@
 	"gentianstand/internal/resource"
 )
 
-// Workload is one service, batch run or job of the text.
+// Workload is a service, batch run or job that the text declares.
 type Workload struct {
 	Name    string          `json:"name"`
 	Kind    Kind            `json:"kind"`
@@ -16,22 +16,21 @@
 	Urgency Urgency         `json:"urgency"`
 	Spread  Spread          `json:"spread"`
 	Start   Start           `json:"start"`
-	// DependsOn names workloads that must run (services) or have succeeded
-	// (batch runs and jobs) before this one starts.
+	// DependsOn contains the names of the workloads that must be running (services) or must
+	// have succeeded (batch runs and jobs) before this one starts.
 	DependsOn []string `json:"depends_on,omitempty"`
 	Command   []string `json:"command,omitempty"`
-	// Idempotent says that a task may be executed again after an attempt
-	// whose end is unknown; true unless the text says otherwise. For a
-	// service it says so of every request, and is false unless stated: then
-	// the request's method decides (RFC 9110, section 9.2.2).
+	// Idempotent permits a task to be executed again after an attempt whose outcome is
+	// unknown; the default is true. For a service it applies to every request and defaults
+	// to false, in which case the request's method decides (RFC 9110, section 9.2.2).
 	Idempotent bool `json:"idempotent"`
-	// Retries is how many more attempts a failed task gets.
+	// Retries is the number of further attempts after a task has failed.
 	Retries int `json:"retries"`
 	// RunTime is the declared run time of a task; 0 means not declared.
 	RunTime time.Duration `json:"run_time"`
-	// RunTimeLimit is when a task is stopped; 0 means never.
+	// RunTimeLimit is how long a task may run before it is stopped; 0 means no limit.
 	RunTimeLimit time.Duration `json:"run_time_limit"`
-	// Deadline is how long after its start a run must have finished, or how
-	// long a request to a service may take; 0 means no deadline.
+	// Deadline is the time from its start within which a run must finish, or within which a
+	// request to a service must be answered; 0 means no deadline.
 	Deadline time.Duration `json:"deadline"`
 }
