--- a/cmd/gentianstand/main.go
+++ b/cmd/gentianstand/main.go
@@ -1,4 +1,4 @@
-// Command gentianstand is the scheduler and its operators' commands.
+// Command gentianstand runs the scheduler and provides the commands for its operators.
 package main
 
 import (
--- a/internal/dev/check.go
+++ b/internal/dev/check.go
@@ -15,21 +15,21 @@
 	"gentianstand/internal/standin/worker"
 )
 
-// The bounds of a check.
+// The limits of a check.
 const (
 	stepTimeout   = 12 * time.Second
 	checkRequests = 50
 	pollPeriod    = 25 * time.Millisecond
 )
 
-// step is one thing that must hold; it returns a figure to print.
+// step is one condition of a check. Its run function returns a figure to print.
 type step struct {
 	name string
 	run  func(ctx context.Context) (string, error)
 }
 
-// Check runs the sample text through the whole path and reports whether every
-// step held. It prints one line for each step.
+// Check applies the sample text, sends requests, waits for its runs, and reports whether every
+// step succeeded. It prints one line per step and stops at the first failure.
 func Check(ctx context.Context, sys *System, out io.Writer) bool {
 	c := checker{sys: sys, client: client.New(sys.Instances[0], "", "dev", stepTimeout)}
 	for _, s := range c.steps() {
@@ -168,7 +168,7 @@
 	return fmt.Sprintf("%d events on the workers' record", len(events)), nil
 }
 
-// poll repeats f until it succeeds or ctx ends, and returns its last error.
+// poll calls f until it succeeds or ctx ends, and returns the last error of f.
 func poll(ctx context.Context, f func() error) error {
 	for {
 		err := f()
--- a/internal/dev/sample.go
+++ b/internal/dev/sample.go
@@ -1,6 +1,6 @@
 package dev
 
-// Sample is a text with one service, one batch run and one job.
+// Sample is a configuration text with one service, one batch run and one job.
 const Sample = `version: 1
 teams:
   - name: demo
--- a/internal/dev/settings.go
+++ b/internal/dev/settings.go
@@ -1,16 +1,16 @@
-// Package dev runs a whole system in one process: a platform in memory, entry
-// instances and workers that only pretend, each on a loopback port. It is for
-// trying gentianstand out; nothing of it is used by serve.
+// Package dev runs a complete system in one process for evaluation and development: an in-memory
+// platform, entry instances and simulated workers, each on a loopback port. The serve command
+// does not use it.
 package dev
 
-// Settings is how large the system is.
+// Settings configure a System.
 type Settings struct {
 	Instances int
 	Workers   int
-	// WorkersPerRack groups workers into racks, one availability zone each
-	// in turn.
+	// WorkersPerRack is the number of workers per rack. Racks are assigned to the availability
+	// zones in turn.
 	WorkersPerRack int
 	LogLevel       string
-	// OperatorToken, if not empty, must come with operators' calls.
+	// OperatorToken, if not empty, is the bearer token that operators' requests must carry.
 	OperatorToken string
 }
--- a/internal/dev/system.go
+++ b/internal/dev/system.go
@@ -24,10 +24,10 @@
 	workerSlots = 8
 )
 
-// System is a running system.
+// System is a running system of a platform, instances and workers.
 type System struct {
-	// Platform is the URL of the stand-in platform, Instances the addresses
-	// for callers and operators.
+	// Platform is the URL of the simulated platform. Instances are the addresses for callers
+	// and operators.
 	Platform  string
 	Instances []string
 	Record    *standworker.Record
@@ -40,7 +40,7 @@
 	workers     []*standworker.Worker
 }
 
-// Start starts a system. It must be stopped also after an error.
+// Start starts a system. The caller must stop the returned system even if Start fails.
 func Start(ctx context.Context, s Settings, log io.Writer) (*System, error) {
 	sys := &System{settings: s, Record: &standworker.Record{}, store: standplatform.NewStore()}
 	sys.faultyStore = standplatform.NewFaultyStore(sys.store)
@@ -62,14 +62,14 @@
 	return sys, nil
 }
 
-// WorkerFaults sets what all workers do wrong.
+// WorkerFaults injects the fault into all workers.
 func (s *System) WorkerFaults(f standworker.Fault) {
 	for _, w := range s.workers {
 		w.SetFault(f)
 	}
 }
 
-// Stop stops the instances gracefully and then everything else.
+// Stop stops the instances gracefully, and then the platform and the workers.
 func (s *System) Stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
@@ -135,7 +135,7 @@
 	return nil
 }
 
-// freePorts returns loopback addresses that are free now.
+// freePorts returns n loopback addresses that are currently unused.
 func freePorts(n int) ([]string, error) {
 	var addresses []string
 	for range n {
--- a/internal/dev/system_test.go
+++ b/internal/dev/system_test.go
@@ -18,8 +18,8 @@
 	standworker "gentianstand/internal/standin/worker"
 )
 
-// newSystem starts a system with the sample text in force and its service
-// running.
+// newSystem starts a system and runs dev.Check on it, which applies the sample text. The service
+// of the sample is then running.
 func newSystem(t *testing.T) *dev.System {
 	t.Helper()
 	sys, err := dev.Start(context.Background(), dev.Settings{Instances: 2, Workers: 4, WorkersPerRack: 2, LogLevel: "error"}, io.Discard)
@@ -31,12 +31,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	if !dev.Check(ctx, sys, &out) {
-		t.Fatalf("the sample does not run:\n%s", out.String())
+		t.Fatalf("the check of the sample failed:\n%s", out.String())
 	}
 	return sys
 }
 
-// TestCheck: dev -check holds on a fresh system.
+// TestCheck checks that dev.Check succeeds on a new system.
 func TestCheck(t *testing.T) { newSystem(t) }
 
 type errorBody struct {
@@ -48,8 +48,8 @@
 	} `json:"error"`
 }
 
-// TestBadRequests: each kind of bad input gets a clear answer with kind,
-// outcome and request id, and the instance goes on.
+// TestBadRequests checks that each kind of invalid input is answered with an error kind, an
+// outcome and the request ID, and that the instance continues to serve.
 func TestBadRequests(t *testing.T) {
 	sys := newSystem(t)
 	long := strings.Repeat("k", 300)
@@ -103,18 +103,18 @@
 	data, _ := io.ReadAll(resp.Body)
 	var body errorBody
 	if err := json.Unmarshal(data, &body); err != nil {
-		t.Fatalf("status %d, no JSON: %s", resp.StatusCode, data)
+		t.Fatalf("status %d, body is not JSON: %s", resp.StatusCode, data)
 	}
 	if resp.StatusCode != status || body.Error.Kind != kind || !strings.Contains(body.Error.Message, message) {
 		t.Errorf("got %d %s", resp.StatusCode, data)
 	}
 	if body.Error.Outcome == "" || body.Error.RequestID != "test-17" || resp.Header.Get(entry.HeaderRequestID) != "test-17" {
-		t.Errorf("outcome or request id is missing: %s", data)
+		t.Errorf("outcome or request ID is missing: %s", data)
 	}
 }
 
-// rawRequest sends bytes and returns the first line of the answer, "" if the
-// connection was closed without one.
+// rawRequest sends bytes and returns the first line of the response, or "" if the connection was
+// closed without a response.
 func rawRequest(t *testing.T, address, request string, closeWrite bool) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -133,8 +133,8 @@
 	return strings.TrimSpace(line)
 }
 
-// TestMalformedRequests: what is not HTTP, is too large, or ends early is
-// refused, and the instance goes on.
+// TestMalformedRequests checks that requests that are not HTTP, are too large, or end early are
+// refused, and that the instance then still serves requests.
 func TestMalformedRequests(t *testing.T) {
 	sys := newSystem(t)
 	address := sys.Instances[0]
@@ -155,15 +155,16 @@
 		})
 	}
 	if after := countRequests(sys); after != before {
-		t.Errorf("%d bad requests reached a worker", after-before)
+		t.Errorf("%d malformed requests reached a worker", after-before)
 	}
 	resp, err := http.Get("http://" + address + "/s/casedesk/still-there")
 	if err != nil || resp.StatusCode != http.StatusOK {
-		t.Errorf("after the bad requests: %v %v", resp, err)
+		t.Errorf("request after the malformed ones: response %v, error %v", resp, err)
 	}
 }
 
-// Failure: an instance runs out of connections.
+// Guards against running out of connections: the server must close a connection whose sender
+// stalls in the header or the body.
 func TestSlowSenders(t *testing.T) {
 	sys := newSystem(t)
 	before := countRequests(sys)
@@ -178,7 +179,7 @@
 				t.Errorf("got %q, want %s", line, c.want)
 			}
 			if after := countRequests(sys); after != before {
-				t.Errorf("%d of them reached a worker", after-before)
+				t.Errorf("%d unfinished requests reached a worker", after-before)
 			}
 		})
 	}
@@ -194,7 +195,8 @@
 	return n
 }
 
-// Failure: a caller gets garbage, or a request that must not be repeated runs twice.
+// Guards against two failures when a worker responds with invalid data: the caller receives that
+// data, or a request that must not be repeated runs twice.
 func TestWorkerAnswersNonsense(t *testing.T) {
 	sys := newSystem(t)
 	sys.WorkerFaults(standworker.Fault{Nonsense: true})
@@ -207,8 +209,8 @@
 	}
 }
 
-// TestStreaming: a body larger than any buffer passes both ways unchanged and
-// without being held back whole.
+// TestStreaming checks that a body larger than any buffer is streamed unchanged in both
+// directions.
 func TestStreaming(t *testing.T) {
 	sys := newSystem(t)
 	const chunk, chunks = 64 << 10, 32
@@ -227,12 +229,12 @@
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
 	if err != nil || bytes.Count(data, []byte("x")) != chunk*chunks {
-		t.Errorf("%d of %d bytes came back, %v", bytes.Count(data, []byte("x")), chunk*chunks, err)
+		t.Errorf("%d of %d bytes returned, error %v", bytes.Count(data, []byte("x")), chunk*chunks, err)
 	}
 }
 
-// TestOperatorToken: operators' calls without the token are refused, requests
-// to services are not.
+// TestOperatorToken checks that operators' requests without the right token are refused. Requests
+// to services need no token; the test does not cover them.
 func TestOperatorToken(t *testing.T) {
 	sys, err := dev.Start(context.Background(), dev.Settings{Instances: 1, Workers: 1, WorkersPerRack: 1, LogLevel: "error", OperatorToken: "secret"}, io.Discard)
 	t.Cleanup(sys.Stop)
@@ -248,6 +250,6 @@
 	req, _ := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/v1/config", sys.Instances[0]), nil)
 	req.Header.Set("Authorization", "Bearer secret")
 	if resp, err := http.DefaultClient.Do(req); err != nil || resp.StatusCode != http.StatusOK {
-		t.Errorf("with the token: %v %v", resp, err)
+		t.Errorf("request with the token: response %v, error %v", resp, err)
 	}
 }
--- a/internal/load/generator.go
+++ b/internal/load/generator.go
@@ -16,14 +16,14 @@
 	"gentianstand/internal/entry"
 )
 
-// The range and precision of the histogram, in microseconds.
+// The range of the histogram in microseconds, and its precision in significant digits.
 const (
 	lowestMicros  = 1
 	highestMicros = int64(10 * time.Minute / time.Microsecond)
 	digits        = 3
 )
 
-// Generator sends the requests of one measurement.
+// Generator sends the requests of one measurement and records the responses.
 type Generator struct {
 	settings Settings
 	client   *http.Client
@@ -37,7 +37,7 @@
 	notSent   atomic.Int64
 }
 
-// NewGenerator returns a Generator.
+// NewGenerator returns a Generator that has sent nothing yet.
 func NewGenerator(s Settings) *Generator {
 	transport := http.DefaultTransport.(*http.Transport).Clone()
 	transport.Proxy = nil
@@ -49,8 +49,8 @@
 	}
 }
 
-// Run sends until the duration is over or ctx ends, waits for the answers and
-// returns what was measured.
+// Run sends requests until the duration is over or ctx ends, waits for the responses and returns
+// the measurements.
 func (g *Generator) Run(ctx context.Context) Report {
 	started := time.Now()
 	interval := time.Duration(float64(time.Second) / g.settings.Rate)
@@ -109,7 +109,8 @@
 	return "status_" + strconv.Itoa(resp.StatusCode)
 }
 
-// recordAnswer counts an answer; only upstreams' own answers enter the histogram.
+// recordAnswer counts a response. The histogram contains only responses with status 200 from
+// upstreams.
 func (g *Generator) recordAnswer(name string, took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -1,6 +1,6 @@
 package load
 
-// Report is what was measured. Times are in milliseconds.
+// Report contains the results of a measurement. Latencies are in milliseconds.
 type Report struct {
 	Sent       int64            `json:"sent"`
 	NotSent    int64            `json:"not_sent"`
--- a/internal/load/settings.go
+++ b/internal/load/settings.go
@@ -1,14 +1,14 @@
-// Package load sends requests at a fixed rate, whether or not earlier ones
-// have been answered, and measures from the time at which each was meant to be
-// sent. A slow system then cannot hide its waiting by slowing the sender down.
+// Package load generates load on a service and measures latencies. It is an open-loop generator:
+// it sends requests at a fixed rate, whether or not earlier ones have been answered, and measures
+// each latency from the scheduled send time. A slow system therefore cannot hide its latency by
+// slowing down the sender (coordinated omission).
 package load
 
 import "time"
 
-// Settings is what to send.
+// Settings configure a Generator.
 type Settings struct {
-	// Servers are the instances (host:port), used in turn like behind a
-	// balancer.
+	// Servers are the instances (host:port), used in turn as a load balancer does.
 	Servers  []string
 	Service  string
 	Path     string
@@ -17,8 +17,9 @@
 	Duration time.Duration
 	Timeout  time.Duration
 	BodySize int
-	// Keys gives each request its own idempotency key.
+	// Keys sets a distinct idempotency key on each request.
 	Keys bool
-	// MaxInFlight bounds the requests under way; more are counted as not sent.
+	// MaxInFlight is the maximum number of requests in flight. Further requests are not
+	// sent; Report.NotSent counts them.
 	MaxInFlight int
 }
