--- a/internal/spec/parse.go
+++ b/internal/spec/parse.go
@@ -106,13 +106,13 @@
 
 func (r *reader) workload(doc *document, kind Kind, n *yaml.Node) {
 	w := Workload{Kind: kind, Tasks: 1, Urgency: Normal, Spread: defaultSpread(kind), Start: StartOnApply, Idempotent: kind != Service}
-	var dependsAt []*yaml.Node
+	var dependsOnNodes []*yaml.Node
 	fields := map[string]fieldReader{
 		"name":       r.name(&w.Name),
 		"team":       func(v *yaml.Node) { doc.teamNodes[w.Name] = v; r.name(&w.Team)(v) },
 		"resources":  r.amount(&w.Need),
 		"urgency":    choice(r, &w.Urgency, Urgent, Normal, Low),
-		"depends_on": r.nameList(&w.DependsOn, &dependsAt),
+		"depends_on": r.nameList(&w.DependsOn, &dependsOnNodes),
 		"command":    r.words(&w.Command),
 		"idempotent": r.boolean(&w.Idempotent),
 		"deadline":   r.duration(&w.Deadline),
@@ -133,7 +133,7 @@
 		return
 	}
 	doc.nodes[w.Name] = n
-	doc.dependsOnNodes[w.Name] = dependsAt
+	doc.dependsOnNodes[w.Name] = dependsOnNodes
 	doc.text.Workloads = append(doc.text.Workloads, w)
 }
 
