--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -64,7 +64,7 @@
 // accepted first, the error is a Conflict that names both authors and contains the difference.
 //
 // The new head, the record and the audit entry are written in one transaction. A record is never
-// overwritten, so Settle can distinguish a lost response from a conflict.
+// overwritten, so CommitWithRetry can distinguish a lost response from a conflict.
 func (s *Store) Apply(ctx context.Context, text, author string, base uint64) (Record, error) {
 	head, err := s.Head(ctx)
 	if err != nil {
--- a/internal/dev/check.go
+++ b/internal/dev/check.go
@@ -15,21 +15,21 @@
 	"gentianstand/internal/standin/worker"
 )
 
-// The bounds of a check.
+// The limits of a check.
 const (
 	stepTimeout   = 12 * time.Second
 	checkRequests = 50
 	pollPeriod    = 25 * time.Millisecond
 )
 
-// step is one thing that must hold; it returns a figure to print.
+// step is one condition of a check. Its run function returns a figure to print.
 type step struct {
 	name string
 	run  func(ctx context.Context) (string, error)
 }
 
-// Check runs the sample text through the whole path and reports whether every
-// step held. It prints one line for each step.
+// Check applies the sample text, sends requests, waits for its runs, and reports whether every
+// step succeeded. It prints one line per step and stops at the first failure.
 func Check(ctx context.Context, sys *System, out io.Writer) bool {
 	c := checker{sys: sys, client: client.New(sys.Instances[0], "", "dev", stepTimeout)}
 	for _, s := range c.steps() {
@@ -61,7 +61,7 @@
 		{"requests are answered whole", c.requests},
 		{"the batch run succeeds", func(ctx context.Context) (string, error) { return c.runEnds(ctx, "letters") }},
 		{"the job succeeds", func(ctx context.Context) (string, error) { return c.runEnds(ctx, "routes") }},
-		{"no promise was broken", c.judge},
+		{"no promise was broken", c.checkViolations},
 	}
 }
 
@@ -83,10 +83,10 @@
 
 func (c *checker) inForce(ctx context.Context) (string, error) {
 	for _, address := range c.sys.Instances {
-		one := client.New(address, "", "dev", stepTimeout)
+		instance := client.New(address, "", "dev", stepTimeout)
 		err := poll(ctx, func() error {
 			var st entry.Status
-			if err := one.Do(ctx, http.MethodGet, "/v1/status", nil, nil, nil, &st); err != nil {
+			if err := instance.Do(ctx, http.MethodGet, "/v1/status", nil, nil, nil, &st); err != nil {
 				return err
 			}
 			if st.Config < 1 {
@@ -160,15 +160,15 @@
 	return planner.Summary{}, fmt.Errorf("%s has no run yet", workload)
 }
 
-func (c *checker) judge(context.Context) (string, error) {
+func (c *checker) checkViolations(context.Context) (string, error) {
 	events := c.sys.Record.Events()
-	if broken := worker.Violations(events); len(broken) > 0 {
-		return "", fmt.Errorf("%s", strings.Join(broken, "; "))
+	if violations := worker.Violations(events); len(violations) > 0 {
+		return "", fmt.Errorf("%s", strings.Join(violations, "; "))
 	}
 	return fmt.Sprintf("%d events on the workers' record", len(events)), nil
 }
 
-// poll repeats f until it succeeds or ctx ends, and returns its last error.
+// poll calls f until it succeeds or ctx ends, and returns the last error of f.
 func poll(ctx context.Context, f func() error) error {
 	for {
 		err := f()
@@ -206,7 +206,7 @@
 	return check(body.String())
 }
 
-func copyBody(into io.Writer, resp *http.Response) error {
-	_, err := io.Copy(into, resp.Body)
+func copyBody(dst io.Writer, resp *http.Response) error {
+	_, err := io.Copy(dst, resp.Body)
 	return err
 }
--- a/internal/dev/system.go
+++ b/internal/dev/system.go
@@ -24,27 +24,27 @@
 	workerSlots = 8
 )
 
-// System is a running system.
+// System is a running system of a platform, instances and workers.
 type System struct {
-	// Platform is the URL of the stand-in platform, Instances the addresses
-	// for callers and operators.
+	// Platform is the URL of the simulated platform. Instances are the addresses for callers
+	// and operators.
 	Platform  string
 	Instances []string
 	Record    *standworker.Record
 
-	settings Settings
-	faulty   *standplatform.FaultyStore
-	store    *standplatform.Store
-	apps     []*fx.App
-	servers  []*http.Server
-	workers  []*standworker.Worker
+	settings    Settings
+	faultyStore *standplatform.FaultyStore
+	store       *standplatform.Store
+	apps        []*fx.App
+	servers     []*http.Server
+	workers     []*standworker.Worker
 }
 
-// Start starts a system. It must be stopped also after an error.
+// Start starts a system. The caller must stop the returned system even if Start fails.
 func Start(ctx context.Context, s Settings, log io.Writer) (*System, error) {
 	sys := &System{settings: s, Record: &standworker.Record{}, store: standplatform.NewStore()}
-	sys.faulty = standplatform.NewFaultyStore(sys.store)
-	address, err := sys.serve(standplatform.NewServer(sys.store, sys.faulty).Handler())
+	sys.faultyStore = standplatform.NewFaultyStore(sys.store)
+	address, err := sys.serve(standplatform.NewServer(sys.store, sys.faultyStore).Handler())
 	if err != nil {
 		return sys, err
 	}
@@ -62,14 +62,14 @@
 	return sys, nil
 }
 
-// WorkerFaults sets what all workers do wrong.
+// WorkerFaults injects the fault into all workers.
 func (s *System) WorkerFaults(f standworker.Fault) {
 	for _, w := range s.workers {
 		w.SetFault(f)
 	}
 }
 
-// Stop stops the instances gracefully and then everything else.
+// Stop stops the instances gracefully, and then the platform and the workers.
 func (s *System) Stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
@@ -135,7 +135,7 @@
 	return nil
 }
 
-// freePorts returns loopback addresses that are free now.
+// freePorts returns n loopback addresses that are currently unused.
 func freePorts(n int) ([]string, error) {
 	var addresses []string
 	for range n {
--- a/internal/spec/parse.go
+++ b/internal/spec/parse.go
@@ -11,21 +11,21 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// FormatVersion is the version of the text's format.
+// FormatVersion is the only supported version of the text's format.
 const FormatVersion = 1
 
-// MaxTextBytes bounds a text.
+// MaxTextBytes is the maximum size of a text.
 const MaxTextBytes = 1 << 20
 
-// document is a text with the places of what later checks talk about.
+// document is a text together with the YAML nodes that later checks report as positions.
 type document struct {
-	text      Text
-	places    map[string]*yaml.Node
-	dependsAt map[string][]*yaml.Node
-	teamAt    map[string]*yaml.Node
+	text           Text
+	nodes          map[string]*yaml.Node
+	dependsOnNodes map[string][]*yaml.Node
+	teamNodes      map[string]*yaml.Node
 }
 
-// Parse reads a text. The error is a Problems with every mistake found.
+// Parse parses a text. The error is of type Problems and contains every mistake found.
 func Parse(source string) (*Text, error) {
 	if len(source) > MaxTextBytes {
 		return nil, Problems{{Line: 1, Column: 1, Message: fmt.Sprintf("the text has %d bytes; allowed: at most %d", len(source), MaxTextBytes)}}
@@ -70,7 +70,7 @@
 }
 
 func (r *reader) document(root *yaml.Node) *document {
-	doc := &document{places: map[string]*yaml.Node{}, dependsAt: map[string][]*yaml.Node{}, teamAt: map[string]*yaml.Node{}}
+	doc := &document{nodes: map[string]*yaml.Node{}, dependsOnNodes: map[string][]*yaml.Node{}, teamNodes: map[string]*yaml.Node{}}
 	var version int64
 	r.mapping(root, "the text", map[string]fieldReader{
 		"version":  r.integer(&version, FormatVersion, FormatVersion),
@@ -91,7 +91,7 @@
 		"borrow":    r.boolean(&team.Borrow),
 		"protected": r.boolean(&team.Protected),
 	}, "name", "quota")
-	if _, twice := doc.text.Team(team.Name); twice && team.Name != "" {
+	if _, duplicate := doc.text.Team(team.Name); duplicate && team.Name != "" {
 		r.fail(n, "team %q stands twice, with quotas that may contradict each other", team.Name)
 		return
 	}
@@ -106,13 +106,13 @@
 
 func (r *reader) workload(doc *document, kind Kind, n *yaml.Node) {
 	w := Workload{Kind: kind, Tasks: 1, Urgency: Normal, Spread: defaultSpread(kind), Start: StartOnApply, Idempotent: kind != Service}
-	var dependsAt []*yaml.Node
+	var dependsOnNodes []*yaml.Node
 	fields := map[string]fieldReader{
 		"name":       r.name(&w.Name),
-		"team":       func(v *yaml.Node) { doc.teamAt[w.Name] = v; r.name(&w.Team)(v) },
+		"team":       func(v *yaml.Node) { doc.teamNodes[w.Name] = v; r.name(&w.Team)(v) },
 		"resources":  r.amount(&w.Need),
 		"urgency":    choice(r, &w.Urgency, Urgent, Normal, Low),
-		"depends_on": r.nameList(&w.DependsOn, &dependsAt),
+		"depends_on": r.nameList(&w.DependsOn, &dependsOnNodes),
 		"command":    r.words(&w.Command),
 		"idempotent": r.boolean(&w.Idempotent),
 		"deadline":   r.duration(&w.Deadline),
@@ -128,12 +128,12 @@
 		fields["start"] = choice(r, &w.Start, StartOnApply, StartOnSubmit)
 	}
 	r.mapping(n, "a "+string(kind), fields, "name", "team", "resources")
-	if _, twice := doc.places[w.Name]; twice {
+	if _, duplicate := doc.nodes[w.Name]; duplicate {
 		r.fail(n, "the name %q stands twice; services, batches and jobs share their names", w.Name)
 		return
 	}
-	doc.places[w.Name] = n
-	doc.dependsAt[w.Name] = dependsAt
+	doc.nodes[w.Name] = n
+	doc.dependsOnNodes[w.Name] = dependsOnNodes
 	doc.text.Workloads = append(doc.text.Workloads, w)
 }
 
