--- a/internal/cell/advice_state.go
+++ b/internal/cell/advice_state.go
@@ -6,9 +6,9 @@
 type verdict struct {
 	// incarnation is the worker incarnation to which the verdict applies.
 	incarnation *incarnationState
-	good        bool
+	approved    bool
 	ticket      string
-	until       time.Time
+	expiresAt   time.Time
 }
 
 // adviceState holds a stage's verdicts and the state of its adviser call.
@@ -31,13 +31,13 @@
 // allows reports whether the stage holds a ticket for a worker that stays valid beyond until.
 func (s *adviceState) allows(w *worker, until time.Time) bool {
 	v, _ := s.verdictFor(w)
-	return v.good && until.Before(v.until)
+	return v.approved && until.Before(v.expiresAt)
 }
 
 // expire invalidates a worker's ticket, so that the stage requests a new one before it uses
 // the worker.
 func (s *adviceState) expire(w *worker) {
 	v := s.verdicts[w]
-	v.until = time.Time{}
+	v.expiresAt = time.Time{}
 	s.verdicts[w] = v
 }
--- a/internal/cell/ask.go
+++ b/internal/cell/ask.go
@@ -120,9 +120,9 @@
 		switch {
 		case !known:
 			unknown = append(unknown, w)
-		case v.good && answer.After(v.until):
+		case v.approved && answer.After(v.expiresAt):
 			renew = append(renew, w)
-		case v.good:
+		case v.approved:
 			ticketed += c.capacityFor(s, w)
 		}
 	}
@@ -199,7 +199,7 @@
 	}
 	for _, t := range tickets {
 		if w := c.workers[t.Worker]; w != nil && !w.knownSince.After(askedAt) {
-			s.advice.verdicts[w] = verdict{incarnation: w.incarnationState, good: true, ticket: t.Text, until: until}
+			s.advice.verdicts[w] = verdict{incarnation: w.incarnationState, approved: true, ticket: t.Text, expiresAt: until}
 		}
 	}
 }
--- a/internal/cell/ask_bench_test.go
+++ b/internal/cell/ask_bench_test.go
@@ -9,9 +9,9 @@
 	"gentianstand/internal/resource"
 )
 
-// BenchmarkWorthAsking measures how a stage selects the workers to request advice for, on sites of
+// BenchmarkWorkersToAsk measures how a stage selects the workers to request advice for, on sites of
 // up to 3000 workers of which it has asked about none before.
-func BenchmarkWorthAsking(b *testing.B) {
+func BenchmarkWorkersToAsk(b *testing.B) {
 	for _, workers := range []int{48, 540, 3000} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
 			c := fullCell(workers, 0, 0)
@@ -23,11 +23,11 @@
 				AcceptedAt: siteStart, Steps: []job.Step{s}, Advice: &job.AdviceCost{PerCall: time.Second, TicketTTL: time.Minute}}
 			c.Add(r, true)
 			now := siteStart.Add(time.Second)
-			room := c.newPlanView(now)
+			view := c.newPlanView(now)
 			stage := c.jobs[r.ID].stages[0]
 			b.ResetTimer()
 			for range b.N {
-				c.workersToAsk(stage, room, now)
+				c.workersToAsk(stage, view, now)
 			}
 		})
 	}
--- a/internal/cell/cell.go
+++ b/internal/cell/cell.go
@@ -48,9 +48,9 @@
 	previousOwnerStoppedAt time.Time
 	// endedAt is when this owner stopped sending orders, or zero.
 	endedAt time.Time
-	// fenced is set once the previous owner can no longer start anything.
-	fenced    bool
-	durations durations
+	// previousOwnerFenced is set once the previous owner can no longer start anything.
+	previousOwnerFenced bool
+	durations           durations
 	// quotas accounts for the running tasks of each workspace.
 	quotas *quota.Ledger
 	// unmeteredJobs are the jobs not yet measured against the share of their workspace.
--- a/internal/cell/commit.go
+++ b/internal/cell/commit.go
@@ -24,7 +24,7 @@
 	commit := &Commit{Chunks: c.takeChunks(), acks: map[*incarnationState]uint64{}}
 	c.takeDirty(commit, limit, true)
 	c.takeDirty(commit, limit, false)
-	if len(c.dirtyJobs) > 0 || !c.fenced {
+	if len(c.dirtyJobs) > 0 || !c.previousOwnerFenced {
 		return commit
 	}
 	// No dirty job is left, so this commit and those before it cover all ends seen so far.
@@ -45,7 +45,7 @@
 			continue
 		}
 		delete(c.dirtyJobs, j)
-		commit.Items = append(commit.Items, CommitItem{Job: j.record.ID, Progress: j.progress(), state: j})
+		commit.Items = append(commit.Items, CommitItem{Job: j.record.ID, Progress: j.progress(), jobState: j})
 	}
 }
 
@@ -53,7 +53,7 @@
 // while an overtaken owner may still act: if the worker crashed, that owner would treat the
 // run as lost and restart the task after its success was acknowledged.
 func (c *Cell) acknowledgeAll() {
-	if !c.fenced {
+	if !c.previousOwnerFenced {
 		return
 	}
 	for _, w := range c.workers {
@@ -67,12 +67,12 @@
 	defer c.mu.Unlock()
 	for _, item := range commit.Items {
 		if item.Progress.Final != "" {
-			item.state.storedState = item.Progress.Final
+			item.jobState.storedState = item.Progress.Final
 		}
 	}
 	c.chunksStored(commit.Chunks)
-	for of, seen := range commit.acks {
-		of.ackedEnd = max(of.ackedEnd, seen)
+	for incarnation, seen := range commit.acks {
+		incarnation.ackedEnd = max(incarnation.ackedEnd, seen)
 	}
 }
 
@@ -85,7 +85,7 @@
 		c.dirtyChunks.numbers[chunk.Number] = struct{}{}
 	}
 	for _, item := range commit.Items {
-		c.dirtyJobs[item.state] = struct{}{}
+		c.dirtyJobs[item.jobState] = struct{}{}
 	}
 }
 
--- a/internal/cell/commit_item.go
+++ b/internal/cell/commit_item.go
@@ -6,5 +6,5 @@
 type CommitItem struct {
 	Job      string
 	Progress *job.Progress
-	state    *jobState
+	jobState *jobState
 }
--- a/internal/cell/crash.go
+++ b/internal/cell/crash.go
@@ -124,14 +124,14 @@
 	c.endJob(j, job.Failed, now)
 }
 
-// failHopelessJob fails a stage's job if one of its idle tasks must not be started again, and
+// failAtLossLimit fails a stage's job if one of its idle tasks must not be started again, and
 // reports whether it did.
-func (c *Cell) failHopelessJob(s *stage, now time.Time) bool {
+func (c *Cell) failAtLossLimit(s *stage, now time.Time) bool {
 	if !s.lostWorkers {
 		return false
 	}
 	for _, index := range s.idle {
-		if s.tasks[index].crashes.isHopeless() {
+		if s.tasks[index].crashes.reachedLossLimit() {
 			c.failPoisonJob(s.tasks[index], now)
 			return true
 		}
@@ -142,9 +142,9 @@
 // addressReused handles the registration of a worker at an address. Lost workers that had the
 // same address have crashed.
 func (c *Cell) addressReused(address, id string, now time.Time) {
-	for before, lost := range c.lostWorkers {
-		if lost.address == address && before != id {
-			c.workerCrashed(before, now)
+	for lostID, lost := range c.lostWorkers {
+		if lost.address == address && lostID != id {
+			c.workerCrashed(lostID, now)
 		}
 	}
 }
--- a/internal/cell/crash_history.go
+++ b/internal/cell/crash_history.go
@@ -115,9 +115,9 @@
 	return now.Sub(h.lostAt) < backoff
 }
 
-// isHopeless reports whether so many workers were lost that the task must not be started
+// reachedLossLimit reports whether so many workers were lost that the task must not be started
 // again, whether or not they crashed.
-func (h *crashHistory) isHopeless() bool { return h.losses() >= maxLosses }
+func (h *crashHistory) reachedLossLimit() bool { return h.losses() >= maxLosses }
 
 // lostMany reports whether so many workers were lost that an unanswered start counts like a
 // confirmed one.
--- a/internal/cell/data_locality.go
+++ b/internal/cell/data_locality.go
@@ -39,5 +39,5 @@
 		return false
 	}
 	verdict, known := s.advice.verdictFor(w)
-	return s.job.record.Advice == nil || !known || verdict.good
+	return s.job.record.Advice == nil || !known || verdict.approved
 }
--- a/internal/cell/long_wait.go
+++ b/internal/cell/long_wait.go
@@ -73,7 +73,7 @@
 		case s.job.record.Advice == nil:
 		case !known:
 			l.Unknown++
-		case !verdict.good:
+		case !verdict.approved:
 			l.Denied++
 			continue
 		}
--- a/internal/cell/many_ends_test.go
+++ b/internal/cell/many_ends_test.go
@@ -55,7 +55,7 @@
 			}
 		}
 	}
-	s.advance(overtakenOwnerLimit)
+	s.advance(supersededOwnerLimit)
 	s.cell.Plan(s.now, s.slots)
 	s.commit()
 	s.reportWithEndLimit("a")
--- a/internal/cell/model_test.go
+++ b/internal/cell/model_test.go
@@ -153,7 +153,7 @@
 func (m *model) anyOwner() *modelOwner {
 	if n := len(m.owners); n > 1 {
 		before := m.owners[n-2]
-		if !before.stopped && m.now.Sub(m.current().since) < overtakenOwnerLimit && rapid.Bool().Draw(m.rt, "superseded acts") {
+		if !before.stopped && m.now.Sub(m.current().since) < supersededOwnerLimit && rapid.Bool().Draw(m.rt, "superseded acts") {
 			return before
 		}
 	}
--- a/internal/cell/parking.go
+++ b/internal/cell/parking.go
@@ -185,7 +185,7 @@
 		offered := c.capacityFor(s, w)
 		if v, known := s.advice.verdictFor(w); !known {
 			offered *= s.assumedShare()
-		} else if !v.good {
+		} else if !v.approved {
 			continue
 		}
 		wanted -= offered
--- a/internal/cell/place.go
+++ b/internal/cell/place.go
@@ -174,7 +174,7 @@
 	if t.crashes.hasLosses() {
 		return c.pickIsolated(s, t, fitting, now)
 	}
-	second := -1
+	fallback := -1
 	for i := range fitting {
 		w := fitting[i].w
 		if !c.canPlace(s, t, w, now) {
@@ -183,11 +183,11 @@
 		if !slices.Contains(t.failedOn, w.ID) {
 			return i
 		}
-		if second < 0 {
-			second = i
+		if fallback < 0 {
+			fallback = i
 		}
 	}
-	return second
+	return fallback
 }
 
 // canPlace reports whether a worker has free capacity for a task and may run it.
--- a/internal/cell/recover.go
+++ b/internal/cell/recover.go
@@ -12,11 +12,11 @@
 	if !c.recovering {
 		return
 	}
-	c.fenced = c.settings.PreviousOwnerStopped || !c.previousOwnerStoppedAt.IsZero() || now.Sub(c.startedAt) >= overtakenOwnerLimit
+	c.previousOwnerFenced = c.settings.PreviousOwnerStopped || !c.previousOwnerStoppedAt.IsZero() || now.Sub(c.startedAt) >= supersededOwnerLimit
 	if now.Sub(c.startedAt) >= c.earlierLeaseLimit() || c.allWorkersAccounted() {
 		c.logUnreported()
 		c.recovering = false
-		c.fenced = true
+		c.previousOwnerFenced = true
 		c.log.WithField("took_ms", now.Sub(c.startedAt).Milliseconds()).Info("recovered")
 	}
 }
@@ -31,9 +31,9 @@
 		return limit
 	}
 	if !c.previousOwnerStoppedAt.IsZero() {
-		return limit + min(overtakenOwnerLimit, c.previousOwnerStoppedAt.Sub(c.startedAt))
+		return limit + min(supersededOwnerLimit, c.previousOwnerStoppedAt.Sub(c.startedAt))
 	}
-	return limit + overtakenOwnerLimit
+	return limit + supersededOwnerLimit
 }
 
 // PreviousOwnerStopped records that the previous owner sends no more orders from now on, if
--- a/internal/cell/recover_test.go
+++ b/internal/cell/recover_test.go
@@ -196,7 +196,7 @@
 		return 0
 	}
 	unknown, soon, late := waited(0), waited(300*time.Millisecond), waited(3*time.Second)
-	if gain := unknown - soon; gain < time.Second || gain > overtakenOwnerLimit {
+	if gain := unknown - soon; gain < time.Second || gain > supersededOwnerLimit {
 		t.Errorf("waited %v, and %v when the previous owner was known to have stopped", unknown, soon)
 	}
 	if soon < 3500*time.Millisecond {
--- a/internal/cell/reservation.go
+++ b/internal/cell/reservation.go
@@ -70,7 +70,7 @@
 		return false
 	}
 	v, _ := s.advice.verdictFor(w)
-	return s.job.record.Advice == nil || v.good
+	return s.job.record.Advice == nil || v.approved
 }
 
 // reserve reserves workers for the large tasks of a stage that found no free capacity,
--- a/internal/cellleader/follow.go
+++ b/internal/cellleader/follow.go
@@ -24,7 +24,7 @@
 
 // seenOverLink reports whether the owner was seen over a link recently, and records when.
 func (l *Leader) seenOverLink(known claim, now time.Time) bool {
-	at := l.links.HeardOwner(known.Term)
+	at := l.links.OwnerLastSeen(known.Term)
 	if now.Sub(at) >= linkFreshFor {
 		return false
 	}
--- a/internal/cellleader/leader.go
+++ b/internal/cellleader/leader.go
@@ -222,7 +222,7 @@
 		l.responseTimes = responseTimes{}
 		l.vacantSince = time.Now()
 		l.knownAt = time.Now()
-		l.links.Learned(c.Term)
+		l.links.ObserveTerm(c.Term)
 	}
 	l.known = c
 	if l.term == nil {
--- a/internal/cellleader/links.go
+++ b/internal/cellleader/links.go
@@ -6,19 +6,19 @@
 // which this instance reaches workers through others while it owns the cell. They carry several
 // frames per second. Each frame proves as much as a ping, which it saves.
 type Links interface {
-	// Learned reports that a term has an owner. Orders of earlier terms are refused from then on.
-	Learned(term uint64)
-	// HeardOwner returns when the owner of a term last sent a frame to this instance, or the zero
+	// ObserveTerm reports that a term has an owner. Orders of earlier terms are refused from then on.
+	ObserveTerm(term uint64)
+	// OwnerLastSeen returns when the owner of a term last sent a frame to this instance, or the zero
 	// time.
-	HeardOwner(term uint64) time.Time
-	// Confirming returns the instances that have confirmed since the given time that they know of
+	OwnerLastSeen(term uint64) time.Time
+	// ConfirmedBy returns the instances that have confirmed since the given time that they know of
 	// no later term.
-	Confirming(term uint64, since time.Time) []string
+	ConfirmedBy(term uint64, since time.Time) []string
 }
 
 // noLinks is used by instances without relays.
 type noLinks struct{}
 
-func (noLinks) Learned(uint64)                        {}
-func (noLinks) HeardOwner(uint64) time.Time           { return time.Time{} }
-func (noLinks) Confirming(uint64, time.Time) []string { return nil }
+func (noLinks) ObserveTerm(uint64)                     {}
+func (noLinks) OwnerLastSeen(uint64) time.Time         { return time.Time{} }
+func (noLinks) ConfirmedBy(uint64, time.Time) []string { return nil }
--- a/internal/cellleader/take_over.go
+++ b/internal/cellleader/take_over.go
@@ -122,7 +122,7 @@
 		return
 	}
 	l.known, l.knownAt = c, time.Now()
-	l.links.Learned(c.Term)
+	l.links.ObserveTerm(c.Term)
 	l.vacantSince = time.Time{}
 	l.log.WithFields(logrus.Fields{"term": c.Term, "why": why.reason}).Info("ownership_taken")
 	l.term = l.newTerm(c, why.previousStopped, why.onlyPredecessor)
--- a/internal/cellleader/term.go
+++ b/internal/cellleader/term.go
@@ -83,7 +83,7 @@
 // and from the store must stop extending leases, because another instance may have taken over.
 func (t *term) Confirmed() bool {
 	others := func() int { return len(t.leader.directory.Others()) }
-	linked := func(since time.Time) []string { return t.leader.links.Confirming(t.number, since) }
+	linked := func(since time.Time) []string { return t.leader.links.ConfirmedBy(t.number, since) }
 	return t.confirmations.valid(others, linked, time.Now()) || t.leader.alone()
 }
 
--- a/internal/idempotency/keys.go
+++ b/internal/idempotency/keys.go
@@ -8,15 +8,15 @@
 
 const rowPrefix = "key/"
 
-// nameOf returns the name of a key within its shard.
-func nameOf(service, key string) string {
+// keyHash returns the name of a key within its shard.
+func keyHash(service, key string) string {
 	sum := sha256.Sum256([]byte(service + "\x00" + key))
 	return hex.EncodeToString(sum[:16])
 }
 
 func shardPrefix(shard string) string { return rowPrefix + shard + "/" }
 
-func rowKey(shard, name string) string { return shardPrefix(shard) + name }
+func rowKey(shard, hash string) string { return shardPrefix(shard) + hash }
 
 // segmentKey returns the name of an object with keys that were written during
 // an outage.
--- a/internal/idempotency/loader.go
+++ b/internal/idempotency/loader.go
@@ -86,9 +86,9 @@
 		if err := json.Unmarshal(data, &segment); err != nil {
 			return err
 		}
-		for name, rec := range segment {
+		for hash, rec := range segment {
 			if time.Since(rec.At) <= Retention {
-				records[name] = rec
+				records[hash] = rec
 			}
 		}
 	}
--- a/internal/idempotency/registry.go
+++ b/internal/idempotency/registry.go
@@ -34,7 +34,7 @@
 
 // start is a key that must be written before its request may be sent.
 type start struct {
-	shard, name string
+	shard, hash string
 	record      Record
 	written     chan error
 }
@@ -72,11 +72,11 @@
 // or Release. Otherwise the error describes the state of the key, and the
 // response, if not nil, is the one to the first request.
 func (r *Registry) Begin(ctx context.Context, shard, service, key string) (*Response, error) {
-	s, name, err := r.beginWhenReady(ctx, shard, service, key)
+	s, hash, err := r.beginWhenReady(ctx, shard, service, key)
 	if err != nil {
 		return s, err
 	}
-	st := start{shard: shard, name: name, record: Record{State: Started, At: time.Now(), Process: r.process}, written: make(chan error, 1)}
+	st := start{shard: shard, hash: hash, record: Record{State: Started, At: time.Now(), Process: r.process}, written: make(chan error, 1)}
 	select {
 	case r.starts <- st:
 	case <-ctx.Done():
@@ -94,13 +94,13 @@
 // until the keys of the previous owners are loaded.
 func (r *Registry) beginWhenReady(ctx context.Context, shard, service, key string) (*Response, string, error) {
 	for {
-		response, name, err := r.tryBegin(shard, service, key)
+		response, hash, err := r.tryBegin(shard, service, key)
 		if !errors.Is(err, errTakingOver) {
-			return response, name, err
+			return response, hash, err
 		}
 		select {
 		case <-ctx.Done():
-			return nil, name, err
+			return nil, hash, err
 		case <-time.After(readyPollPeriod):
 		}
 	}
@@ -110,25 +110,25 @@
 // cannot.
 func (r *Registry) tryBegin(shard, service, key string) (*Response, string, error) {
 	now := time.Now()
-	name := nameOf(service, key)
+	hash := keyHash(service, key)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s, ok := r.shards[shard]
 	switch {
 	case !ok || !r.rights.MayAct(now):
-		return nil, name, fault.New(fault.NotOwner, "this instance is not the home of the key")
+		return nil, hash, fault.New(fault.NotOwner, "this instance is not the home of the key")
 	case !s.ready:
-		return nil, name, fault.New(fault.Overloaded, "%w", errTakingOver)
+		return nil, hash, fault.New(fault.Overloaded, "%w", errTakingOver)
 	}
-	if known, ok := s.records[name]; ok {
-		return known.Response, name, r.existingKeyError(known)
+	if known, ok := s.records[hash]; ok {
+		return known.Response, hash, r.existingKeyError(known)
 	}
 	if len(s.records) >= maxKeys {
-		return nil, name, fault.New(fault.Overloaded, "%d keys are remembered already", len(s.records)).WithRetryAfter(time.Minute)
+		return nil, hash, fault.New(fault.Overloaded, "%d keys are remembered already", len(s.records)).WithRetryAfter(time.Minute)
 	}
-	s.records[name] = &Record{State: Started, At: now, Process: r.process}
-	delete(s.removed, name)
-	return nil, name, nil
+	s.records[hash] = &Record{State: Started, At: now, Process: r.process}
+	delete(s.removed, hash)
+	return nil, hash, nil
 }
 
 func (r *Registry) existingKeyError(rec *Record) error {
@@ -146,8 +146,8 @@
 // Unknown if it may have been executed. response may be nil; a large one is not
 // stored.
 func (r *Registry) End(shard, service, key string, state State, response *Response) {
-	r.update(shard, service, key, func(s *shardKeys, name string) {
-		rec, ok := s.records[name]
+	r.update(shard, service, key, func(s *shardKeys, hash string) {
+		rec, ok := s.records[hash]
 		if !ok {
 			return
 		}
@@ -155,16 +155,16 @@
 		if response != nil && len(response.Body) <= MaxStoredBody {
 			rec.Response = response
 		}
-		s.dirty[name] = true
+		s.dirty[hash] = true
 	})
 }
 
 // Release removes a key whose request was certainly not executed.
 func (r *Registry) Release(shard, service, key string) {
-	r.update(shard, service, key, func(s *shardKeys, name string) {
-		delete(s.records, name)
-		delete(s.dirty, name)
-		s.removed[name] = true
+	r.update(shard, service, key, func(s *shardKeys, hash string) {
+		delete(s.records, hash)
+		delete(s.dirty, hash)
+		s.removed[hash] = true
 	})
 }
 
@@ -172,6 +172,6 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if s, ok := r.shards[shard]; ok {
-		f(s, nameOf(service, key))
+		f(s, keyHash(service, key))
 	}
 }
--- a/internal/idempotency/shard.go
+++ b/internal/idempotency/shard.go
@@ -26,11 +26,11 @@
 
 // expire drops keys older than Retention.
 func (s *shardKeys) expire(now time.Time) {
-	for name, r := range s.records {
+	for hash, r := range s.records {
 		if now.Sub(r.At) > Retention {
-			delete(s.records, name)
-			delete(s.dirty, name)
-			s.removed[name] = true
+			delete(s.records, hash)
+			delete(s.dirty, hash)
+			s.removed[hash] = true
 		}
 	}
 }
--- a/internal/idempotency/writer.go
+++ b/internal/idempotency/writer.go
@@ -73,7 +73,7 @@
 		if err != nil {
 			return err
 		}
-		tx.Puts = append(tx.Puts, platform.Put{Key: rowKey(st.shard, st.name), Value: value})
+		tx.Puts = append(tx.Puts, platform.Put{Key: rowKey(st.shard, st.hash), Value: value})
 	}
 	return r.table.Commit(ctx, tx)
 }
@@ -87,7 +87,7 @@
 		if byShard[st.shard] == nil {
 			byShard[st.shard] = map[string]Record{}
 		}
-		byShard[st.shard][st.name] = st.record
+		byShard[st.shard][st.hash] = st.record
 	}
 	for shard, records := range byShard {
 		if err := r.writeSegment(ctx, shard, records); err != nil {
@@ -105,8 +105,8 @@
 		return fault.New(fault.NotOwner, "the shard was lost")
 	}
 	key := segmentKey(shard, s.held.Shard.Epoch, s.segments)
-	for name := range records {
-		s.dirty[name] = true
+	for hash := range records {
+		s.dirty[hash] = true
 	}
 	r.mu.Unlock()
 	data, err := json.Marshal(records)
@@ -148,12 +148,12 @@
 	var back []func()
 	for shard, s := range r.shards {
 		s.expire(now)
-		for name := range s.dirty {
+		for hash := range s.dirty {
 			if len(tx.Puts) >= maxBatch {
 				break
 			}
-			rec, ok := s.records[name]
-			delete(s.dirty, name)
+			rec, ok := s.records[hash]
+			delete(s.dirty, hash)
 			if !ok {
 				continue
 			}
@@ -161,16 +161,16 @@
 			if err != nil {
 				continue
 			}
-			tx.Puts = append(tx.Puts, platform.Put{Key: rowKey(shard, name), Value: value})
-			back = append(back, func() { s.dirty[name] = true })
+			tx.Puts = append(tx.Puts, platform.Put{Key: rowKey(shard, hash), Value: value})
+			back = append(back, func() { s.dirty[hash] = true })
 		}
-		for name := range s.removed {
+		for hash := range s.removed {
 			if len(tx.Deletes) >= maxBatch {
 				break
 			}
-			delete(s.removed, name)
-			tx.Deletes = append(tx.Deletes, rowKey(shard, name))
-			back = append(back, func() { s.removed[name] = true })
+			delete(s.removed, hash)
+			tx.Deletes = append(tx.Deletes, rowKey(shard, hash))
+			back = append(back, func() { s.removed[hash] = true })
 		}
 	}
 	return tx, func() {
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -53,8 +53,8 @@
 	var all []*testInstance
 	var directories []*cellpeer.Directory
 	for _, name := range names {
-		e, d := newInstance(t, name, backing.Listener.Addr().String())
-		all = append(all, e)
+		instance, d := newInstance(t, name, backing.Listener.Addr().String())
+		all = append(all, instance)
 		directories = append(directories, d)
 	}
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -80,13 +80,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(proxy.Close)
-	e := &testInstance{proxy: proxy, store: store.NewMonitored(platform.NewStore(proxy.Address()))}
-	e.jobs = celljobs.New(e.store, "cell-0")
-	server := httptest.NewServer(cellpeer.NewServer(noOwner{e.store}, e.jobs, nil, nil, log))
+	instance := &testInstance{proxy: proxy, store: store.NewMonitored(platform.NewStore(proxy.Address()))}
+	instance.jobs = celljobs.New(instance.store, "cell-0")
+	server := httptest.NewServer(cellpeer.NewServer(noOwner{instance.store}, instance.jobs, nil, nil, log))
 	t.Cleanup(server.Close)
 	clients := cellpeer.NewClients()
 	self := cellpeer.Instance{Name: name, Address: server.Listener.Addr().String(), Incarnation: name}
-	directory := cellpeer.NewDirectory(self, e.store, log)
+	directory := cellpeer.NewDirectory(self, instance.store, log)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -97,16 +97,16 @@
 		cancel()
 		<-done
 	})
-	e.intake = intake.New(e.jobs, e.store, noOwner{e.store}, cellpeer.NewStoreFinder(directory, clients), clients, intake.NewMetrics(metrics.NewSet()), log)
-	return e, directory
+	instance.intake = intake.New(instance.jobs, instance.store, noOwner{instance.store}, cellpeer.NewStoreFinder(directory, clients), clients, intake.NewMetrics(metrics.NewSet()), log)
+	return instance, directory
 }
 
 // loseStore makes the store refuse an instance and waits until the instance has detected it.
-func (e *testInstance) loseStore(t *testing.T) {
+func (i *testInstance) loseStore(t *testing.T) {
 	t.Helper()
-	e.proxy.Refuse(true)
-	e.proxy.Reset()
-	for end := time.Now().Add(30 * time.Second); e.store.Reachable() && time.Now().Before(end); {
+	i.proxy.Refuse(true)
+	i.proxy.Reset()
+	for end := time.Now().Add(30 * time.Second); i.store.Reachable() && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
 	}
 }
@@ -116,16 +116,16 @@
 		Steps: []job.Step{{Count: 1, Need: resource.Amount{MilliCPU: 100, MemoryMiB: 10}, Estimate: time.Second}}}
 }
 
-func (e *testInstance) submit(t *testing.T, id string) error {
+func (i *testInstance) submit(t *testing.T, id string) error {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	return e.intake.Submit(ctx, record(id))
+	return i.intake.Submit(ctx, record(id))
 }
 
-func (e *testInstance) jobKnown(t *testing.T, id string) bool {
+func (i *testInstance) jobKnown(t *testing.T, id string) bool {
 	t.Helper()
-	_, known, err := e.intake.State(t.Context(), access.Caller{Anonymous: true}, id)
+	_, known, err := i.intake.State(t.Context(), access.Caller{Anonymous: true}, id)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -147,17 +147,17 @@
 
 // While no instance can reach the store, a job must be refused with a retry delay, and a
 // refused job must never run.
-func TestOutageForAllIsRefusedAndNothingIsStored(t *testing.T) {
+func TestJobIsRefusedAndNotStoredWhileNoInstanceReachesTheStore(t *testing.T) {
 	all := newInstances(t, "edge-0", "edge-1")
-	for _, e := range all {
-		e.loseStore(t)
+	for _, instance := range all {
+		instance.loseStore(t)
 	}
 	err := all[0].submit(t, "00000000000000bb")
 	if !fault.Is(err, fault.PlatformUnavailable) || fault.From(err).Answer().RetryAfter <= 0 {
 		t.Errorf("got %v, want a refusal with a retry delay", err)
 	}
-	for _, e := range all {
-		e.proxy.Heal()
+	for _, instance := range all {
+		instance.proxy.Heal()
 	}
 	for end := time.Now().Add(30 * time.Second); !all[1].store.Reachable() && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
@@ -181,20 +181,20 @@
 }
 
 // The repetition of a stored job must not be refused: a refusal means that the job never runs.
-func TestRepeatOfAStoredJobIsNotRefused(t *testing.T) {
-	e := newInstances(t, "edge-0")[0]
-	if err := e.submit(t, "00000000000000dd"); err != nil {
+func TestResubmissionOfAStoredJobIsNotRefused(t *testing.T) {
+	instance := newInstances(t, "edge-0")[0]
+	if err := instance.submit(t, "00000000000000dd"); err != nil {
 		t.Fatal(err)
 	}
-	e.intake.UpdateBacklogs([]admission.Backlog{{Service: "desk", Priority: 0, Wait: time.Hour}})
-	if err := e.submit(t, "00000000000000dd"); err != nil {
+	instance.intake.UpdateBacklogs([]admission.Backlog{{Service: "desk", Priority: 0, Wait: time.Hour}})
+	if err := instance.submit(t, "00000000000000dd"); err != nil {
 		t.Errorf("the repeat: %v", err)
 	}
-	err := e.submit(t, "00000000000000ee")
+	err := instance.submit(t, "00000000000000ee")
 	if !fault.Is(err, fault.Overloaded) || fault.From(err).Answer().RetryAfter <= 0 {
 		t.Errorf("a new job beside a backlog: %v, want a refusal with a retry delay", err)
 	}
-	if e.jobKnown(t, "00000000000000ee") {
+	if instance.jobKnown(t, "00000000000000ee") {
 		t.Error("the refused job is stored")
 	}
 }
--- a/internal/relay/link_test.go
+++ b/internal/relay/link_test.go
@@ -227,19 +227,19 @@
 	if got := l.do(within(t), callTo(w1, startOf("a", 7))); got.err != nil {
 		t.Fatal(got.err)
 	}
-	if at := s.server.HeardOwner(7); at.Before(began) || !s.server.HeardOwner(6).IsZero() {
-		t.Errorf("the owner of term 7 was last seen at %v, that of term 6 at %v", at, s.server.HeardOwner(6))
+	if at := s.server.OwnerLastSeen(7); at.Before(began) || !s.server.OwnerLastSeen(6).IsZero() {
+		t.Errorf("the owner of term 7 was last seen at %v, that of term 6 at %v", at, s.server.OwnerLastSeen(6))
 	}
 	if !l.confirmedSince(7, began) || l.confirmedSince(6, began) || l.confirmedSince(7, time.Now()) {
 		t.Error("the relay confirms the wrong term or time")
 	}
-	s.server.Learned(8)
+	s.server.ObserveTerm(8)
 	later := time.Now()
 	var refusal *runner.Refusal
 	if got := l.do(within(t), callTo(w1, startOf("b", 7))); !errors.As(got.err, &refusal) || refusal.Reason != runner.Fenced {
 		t.Errorf("start of term 7 after term 8 is known: %v", got.err)
 	}
-	if l.confirmedSince(7, later) || !s.server.HeardOwner(8).IsZero() {
+	if l.confirmedSince(7, later) || !s.server.OwnerLastSeen(8).IsZero() {
 		t.Error("a refused request confirms a term")
 	}
 }
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -176,9 +176,9 @@
 	return got.tickets, true, got.err
 }
 
-// Confirming returns the relays that have accepted a request of the term made at or after
+// ConfirmedBy returns the relays that have accepted a request of the term made at or after
 // since; they knew of no later term then.
-func (p *Pool) Confirming(term uint64, since time.Time) []string {
+func (p *Pool) ConfirmedBy(term uint64, since time.Time) []string {
 	var names []string
 	for _, l := range p.allLinks() {
 		if l.confirmedSince(term, since) {
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -148,9 +148,9 @@
 	return true
 }
 
-// Learned records that an owner of the term exists. Orders of earlier terms are refused
+// ObserveTerm records that an owner of the term exists. Orders of earlier terms are refused
 // from then on.
-func (s *Server) Learned(term uint64) {
+func (s *Server) ObserveTerm(term uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if term > s.highestTerm {
@@ -158,8 +158,8 @@
 	}
 }
 
-// HeardOwner returns when the owner of a term last made a request here, or the zero time.
-func (s *Server) HeardOwner(term uint64) time.Time {
+// OwnerLastSeen returns when the owner of a term last made a request here, or the zero time.
+func (s *Server) OwnerLastSeen(term uint64) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if term != s.highestTerm {
--- a/internal/store/recovery_probe_test.go
+++ b/internal/store/recovery_probe_test.go
@@ -32,16 +32,16 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		o := &outage{ends: time.Now().Add(3 * time.Second)}
-		w := NewMonitored(o)
-		go w.ProbeRecovery(ctx, "t", "p", "k")
-		callCtx, giveUp := context.WithTimeout(ctx, time.Second)
-		defer giveUp()
-		_, _ = w.Commit(callCtx, Tx{}) // not answered
-		if w.Reachable() {
+		monitored := NewMonitored(o)
+		go monitored.ProbeRecovery(ctx, "t", "p", "k")
+		callCtx, cancelCall := context.WithTimeout(ctx, time.Second)
+		defer cancelCall()
+		_, _ = monitored.Commit(callCtx, Tx{}) // not answered
+		if monitored.Reachable() {
 			t.Fatal("the outage is not detected")
 		}
 		time.Sleep(time.Until(o.ends) + 2*probePeriod)
-		if !w.Reachable() {
+		if !monitored.Reachable() {
 			t.Error("the recovery is not detected")
 		}
 		cancel()
@@ -51,16 +51,16 @@
 
 // Guards against a retry storm: the store becomes 100 times slower, every commit and submission
 // times out and is retried, and none is answered in time.
-func TestTimedOutCallsRaiseTheCallTimeoutWithoutAnyAnswer(t *testing.T) {
+func TestTimedOutCallsRaiseTheCallTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const slowAnswer = 700 * time.Millisecond
-		w := NewMonitored(&scripted{took: slowAnswer})
+		monitored := NewMonitored(&scripted{took: slowAnswer})
 		for range 2 {
-			callCtx, giveUp := context.WithTimeout(t.Context(), w.CallTimeout())
-			_, _ = w.Commit(callCtx, Tx{}) // times out, or is answered late
-			giveUp()
+			callCtx, cancelCall := context.WithTimeout(t.Context(), monitored.CallTimeout())
+			_, _ = monitored.Commit(callCtx, Tx{}) // times out, or is answered late
+			cancelCall()
 		}
-		if got := w.CallTimeout(); got <= slowAnswer {
+		if got := monitored.CallTimeout(); got <= slowAnswer {
 			t.Errorf("timeout %v for answers that take %v", got, slowAnswer)
 		}
 	})
