--- a/internal/access/policy.go
+++ b/internal/access/policy.go
@@ -34,7 +34,7 @@
 	return time.Duration(maxViewAgeShare * float64(p.RevokedWithin))
 }
 
-// decide evaluates a call against a view of the configuration. now is an instant after the call
+// decide evaluates a call against a view of the catalog. now is an instant after the call
 // was read.
 func (p Policy) decide(view catalog.View, call Call, now steady.Instant) (Grant, verdict) {
 	if view.Catalog == nil {
--- a/internal/cell/advice_state.go
+++ b/internal/cell/advice_state.go
@@ -6,9 +6,11 @@
 type verdict struct {
 	// incarnation is the worker incarnation to which the verdict applies.
 	incarnation *incarnationState
-	approved    bool
-	ticket      string
-	expiresAt   time.Time
+	// approved is true if the worker may run the stage.
+	approved bool
+	// ticket proves the approval to the worker until expiresAt.
+	ticket    string
+	expiresAt time.Time
 }
 
 // adviceState holds a stage's verdicts and the state of its adviser call.
@@ -28,7 +30,8 @@
 	return v, true
 }
 
-// allows reports whether the stage holds a ticket for a worker that stays valid beyond until.
+// allows reports whether the stage holds a ticket for a worker, and the ticket expires after
+// until.
 func (s *adviceState) allows(w *worker, until time.Time) bool {
 	v, _ := s.verdictFor(w)
 	return v.approved && until.Before(v.expiresAt)
--- a/internal/cell/ask_bench_test.go
+++ b/internal/cell/ask_bench_test.go
@@ -9,8 +9,8 @@
 	"gentianstand/internal/resource"
 )
 
-// BenchmarkWorkersToAsk measures how a stage selects the workers to request advice for, on sites of
-// up to 3000 workers of which it has asked about none before.
+// BenchmarkWorkersToAsk measures the selection of workers to request advice for, on sites of up
+// to 3000 workers and for a stage without any verdicts.
 func BenchmarkWorkersToAsk(b *testing.B) {
 	for _, workers := range []int{48, 540, 3000} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
--- a/internal/cell/ask_held_test.go
+++ b/internal/cell/ask_held_test.go
@@ -35,7 +35,7 @@
 }
 
 // Guards against a task that waits for the adviser only after it has waited for a lease: after a
-// take-over with a lost worker, its tickets must be ready when the lease has expired.
+// takeover with a lost worker, its tickets must be ready when the lease has expired.
 func TestTicketsAreReadyWhenATaskIsReleased(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"), usualWorker("b"))
 	longRunning := step(1)
--- a/internal/cell/commit.go
+++ b/internal/cell/commit.go
@@ -5,10 +5,10 @@
 // Commit is a batch of job progress and worker chunks to store in one transaction.
 type Commit struct {
 	Items []CommitItem
-	// Chunks are the chunks of known workers that have changed.
+	// Chunks are those chunks of the list of known workers whose content has changed.
 	Chunks []WorkerChunk
-	// acks are, for each worker incarnation, the ends that may be acknowledged once the
-	// transaction is stored.
+	// acks holds, for each worker incarnation, the highest sequence number of the ends that may
+	// be acknowledged once the transaction is stored.
 	acks map[*incarnationState]uint64
 }
 
@@ -50,8 +50,9 @@
 }
 
 // acknowledgeAll acknowledges all ends seen so far, as all of them are stored. It does nothing
-// while an overtaken owner may still act: if the worker crashed, that owner would treat the
-// run as lost and restart the task after its success was acknowledged.
+// while a superseded owner may still act. Otherwise, if a worker crashed after the
+// acknowledgement of an end, the superseded owner could treat the run as lost and restart a
+// task that has succeeded.
 func (c *Cell) acknowledgeAll() {
 	if !c.previousOwnerFenced {
 		return
@@ -89,8 +90,8 @@
 	}
 }
 
-// RemoveExpired deletes jobs that ended more than keep ago from memory and returns at most
-// limit of their ids, so that the caller can delete their rows.
+// RemoveExpired removes from memory at most limit jobs that ended more than keep ago. It
+// returns their ids, so that the caller can delete their rows.
 func (c *Cell) RemoveExpired(keep time.Duration, now time.Time, limit int) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cell/compact_test.go
+++ b/internal/cell/compact_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// Guards against a compacted job that runs again after a take-over.
+// Guards against a compacted job that runs again after a takeover.
 func TestCompactedJobsAreReadAsEnded(t *testing.T) {
 	r := job.EndedRecord(&job.Record{ID: "00000000000000aa", Queue: "q", Service: "desk"})
 	l := newLoad(t, 1)
--- a/internal/cell/cordon_test.go
+++ b/internal/cell/cordon_test.go
@@ -6,7 +6,7 @@
 	"gentianstand/internal/runner"
 )
 
-// Guards against a take-over after which nothing is placed for 4 to 5 s although only one worker is
+// Guards against a takeover after which nothing is placed for 4 to 5 s although only one worker is
 // unresponsive: only the tasks that were running there must wait.
 func TestOnlyTheRunsOfAnUnresponsiveWorkerWait(t *testing.T) {
 	before := newSite(t, 1, usualWorker("a"), usualWorker("b"))
@@ -54,7 +54,7 @@
 	}
 }
 
-// Guards against stopping a healthy run after a take-over because an older run of its task is
+// Guards against stopping a healthy run after a takeover because an older run of its task is
 // stored.
 func TestAReportedRunReplacesAnOlderStoredOne(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"))
--- a/internal/cell/crash.go
+++ b/internal/cell/crash.go
@@ -19,7 +19,7 @@
 
 // reachesFewWorkers reports whether so many workers are unresponsive that this owner's own
 // connectivity is the likely cause, such as a saturated link. The runs that were starting are
-// then no suspects.
+// then not recorded as suspects.
 func (c *Cell) reachesFewWorkers() bool {
 	unresponsive, polled := 0, 0
 	for _, w := range c.workers {
@@ -44,8 +44,8 @@
 	}
 }
 
-// recordSuspects records the runs that may have crashed a worker: those that have not survived
-// there for survivedAfter. A worker that was draining or evacuating has no suspects.
+// recordSuspects records the runs that may have crashed a worker: those that have not yet
+// worked there for survivedAfter. A worker that was draining or evacuating has no suspects.
 func (c *Cell) recordSuspects(w *worker, now time.Time) {
 	c.pruneLostWorkers()
 	lost := &lostWorker{address: w.Address, unresponsiveSince: now}
--- a/internal/cell/doc.go
+++ b/internal/cell/doc.go
@@ -16,9 +16,9 @@
 //   - A run is placed only where the accounting shows free capacity. Runs that may still be
 //     starting or stopping count as present.
 //   - A task gets a second run only after the end of the first one is certain: its worker
-//     listed the end, an answered stop revoked the run, or the worker's lease must have
+//     reported the end, an answered stop revoked the run, or the worker's lease must have
 //     expired on the worker's own clock. Only steps that allow duplicates are exempt.
-//   - Workers refuse orders with a lower fencing token, so that orders of an overtaken
+//   - Workers refuse orders with a lower fencing token, so that orders of a superseded
 //     owner have no effect.
 //   - An end is acknowledged only after the progress that contains it was stored.
 package cell
--- a/internal/cell/downtime_checker_test.go
+++ b/internal/cell/downtime_checker_test.go
@@ -17,8 +17,8 @@
 
 // taskDowntime is the downtime of one long-running task.
 type taskDowntime struct {
-	// ranAt is when it last ran; freeSince is since when there has been free capacity for two such
-	// tasks, or zero.
+	// ranAt is when it last ran; freeSince is the start of the period in which there has been free
+	// capacity for two such tasks, or zero.
 	ranAt, freeSince time.Time
 	reported         bool
 }
--- a/internal/cell/evacuate_test.go
+++ b/internal/cell/evacuate_test.go
@@ -135,7 +135,7 @@
 	}
 }
 
-// Guards against a take-over that takes 5.3 s in the middle of a maintenance wave because an old
+// Guards against a takeover that takes 5.3 s in the middle of a maintenance wave because an old
 // heartbeat brings an ended worker back.
 func TestEndedWorkerDoesNotComeBackByAnOldHeartbeat(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"))
--- a/internal/cell/fair_shares_test.go
+++ b/internal/cell/fair_shares_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// Guards against a take-over after which all jobs of a hot workspace count as within its share.
+// Guards against a takeover after which all jobs of a hot workspace count as within its share.
 func TestNewOwnerMetersInTheOrderOfAcceptance(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"))
 	s.cell.Configure(catalog.New(catalog.Content{Version: 1, Workspaces: []catalog.Workspace{{Name: "north", Weight: 1}}}))
--- a/internal/cell/known_workers_test.go
+++ b/internal/cell/known_workers_test.go
@@ -8,7 +8,7 @@
 	"gentianstand/internal/runner"
 )
 
-// Guards against tasks that run twice at once after a take-over, as 60 did: a worker that has left
+// Guards against tasks that run twice at once after a takeover, as 60 did: a worker that has left
 // the roster may still run them.
 func TestWorkersThatLeftTheRosterAreAccountedFor(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"))
@@ -57,7 +57,7 @@
 	}
 }
 
-// Guards against a take-over in the middle of a maintenance wave after which tasks of older jobs
+// Guards against a takeover in the middle of a maintenance wave after which tasks of older jobs
 // are held back for 5.3 s: workers that the store does not name have no runs.
 func TestWorkersWithoutAStoredRowDoNotDelayRecovery(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"), usualWorker("down"))
--- a/internal/cell/lease_test.go
+++ b/internal/cell/lease_test.go
@@ -141,7 +141,7 @@
 	}
 }
 
-// Guards against a task that runs twice after a take-over because the previous owner extended the
+// Guards against a task that runs twice after a takeover because the previous owner extended the
 // lease.
 func TestLeaseOfThePreviousOwnerCounts(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"), usualWorker("b"))
@@ -166,7 +166,7 @@
 	}
 }
 
-// Guards against a take-over after which tasks of older jobs wait 4 s for a worker that has left.
+// Guards against a takeover after which tasks of older jobs wait 4 s for a worker that has left.
 func TestWorkerThatLeftWithoutRunsIsForgottenAtOnce(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
 	s.report("a")
--- a/internal/cell/model_test.go
+++ b/internal/cell/model_test.go
@@ -15,7 +15,7 @@
 )
 
 // TestModel runs random sequences of lost, late and answered orders and polls, ends, worker
-// crashes, failed commits and take-overs with the superseded owner still acting. After each step it
+// crashes, failed commits and takeovers with the superseded owner still acting. After each step it
 // checks that no task runs twice, that none runs again after its success was acknowledged, and that
 // no worker exceeds its capacity and no workspace its quota. At the end all faults are ended, and
 // all jobs must complete.
--- a/internal/cell/owner_changes_test.go
+++ b/internal/cell/owner_changes_test.go
@@ -45,7 +45,7 @@
 	s.cell.WorkersLoaded()
 }
 
-// Guards against a task that runs twice after two take-overs while a worker is unreachable: an
+// Guards against a task that runs twice after two takeovers while a worker is unreachable: an
 // owner that got no report from a worker must not store that nothing runs there.
 func TestOwnerWithoutAReportFromAWorkerStoresNoRunsOfIt(t *testing.T) {
 	s := newSite(t, 1, usualWorker("a"), usualWorker("b"))
@@ -61,7 +61,7 @@
 	lease := s.now.Add(s.cell.settings.Lease)
 	s.takeOver(r, "a", "b")
 	if again, ok := s.advanceUnresponsive("a", time.Second, "b")[task]; ok {
-		t.Fatalf("run %d was started after one take-over", again.Start.Run)
+		t.Fatalf("run %d was started after one takeover", again.Start.Run)
 	}
 	s.takeOver(r, "a", "b")
 	if again, ok := s.advanceUnresponsive("a", lease.Sub(s.now), "b")[task]; ok {
@@ -195,7 +195,7 @@
 	return read
 }
 
-// Guards against a long-running task that is in backoff for an hour after a take-over because the
+// Guards against a long-running task that is in backoff for an hour after a takeover because the
 // previous owner's time of day was an hour ahead.
 func TestCrashBackoffIsBoundedWhenClocksJump(t *testing.T) {
 	for name, c := range map[string]struct{ ahead, want time.Duration }{
--- a/internal/cell/parking_test.go
+++ b/internal/cell/parking_test.go
@@ -167,7 +167,7 @@
 	}
 }
 
-// Guards against a task that runs twice after a take-over: a worker that is parked and woken again
+// Guards against a task that runs twice after a takeover: a worker that is parked and woken again
 // is stored as parked.
 func TestAWokenWorkerGetsNothingBeforeItIsStored(t *testing.T) {
 	s := idleSite(t, 2, 1)
--- a/internal/cell/place.go
+++ b/internal/cell/place.go
@@ -8,7 +8,8 @@
 	"gentianstand/internal/runner"
 )
 
-// placeStage starts what it can of a stage, and requests tickets or makes room for the rest.
+// placeStage starts as many tasks of a stage as possible, and requests tickets or frees capacity
+// for the rest.
 func (c *Cell) placeStage(s *stage, view *planView, now time.Time) {
 	if c.unparkLocal(s, now) {
 		return
@@ -80,7 +81,7 @@
 }
 
 // allowed returns the usable workers for which the stage needs no ticket or holds one that
-// stays valid beyond until.
+// expires after until.
 func (c *Cell) allowed(s *stage, view *planView, until time.Time) []*worker {
 	if s.job.record.Advice == nil {
 		return view.usable
@@ -111,8 +112,8 @@
 	return c.eligible(s, w) && s.step.Occupied().Fits(w.Capacity)
 }
 
-// Weights in score, in shares of a worker. Being remote from the data outweighs any fit, and
-// so does interference with a latency-sensitive task.
+// Weights used by score, where 1 is the whole CPU of a worker. Being remote from the data
+// outweighs any fit, and so does interference with a latency-sensitive task.
 const (
 	remoteWeight       = 10.0
 	interferenceWeight = 3.0
@@ -244,7 +245,7 @@
 }
 
 // assignGangToRack is assignGang within one rack if a rack has enough capacity. Otherwise it
-// uses any workers, as slow work is better than none.
+// uses any workers, as a slow gang is better than none.
 func (c *Cell) assignGangToRack(s *stage, fitting []candidate) []candidate {
 	byRack := map[string][]candidate{}
 	var racks []string
--- a/internal/cell/plan.go
+++ b/internal/cell/plan.go
@@ -55,8 +55,7 @@
 	c.askExpiring(expiring.finite, view, now)
 }
 
-// checkDue reports whether a waiting stage may start by now, and sets readyAt when it first
-// may.
+// checkDue reports whether a waiting stage is due, and sets readyAt when it first is.
 func (c *Cell) checkDue(s *stage, now time.Time) bool {
 	if !s.due(now, c.settings.EarlyStart) {
 		return false
@@ -68,7 +67,7 @@
 }
 
 // mayPlace reports whether tasks of a due stage may start now if there is free capacity. It
-// fails the job of a hopeless stage.
+// fails the job of a stage with a task that has reached the limit of lost workers.
 func (c *Cell) mayPlace(s *stage, now time.Time) bool {
 	return !c.heldBack(s) && s.job.final == "" && !c.failAtLossLimit(s, now) && !s.backsOff(now) && c.startable(s) > 0
 }
--- a/internal/cell/preempt.go
+++ b/internal/cell/preempt.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// victim returns the run on a worker whose stop makes room for a task of the stage at the
-// lowest cost. Only runs that can resume from a checkpoint are considered.
+// victim returns the run on a worker whose stop frees capacity for a task of the stage at
+// the lowest cost. Only runs that can resume from a checkpoint are considered.
 func (c *Cell) victim(s *stage, w *worker, now time.Time) *attempt {
 	need := s.step.Occupied()
 	var best *attempt
--- a/internal/cell/quotas_test.go
+++ b/internal/cell/quotas_test.go
@@ -157,7 +157,7 @@
 	}
 }
 
-// Guards against a workspace that gets its quota twice after a take-over, because runs continue on
+// Guards against a workspace that gets its quota twice after a takeover, because runs continue on
 // workers that have not reported to the new owner yet.
 func TestTakeOverCountsUnreportedRuns(t *testing.T) {
 	s := newSite(t, 2, usualWorker("w1"), usualWorker("w2"))
--- a/internal/cell/recover.go
+++ b/internal/cell/recover.go
@@ -23,7 +23,7 @@
 
 // earlierLeaseLimit returns how long runs of a previous owner may continue without being
 // reported to this one. Every owner grants the same lease, the worker's clock may be slow, and
-// a previous owner that is still alive may extend leases for overtakenOwnerLimit after it lost
+// a previous owner that is still alive may extend leases for supersededOwnerLimit after it lost
 // its ownership.
 func (c *Cell) earlierLeaseLimit() time.Duration {
 	limit := time.Duration(float64(c.settings.Lease)*(1+maxClockDrift)) + clockEstimateError + expiryMargin
--- a/internal/cell/recover_test.go
+++ b/internal/cell/recover_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// Guards against a task that runs on two workers at once after a take-over, because a worker that
+// Guards against a task that runs on two workers at once after a takeover, because a worker that
 // has not reported yet still runs it.
 func TestTasksOfOlderJobsWaitForUnresponsiveWorkers(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"), usualWorker("b"))
@@ -84,7 +84,7 @@
 	}
 }
 
-// Guards against a take-over with a lost worker after which all jobs wait for the longest possible
+// Guards against a takeover with a lost worker after which all jobs wait for the longest possible
 // lease although most of them have running tasks.
 func TestStageAfterAVisibleRunIsNotHeldBack(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"), usualWorker("b"))
@@ -102,7 +102,7 @@
 	}
 }
 
-// Guards against a task that runs again just after a take-over although it is done: the superseded
+// Guards against a task that runs again just after a takeover although it is done: the superseded
 // owner started it for a job that the new owner does not know.
 func TestEndOfAJobStartedByTheSupersededOwnerIsKept(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"), usualWorker("b"))
@@ -153,7 +153,7 @@
 }
 
 // Guards against a task that runs on two workers at once, and a worker over its capacity, just
-// after a take-over: a reported run belongs to a job that is not loaded yet.
+// after a takeover: a reported run belongs to a job that is not loaded yet.
 func TestRunOfAMissingJobIsAccountedBeforePlacement(t *testing.T) {
 	s := newSite(t, 2, usualWorker("a"), usualWorker("b"))
 	r := s.record(1, step(1))
--- a/internal/cell/restart.go
+++ b/internal/cell/restart.go
@@ -44,7 +44,7 @@
 	w.Draining = false
 	// No previous owner can have stored this incarnation, so none started anything there.
 	w.accounted = true
-	// An overtaken owner may have learned of the incarnation as well. Only the owner that can
+	// A superseded owner may have learned of the incarnation as well. Only the owner that can
 	// store it may use it.
 	w.stored = false
 	c.setIncarnation(w, incarnation)
--- a/internal/cell/settings.go
+++ b/internal/cell/settings.go
@@ -39,7 +39,7 @@
 	// clockEstimateError is how much later than intended a lease can end because a previous
 	// owner estimated the worker's clock from an old report.
 	clockEstimateError = 150 * time.Millisecond
-	// supersededOwnerLimit is how long an overtaken owner may continue to extend leases. It
+	// supersededOwnerLimit is how long a superseded owner may continue to extend leases. It
 	// stops when its ownership was not confirmed for this long.
 	supersededOwnerLimit = 1500 * time.Millisecond
 	// maxReportAge is the maximum age of a worker's last report for new starts. Reports arrive
--- a/internal/cell/stage.go
+++ b/internal/cell/stage.go
@@ -37,7 +37,7 @@
 	lostWorkers bool
 	// unparkRetryAt is when parked workers are considered again, after none could hold a task.
 	unparkRetryAt time.Time
-	// preempting is the number of runs being stopped to make room for the stage.
+	// preempting is the number of runs being stopped to free capacity for the stage.
 	preempting int
 	// victimsSearchedAt is when victims were last searched for.
 	victimsSearchedAt time.Time
--- a/internal/cell/unknown_jobs.go
+++ b/internal/cell/unknown_jobs.go
@@ -2,8 +2,8 @@
 
 import "gentianstand/internal/job"
 
-// UnknownJobs returns the jobs that workers report and that this cell does not know. An
-// overtaken owner can have started a job that was accepted after this one read the store. The
+// UnknownJobs returns the jobs that workers report and that this cell does not know. A
+// superseded owner can have started a job that was accepted after this one read the store. The
 // ends of such jobs are not recorded, and so not acknowledged, until the job is loaded or
 // MarkAbsent is called.
 func (c *Cell) UnknownJobs() []string {
--- a/internal/cell/worker.go
+++ b/internal/cell/worker.go
@@ -40,7 +40,7 @@
 	// is about to be maintained.
 	evacuating bool
 	// parked is set while the worker is out of use until it is needed. unparkedAt is when it
-	// was last needed, and idleSince is since when it has had no runs.
+	// was last needed, and idleSince is when its last run ended.
 	parked     bool
 	unparkedAt time.Time
 	idleSince  time.Time
--- a/internal/cell/worker_chunk.go
+++ b/internal/cell/worker_chunk.go
@@ -1,6 +1,6 @@
 package cell
 
-// WorkerChunk is one chunk of the known workers to store.
+// WorkerChunk is a part of the list of known workers that is stored as one row.
 type WorkerChunk struct {
 	Number  int
 	Workers []KnownWorker
--- a/internal/celljobs/doc.go
+++ b/internal/celljobs/doc.go
@@ -18,7 +18,7 @@
 // jobPartitions is the number of partitions over which records are spread. A partition applies
 // its transactions one after the other, and refuses those that would wait for more than 1 s,
 // which is little in a slow store. With this number each partition stays far below its capacity,
-// and all of them can still be read in a few rounds in a take-over.
+// and all of them can still be read in a few rounds in a takeover.
 const jobPartitions = 128
 
 // Tables, and keys in the jobs table.
--- a/internal/celljobs/jobs_test.go
+++ b/internal/celljobs/jobs_test.go
@@ -58,7 +58,7 @@
 }
 
 // The record of an earlier submission must not count as new; otherwise a task could run twice
-// around a take-over.
+// around a takeover.
 func TestRecordOfAnEarlierSubmissionIsNotNew(t *testing.T) {
 	l := &lossyStore{}
 	jobs := newJobs(l)
--- a/internal/cellleader/claim.go
+++ b/internal/cellleader/claim.go
@@ -46,7 +46,7 @@
 }
 
 // message returns the claim in the form that is sent to other instances. PredecessorMayAct is
-// left out, because it matters only in a take-over, which reads the row.
+// left out, because it matters only in a takeover, which reads the row.
 func (c *claim) message() *cellpb.Claim {
 	return &cellpb.Claim{Holder: c.Holder, Address: c.Address, Incarnation: c.Incarnation, Term: c.Term,
 		Released: c.Released, Returned: c.Returned, Version: c.version, Hurried: c.ShortOwnerships}
--- a/internal/cellleader/follow.go
+++ b/internal/cellleader/follow.go
@@ -9,8 +9,8 @@
 	"gentianstand/internal/cellpeer/cellpb"
 )
 
-// pingDue reports whether this instance has to ping the owner now. Instances that would succeed
-// the owner last ping it less often, and not at all while they receive its frames over a link,
+// pingDue reports whether this instance has to ping the owner now. Instances late in the order
+// of succession ping it less often, and not at all while they receive its frames over a link,
 // unless it refuses connections.
 func (l *Leader) pingDue(now time.Time) bool {
 	l.mu.Lock()
--- a/internal/cellleader/follow_test.go
+++ b/internal/cellleader/follow_test.go
@@ -7,7 +7,7 @@
 	"gentianstand/internal/cellpeer/cellpb"
 )
 
-// In a slow store, a holder that does not know its claim yet must not be replaced: each take-over
+// In a slow store, a holder that does not know its claim yet must not be replaced: each takeover
 // was followed by another one, and no task started for another 0.5 s.
 func TestHolderThatDoesNotKnowItsClaimYetIsNotReplaced(t *testing.T) {
 	for _, test := range []struct {
--- a/internal/cellleader/hand_over_test.go
+++ b/internal/cellleader/hand_over_test.go
@@ -61,7 +61,7 @@
 		t.Errorf("term %d after %d, previous owners known to have stopped: %v", third.term.Load(), second.term.Load(), third.previousStopped.Load())
 	}
 	if passed := time.Since(overtakenAt); passed < time.Second {
-		t.Errorf("handed over %v after the take-over; the first owner could act for 1.5 s", passed)
+		t.Errorf("handed over %v after the takeover; the first owner could act for 1.5 s", passed)
 	}
 }
 
--- a/internal/cellleader/leader.go
+++ b/internal/cellleader/leader.go
@@ -29,7 +29,7 @@
 	pingReceived atomic.Bool
 
 	mu sync.Mutex
-	// known is the newest claim seen, and knownAt the time since which it is known. Its term
+	// known is the newest claim seen, and knownAt when it was first seen. Its term
 	// never decreases.
 	known   claim
 	knownAt time.Time
@@ -43,7 +43,8 @@
 	responseTimes responseTimes
 	// lateAnswerPending is true while a ping waits for its answer beyond ownerPingTimeout.
 	lateAnswerPending atomic.Bool
-	// vacantSince is the time since which no owner of the cell is known.
+	// vacantSince is the time from which no live owner has been known, or zero while the owner
+	// responds.
 	vacantSince time.Time
 	term        *term
 	stopping    bool
--- a/internal/cellleader/rank.go
+++ b/internal/cellleader/rank.go
@@ -12,7 +12,7 @@
 
 // rank is the position of an instance among those that may succeed an owner.
 type rank struct {
-	// index counts from 0, the first to succeed.
+	// index is the position in the order of succession, from 0.
 	index int
 	// weaker is true if another instance has more CPU.
 	weaker bool
@@ -32,7 +32,7 @@
 	return rankAmong(self, candidates, term)
 }
 
-// takeOverDelay returns how long this instance leaves the take-over of a term to others.
+// takeOverDelay returns how long this instance leaves the takeover of a term to others.
 func (l *Leader) takeOverDelay(term uint64) time.Duration { return l.rank(term).takeOverDelay() }
 
 // rankAmong returns the rank of one of the candidates. Those with the most CPU come first,
@@ -52,7 +52,7 @@
 // pingsOften reports whether an instance of this rank pings the owner often.
 func (r rank) pingsOften() bool { return r.index < frequentPingers }
 
-// takeOverDelay returns how long an instance of this rank leaves the take-over of a term to
+// takeOverDelay returns how long an instance of this rank leaves the takeover of a term to
 // others.
 func (r rank) takeOverDelay() time.Duration {
 	d := time.Duration(min(r.index, staggeredCandidates)) * stagger
--- a/internal/cellleader/settings.go
+++ b/internal/cellleader/settings.go
@@ -3,14 +3,14 @@
 import "time"
 
 const (
-	// pingInterval is how often each of the frequentPingers instances that would succeed the
-	// owner first pings it. Each of the others pings it every slowPingInterval, as there may be
-	// hundreds of them.
+	// pingInterval is how often the owner is pinged by each of the first frequentPingers
+	// instances in the order of succession. Each of the others pings it every slowPingInterval,
+	// as there may be hundreds of them.
 	pingInterval     = 125 * time.Millisecond
 	slowPingInterval = 500 * time.Millisecond
 	frequentPingers  = 3
-	// linkFreshFor is how long after a frame of the owner over a link the instances that would
-	// succeed it last do not ping it. The owner polls each worker at least every second, and an
+	// linkFreshFor is how long after a frame of the owner over a link the instances late in the
+	// order of succession do not ping it. The owner polls each worker at least every second, and an
 	// instance is the relay of several workers.
 	linkFreshFor = slowPingInterval
 	// ownerPingTimeout bounds a ping of the owner, and pingTimeout a ping of any other instance.
@@ -25,7 +25,7 @@
 	// and in a slow store. An owner that is unresponsive earlier may still be doing that. After
 	// this time the count of short ownerships starts again at 0.
 	shortOwnershipLimit = 10 * time.Second
-	// maxDoublings bounds how often the timeout doubles with repeated take-overs: up to 8 s.
+	// maxDoublings bounds how often the timeout doubles with repeated takeovers: up to 8 s.
 	maxDoublings = 4
 	// responseFactor times its slowest answer within responseWindow is the least time for which
 	// an owner may be unresponsive, up to maxOwnerTimeout.
@@ -52,14 +52,14 @@
 	// The frequent pingers ping it every pingInterval, so an instance that reaches the owner has
 	// seen it within that time.
 	refusedSeenWithin = 250 * time.Millisecond
-	// storeLossTimeout is how long the owner may be without the store while the store serves the
-	// instance that asks. Even in a slow store some call is answered more often than that. A
-	// take-over reads everything and takes long.
+	// storeLossTimeout is how long the owner may fail to reach the store while the store serves
+	// the pinging instance. Even in a slow store some call is answered more often than that. A
+	// takeover reads everything and takes long.
 	storeLossTimeout = 600 * time.Millisecond
 	// storeRecoverySkew is the maximum difference between the times at which instances notice
 	// that the store is available again.
 	storeRecoverySkew = 300 * time.Millisecond
-	// stagger is the delay between the take-over attempts of instances. Their order changes with
+	// stagger is the delay between the takeover attempts of instances. Their order changes with
 	// every term. Usually one of them takes over alone.
 	stagger = 120 * time.Millisecond
 	// staggeredCandidates is the number of instances whose attempts are stagger apart. Those of
@@ -80,7 +80,7 @@
 	// same time do not wait for each other.
 	ownerSeenWithin = 350 * time.Millisecond
 	// confirmationTTL is how long a confirmation of the ownership is valid. Package cell relies
-	// on it: see overtakenOwnerLimit there.
+	// on it: see supersededOwnerLimit there.
 	confirmationTTL = 1500 * time.Millisecond
 	// verifyInterval is how often the owner reads its own claim.
 	verifyInterval = time.Second
--- a/internal/cellleader/stop.go
+++ b/internal/cellleader/stop.go
@@ -11,7 +11,7 @@
 	"gentianstand/internal/cellpeer/cellpb"
 )
 
-// HandOver gives up the cell for a planned stop.
+// HandOver releases the cell for a planned stop.
 func (l *Leader) HandOver(ctx context.Context) {
 	l.mu.Lock()
 	l.stopping = true
@@ -85,7 +85,7 @@
 	return list
 }
 
-// TakeOver makes this instance the owner because the owner of a term gives up the cell. It
+// TakeOver makes this instance the owner because the owner of a term releases the cell. It
 // reports whether this or another instance has taken over.
 func (l *Leader) TakeOver(ctx context.Context, from string, term uint64) bool {
 	l.mu.Lock()
--- a/internal/cellleader/suspicion.go
+++ b/internal/cellleader/suspicion.go
@@ -31,7 +31,7 @@
 }
 
 // timeout returns how long an owner that does not refuse connections may be unresponsive. An
-// owner that answers late under load gets a multiple of its response time. Each take-over after a
+// owner that answers late under load gets a multiple of its response time. Each takeover after a
 // short ownership doubles the timeout: a successor would be as late under the same load, and the
 // cell would never recover.
 func (s suspicion) timeout() time.Duration {
--- a/internal/cellleader/take_over.go
+++ b/internal/cellleader/take_over.go
@@ -41,7 +41,7 @@
 	return t
 }
 
-// shortOwnerships returns the number of short ownerships for the claim of this take-over. current
+// shortOwnerships returns the number of short ownerships for the claim of this takeover. current
 // is the previous claim, which has been known for the given time.
 func (t takeOver) shortOwnerships(current claim, known time.Duration) uint32 {
 	switch {
--- a/internal/cellleader/term_test.go
+++ b/internal/cellleader/term_test.go
@@ -14,7 +14,7 @@
 )
 
 // Only a previous holder that knows the current term has stopped; otherwise a task could run
-// twice after a take-over.
+// twice after a takeover.
 func TestOnlyTheEarlierHolderThatKnowsTheTermHasStopped(t *testing.T) {
 	log, hook := logtest.NewNullLogger()
 	owner := cellowner.New(cell.Settings{Term: 5}, store.Check{}, cellowner.Deps{Log: log, Metrics: cellowner.NewMetrics(metrics.NewSet())})
--- a/internal/cellowner/commit_test.go
+++ b/internal/cellowner/commit_test.go
@@ -60,7 +60,7 @@
 }
 
 // A commit without an answer that takes effect after a later commit must not restore old
-// progress: a task that had ended ran again after a take-over.
+// progress: a task that had ended ran again after a takeover.
 func TestALateCommitHasNoEffect(t *testing.T) {
 	client := &lossyWorker{}
 	o, order := ownerOfOne(t, client)
--- a/internal/cellowner/compact_test.go
+++ b/internal/cellowner/compact_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// Guards against slow take-overs: over a slow link, reading the texts of ended jobs took longer
+// Guards against slow takeovers: over a slow link, reading the texts of ended jobs took longer
 // than the leases lasted.
 func TestNewOwnersDoNotReadTheTextsOfEndedJobs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/cellowner/load_test.go
+++ b/internal/cellowner/load_test.go
@@ -55,7 +55,7 @@
 }
 
 // A load must finish after an outage of the store: nothing was planned any more after a
-// take-over, and no other instance took the cell over.
+// takeover, and no other instance took the cell over.
 func TestLoadFinishesWhenTheStoreAnswersAgain(t *testing.T) {
 	took, err := loadDuringOutage(t, 4*time.Second)
 	if err != nil || took > 6*time.Second {
--- a/internal/cellowner/owner.go
+++ b/internal/cellowner/owner.go
@@ -14,7 +14,7 @@
 )
 
 // loadTimeout bounds the load of a cell, in a slow store too. Parts of the store may be
-// unavailable for some seconds; a take-over by another instance then does not help, unless only
+// unavailable for some seconds; a takeover by another instance then does not help, unless only
 // this instance is cut off.
 const loadTimeout = 10 * time.Second
 
--- a/internal/cellowner/poll_loop.go
+++ b/internal/cellowner/poll_loop.go
@@ -8,7 +8,7 @@
 const (
 	// pollRetryDelay is the pause after a failed poll. A worker that was cut off should be
 	// reached again well before its lease expires. The first pause is firstPollRetryDelay,
-	// because one lost answer says little about the worker.
+	// because one lost answer does not mean that the worker is unresponsive.
 	pollRetryDelay      = 200 * time.Millisecond
 	firstPollRetryDelay = 10 * time.Millisecond
 	// minPollInterval is the least time between two polls if the first one did not wait. The
--- a/internal/dev/settings.go
+++ b/internal/dev/settings.go
@@ -1,6 +1,6 @@
 // Package dev runs a whole system in one process: a platform in memory, entry
-// instances and workers that only pretend, each on a loopback port. It is for
-// trying gentianstand out; nothing of it is used by serve.
+// instances and simulated workers, each on a loopback port. It is meant for
+// trying out gentianstand; the serve command does not use it.
 package dev
 
 // Settings is how large the system is.
--- a/internal/estimate/history.go
+++ b/internal/estimate/history.go
@@ -1,4 +1,4 @@
-// Package estimate corrects declared resources and run times by the history of
+// Package estimate corrects declared resources and run times with the history of
 // the same workload. Declarations are often far off.
 package estimate
 
--- a/internal/health/tracker.go
+++ b/internal/health/tracker.go
@@ -1,5 +1,5 @@
 // Package health distinguishes workers on which everything fails from workloads
-// that fail everywhere. A failing worker is always free, so without quarantine
+// that fail everywhere. A failing worker always has free capacity, so without quarantine
 // it would attract all tasks.
 package health
 
--- a/internal/idempotency/keys.go
+++ b/internal/idempotency/keys.go
@@ -8,7 +8,7 @@
 
 const rowPrefix = "key/"
 
-// keyHash returns the name of a key within its shard.
+// keyHash returns the hash under which a service's key is stored in its shard.
 func keyHash(service, key string) string {
 	sum := sha256.Sum256([]byte(service + "\x00" + key))
 	return hex.EncodeToString(sum[:16])
@@ -18,8 +18,8 @@
 
 func rowKey(shard, hash string) string { return shardPrefix(shard) + hash }
 
-// segmentKey returns the name of an object with keys that were written during
-// an outage.
+// segmentKey returns the object key of the n-th segment of an epoch. A segment
+// holds the records of one write during an outage of the table.
 func segmentKey(shard string, epoch uint64, n int) string {
 	return fmt.Sprintf("keys/%s/%d/%d", shard, epoch, n)
 }
--- a/internal/idempotency/shard.go
+++ b/internal/idempotency/shard.go
@@ -12,9 +12,9 @@
 	held    ownership.HeldShard
 	ready   bool
 	records map[string]*Record
-	// dirty holds the names of records to be written to the table.
+	// dirty holds the hashes of records to be written to the table.
 	dirty map[string]bool
-	// removed holds the names of rows to be deleted.
+	// removed holds the hashes of rows to be deleted.
 	removed map[string]bool
 	// segments is the number of objects written during outages.
 	segments int
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -31,7 +31,7 @@
 	proxy  *standin.Proxy
 }
 
-// noOwner is the Ownership of an instance that knows no owner.
+// noOwner implements Ownership for an instance that does not know the owner of the cell.
 type noOwner struct{ store *store.Monitored }
 
 func (o noOwner) Ping(*cellpb.PingRequest) *cellpb.PingReply {
@@ -180,7 +180,8 @@
 	}
 }
 
-// The repetition of a stored job must not be refused: a refusal means that the job never runs.
+// The resubmission of a stored job must not be refused, because a refusal guarantees to the caller
+// that the job never runs.
 func TestResubmissionOfAStoredJobIsNotRefused(t *testing.T) {
 	instance := newInstances(t, "edge-0")[0]
 	if err := instance.submit(t, "00000000000000dd"); err != nil {
@@ -188,11 +189,11 @@
 	}
 	instance.intake.UpdateBacklogs([]admission.Backlog{{Service: "desk", Priority: 0, Wait: time.Hour}})
 	if err := instance.submit(t, "00000000000000dd"); err != nil {
-		t.Errorf("the repeat: %v", err)
+		t.Errorf("the resubmission was refused: %v", err)
 	}
 	err := instance.submit(t, "00000000000000ee")
 	if !fault.Is(err, fault.Overloaded) || fault.From(err).Answer().RetryAfter <= 0 {
-		t.Errorf("a new job beside a backlog: %v, want a refusal with a retry delay", err)
+		t.Errorf("a new job during a backlog: %v, want a refusal with a retry delay", err)
 	}
 	if instance.jobKnown(t, "00000000000000ee") {
 		t.Error("the refused job is stored")
--- a/internal/job/objective.go
+++ b/internal/job/objective.go
@@ -11,8 +11,8 @@
 	return time.Duration(r.Stretch*float64(r.criticalPath())) + r.Target
 }
 
-// criticalPath returns the duration of the longest criticalPath of dependent steps, if all tasks of
-// a step start at once.
+// criticalPath returns the duration of the longest path of dependent steps, if all tasks of a step
+// start at once.
 func (r *Record) criticalPath() time.Duration {
 	ends := make([]time.Duration, len(r.Steps))
 	longest := time.Duration(0)
--- a/internal/job/progress.go
+++ b/internal/job/progress.go
@@ -7,8 +7,8 @@
 	// Final is the job's final state, or empty while the job is active.
 	Final State `cbor:"1,keyasint,omitempty"`
 	// EndedAtMillis is the wall-clock time at which the job reached its final state. The
-	// job's rows are removed some time after it.
+	// retention period of the job's rows starts at this time.
 	EndedAtMillis int64 `cbor:"2,keyasint,omitempty"`
-	// Stages lists the stages that have state to keep.
+	// Stages lists the stages of which a task is done, has failed or has written a checkpoint.
 	Stages []StageProgress `cbor:"3,keyasint,omitempty"`
 }
--- a/internal/load/settings.go
+++ b/internal/load/settings.go
@@ -1,6 +1,7 @@
 // Package load sends requests at a fixed rate, whether or not earlier ones
-// have been answered, and measures from the time at which each was meant to be
-// sent. A slow system then cannot hide its waiting by slowing the sender down.
+// have been answered, and measures latencies from the scheduled send times. A
+// slow system therefore cannot hide latency by slowing down the sender
+// (coordinated omission).
 package load
 
 import "time"
--- a/internal/owner/tracker.go
+++ b/internal/owner/tracker.go
@@ -158,7 +158,7 @@
 	return t.Tick(now, mayAct)
 }
 
-// Tick changes the state of an unresponsive worker to Silent and then to Lost.
+// Tick changes the state of an unresponsive worker to Unresponsive and then to Lost.
 // It returns whether the state changed.
 //
 // Lost means that nothing can be running there: all leases of this owner and of
--- a/internal/owner/tracker_test.go
+++ b/internal/owner/tracker_test.go
@@ -119,7 +119,7 @@
 	r.expectRunning(0)
 }
 
-// TestLostOnlyAfterLeases: a worker that stops answering is first Silent, and
+// TestLostOnlyAfterLeases: a worker that stops answering is first Unresponsive, and
 // Lost only once no lease can be running, and only to an owner that may act.
 func TestLostOnlyAfterLeases(t *testing.T) {
 	r := newRig(t)
--- a/internal/packed/text.go
+++ b/internal/packed/text.go
@@ -1,4 +1,4 @@
-// Package packed compresses texts of callers for transfer between instances and for the store.
+// Package packed compresses texts from callers for transfer between instances and for the store.
 // An owner on a slow link receives each text twice and forwards it to each relay that starts a
 // task. Compression reduces a text to half its length or less.
 package packed
--- a/internal/platform/settle.go
+++ b/internal/platform/settle.go
@@ -14,7 +14,7 @@
 // A write may take effect although its response is lost; a plain retry would then fail with
 // a conflict against its own first attempt. CommitWithRetry repeats the same conditional
 // transaction, so at most one attempt takes effect. On a conflict after an unknown outcome it
-// looks for the id of tx in the rows that tx put. tx must therefore put at least one row that
+// searches for the id of tx in the rows that tx put. tx must therefore put at least one row that
 // no other writer overwrites immediately.
 func CommitWithRetry(ctx context.Context, t Table, tx Tx) error {
 	outcomeUnknown := false
--- a/internal/relay/link_frames.go
+++ b/internal/relay/link_frames.go
@@ -79,8 +79,8 @@
 
 var errBadReport = errors.New("report refers to a run that the previous report does not contain")
 
-// handleReply passes a reply to the call that waits for it, and records what it says about
-// the relay.
+// handleReply passes a reply to the call that waits for it, and updates the state of the
+// link from it.
 func (l *Link) handleReply(r *reply, known reportCodec) error {
 	var got result
 	got.err = r.err()
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -29,8 +29,8 @@
 	// routes holds the ranked relays of each worker.
 	routes map[string][]cellpeer.Instance
 	links  map[string]*Link
-	// backoffs and detours hold, by instance and by worker, which relays are not used for a
-	// while.
+	// backoffs holds, by instance, the relays that are temporarily unused, and detours, by
+	// worker, the relay that is temporarily unused for this worker.
 	backoffs map[string]backoff
 	detours  map[string]detour
 }
@@ -176,8 +176,8 @@
 	return got.tickets, true, got.err
 }
 
-// ConfirmedBy returns the relays that have accepted a request of the term made at or after
-// since; they knew of no later term then.
+// ConfirmedBy returns the relays that have accepted a request of the term that was
+// made at or after since. They knew of no later term at that time.
 func (p *Pool) ConfirmedBy(term uint64, since time.Time) []string {
 	var names []string
 	for _, l := range p.allLinks() {
--- a/internal/routing/limits.go
+++ b/internal/routing/limits.go
@@ -4,9 +4,9 @@
 
 // The limits of queues, retries and ejection.
 const (
-	// queuePerSlot bounds the queue of a pool to this multiple of its slots.
+	// queuePerSlot is the maximum number of queued requests of a pool per slot.
 	queuePerSlot = 4
-	// minQueueLength is the queue bound of a pool with few slots or none.
+	// minQueueLength is the lower limit of the queue bound, for pools with few slots or none.
 	minQueueLength = 16
 	// retryRatio is the number of retries that each request adds to the retry budget, and
 	// retryBurst the maximum of the budget.
--- a/internal/routing/worker_info.go
+++ b/internal/routing/worker_info.go
@@ -7,7 +7,7 @@
 	// Epoch is sent with each request; the worker refuses requests with a lower epoch.
 	Epoch uint64
 	Slots int
-	// OlderRequests is the number of slots held by requests of earlier owners.
+	// OlderRequests is the number of slots held by requests of previous owners.
 	OlderRequests int
 	// Services lists the services with a running replica, sorted by name.
 	Services []string
--- a/internal/spec/kind.go
+++ b/internal/spec/kind.go
@@ -1,6 +1,6 @@
 package spec
 
-// Kind tells how the tasks of a workload behave.
+// Kind determines how the tasks of a workload are run.
 type Kind string
 
 // The kinds of workload.
--- a/internal/spec/problem.go
+++ b/internal/spec/problem.go
@@ -7,7 +7,7 @@
 	// Line and Column count from 1.
 	Line   int `json:"line"`
 	Column int `json:"column"`
-	// Message says what is wrong and what is allowed.
+	// Message describes the mistake and what is allowed instead.
 	Message string `json:"message"`
 }
 
--- a/internal/spec/start.go
+++ b/internal/spec/start.go
@@ -1,6 +1,6 @@
 package spec
 
-// Start tells when a batch or job runs.
+// Start determines when a batch or job runs.
 type Start string
 
 // The starts.
--- a/internal/store/recovery_probe_test.go
+++ b/internal/store/recovery_probe_test.go
@@ -26,7 +26,7 @@
 	return 1, err
 }
 
-// Guards against callers that are refused for 0.75 s after the end of an outage.
+// Guards against refusing calls for 0.75 s after the end of an outage.
 func TestRecoveryIsDetectedSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/upkeep/doc.go
+++ b/internal/upkeep/doc.go
@@ -1,6 +1,6 @@
 // Package upkeep plans the maintenance of machines in waves. An operator names the
 // machines of a wave, the time in which all of them should be maintained, and how many
-// may be down at once. Maintenance ends everything that runs on its machine, so the
+// may be down at once. Maintenance terminates all tasks on the machine, so the
 // worker there is evacuated first.
 //
 // The flow: a Source lists the waves. The owner of the cell keeps a Tracker for each
--- a/internal/worker/agent.go
+++ b/internal/worker/agent.go
@@ -2,8 +2,8 @@
 // Package httpwire implements it over HTTP.
 //
 // The agent enforces ownership: it remembers the highest epoch that it has seen and rejects
-// messages with a lower one. A superseded owner therefore cannot do harm, even if it was
-// frozen and its messages arrive late.
+// messages with a lower one. Messages of a superseded owner therefore have no effect, even if
+// it was suspended and they arrive late.
 package worker
 
 import "context"
--- a/internal/worker/task_status.go
+++ b/internal/worker/task_status.go
@@ -8,7 +8,8 @@
 	Workload string          `json:"workload"`
 	State    TaskState       `json:"state"`
 	Need     resource.Amount `json:"need"`
-	Service  bool            `json:"service,omitempty"`
+	// Service means that the task serves requests and does not end on its own.
+	Service bool `json:"service,omitempty"`
 	// Used is the measured usage, which is some seconds old.
 	Used resource.Amount `json:"used"`
 	// Result is the output of the task, at most a few KiB.
