--- a/internal/fairness/token_bucket.go
+++ b/internal/fairness/token_bucket.go
@@ -23,12 +23,12 @@
 	if rate <= 0 {
 		return true
 	}
-	most := max(rate, 1)
+	capacity := max(rate, 1)
 	switch {
 	case b.refilledAt.IsZero():
-		b.tokens, b.refilledAt = most, at
+		b.tokens, b.refilledAt = capacity, at
 	case at.After(b.refilledAt):
-		b.tokens = min(most, b.tokens+rate*at.Sub(b.refilledAt).Seconds())
+		b.tokens = min(capacity, b.tokens+rate*at.Sub(b.refilledAt).Seconds())
 		b.refilledAt = at
 	}
 	if b.tokens < 1 {
--- a/internal/load/generator.go
+++ b/internal/load/generator.go
@@ -41,10 +41,10 @@
 func NewGenerator(s Settings) *Generator {
 	transport := http.DefaultTransport.(*http.Transport).Clone()
 	transport.Proxy = nil
-	transport.MaxIdleConnsPerHost = s.MostOpen
+	transport.MaxIdleConnsPerHost = s.MaxOpen
 	return &Generator{
 		settings: s, client: &http.Client{Transport: transport, Timeout: s.Timeout},
-		body: bytes.Repeat([]byte("x"), s.BodySize), open: make(chan struct{}, s.MostOpen),
+		body: bytes.Repeat([]byte("x"), s.BodySize), open: make(chan struct{}, s.MaxOpen),
 		histogram: hdrhistogram.New(lowestMicros, highestMicros, digits), answers: map[string]int64{},
 	}
 }
--- a/internal/load/settings.go
+++ b/internal/load/settings.go
@@ -20,6 +20,6 @@
 	BodySize int
 	// Keys gives each request its own idempotency key.
 	Keys bool
-	// MostOpen bounds the requests under way; more are counted as not sent.
-	MostOpen int
+	// MaxOpen bounds the requests under way; more are counted as not sent.
+	MaxOpen int
 }
--- a/internal/patience/adaptive_timeout.go
+++ b/internal/patience/adaptive_timeout.go
@@ -21,7 +21,7 @@
 // ObserveAnswer records the latency of an answered call.
 func (t *AdaptiveTimeout) ObserveAnswer(took time.Duration) { t.observe(took, t.settings.AnswerWeight) }
 
-// ObserveTimeout records a call that was abandoned without an answer after the given time.
+// ObserveTimeout records a call that timed out after the given time.
 func (t *AdaptiveTimeout) ObserveTimeout(after time.Duration) {
 	t.observe(after, t.settings.TimeoutWeight)
 }
@@ -39,8 +39,8 @@
 
 // LimitWith returns the timeout for a given factor and minimum in place of those in the
 // settings: factor times the average latency, at least least and at most Settings.Max.
-func (t *AdaptiveTimeout) LimitWith(factor float64, least time.Duration) time.Duration {
+func (t *AdaptiveTimeout) LimitWith(factor float64, minimum time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return min(max(time.Duration(factor*float64(t.average)), least), t.settings.Max)
+	return min(max(time.Duration(factor*float64(t.average)), minimum), t.settings.Max)
 }
