--- a/internal/catalog/queue.go
+++ b/internal/catalog/queue.go
@@ -8,7 +8,8 @@
 	"gentianstand/internal/job"
 )
 
-// Queue is an entry point for jobs and the policy that accepted jobs get.
+// Queue is an entry point for requests and jobs. It determines the policy of the jobs that it
+// accepts.
 type Queue struct {
 	Name string
 	// Host and PathPrefix select the queue of a request.
@@ -20,7 +21,7 @@
 	Public bool
 	// Timeout bounds one request to the queue.
 	Timeout time.Duration
-	// The policy of accepted jobs; see job.Record.
+	// The remaining fields are the policy of accepted jobs; see job.Record.
 	Priority    int
 	MaxAttempts int
 	Stretch     float64
--- a/internal/dev/settings.go
+++ b/internal/dev/settings.go
@@ -3,14 +3,14 @@
 // trying out gentianstand; the serve command does not use it.
 package dev
 
-// Settings is how large the system is.
+// Settings configures the system.
 type Settings struct {
 	Instances int
 	Workers   int
-	// WorkersPerRack groups workers into racks, one availability zone each
-	// in turn.
+	// WorkersPerRack is the number of workers in each rack. Racks are
+	// assigned to the availability zones in turn.
 	WorkersPerRack int
 	LogLevel       string
-	// OperatorToken, if not empty, must come with operators' calls.
+	// OperatorToken, if not empty, is required in operators' calls.
 	OperatorToken string
 }
--- a/internal/estimate/history.go
+++ b/internal/estimate/history.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// RecordOveruse records usage of a running task above what it was given. It has
-// full confidence at once, because waiting for more tasks to exceed their size
-// has no benefit.
+// RecordOveruse records usage of a running task above its declared size. One
+// observation gives full confidence, because waiting for more tasks to exceed
+// their size has no benefit.
 func (h *History) RecordOveruse(used resource.Amount) { h.overuse = h.overuse.Max(used) }
 
 // RunTime returns a run time that most tasks do not exceed, and the confidence
@@ -70,7 +70,7 @@
 	return peak, float64(n) / float64(n+halfConfidenceRuns)
 }
 
-// declaredConfidence is the confidence in a mere declaration.
+// declaredConfidence is the confidence in a declaration without any history.
 // halfConfidenceRuns is the number of completed tasks after which the
 // confidence in history is 0.5.
 const (
--- a/internal/fault/error.go
+++ b/internal/fault/error.go
@@ -13,10 +13,10 @@
 	Kind Kind
 	// Message is for people; it names the location of the problem and what is allowed there.
 	Message string
-	// RetryAfter overrides the value of the table if it is not zero.
+	// RetryAfter overrides the retry delay of Kind (see AnswerFor) if it is not zero.
 	RetryAfter time.Duration
-	// Outcome overrides the value of the table if it is not empty, for errors about which more
-	// is known than the kind alone implies.
+	// Outcome overrides the outcome of Kind if it is not empty, for errors about which more is
+	// known than the kind alone implies.
 	Outcome Outcome
 	cause   error
 }
@@ -48,7 +48,7 @@
 	return &c
 }
 
-// Answer returns the answer of the table with the values that this error overrides.
+// Answer returns the answer for the kind with the values that this error overrides.
 func (e *Error) Answer() Answer {
 	a := AnswerFor(e.Kind)
 	if e.RetryAfter > 0 {
--- a/internal/health/tracker.go
+++ b/internal/health/tracker.go
@@ -7,9 +7,8 @@
 
 // Rules for quarantine.
 const (
-	// blameAfter is the number of failures on a worker, without a success in
-	// between, that put it into quarantine. Only failures that blame counts are
-	// considered.
+	// blameAfter is the number of consecutive failures after which a worker is
+	// quarantined. Only the failures that blame counts are considered.
 	blameAfter = 3
 	// minQuarantine is the duration of the first quarantine; it doubles with
 	// each further one.
@@ -52,7 +51,7 @@
 //
 // A workload that has failed on several workers is itself faulty, so its
 // failures are not counted against a worker. Otherwise the worker is
-// quarantined after blameAfter failed tasks without a success in between. A
+// quarantined after blameAfter consecutive failed tasks. A
 // worker on probation is quarantined at the first failure.
 func (t *Tracker) RecordFailure(worker, workload string, now time.Time) bool {
 	failedOn := t.workloads[workload]
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -48,7 +48,7 @@
 // the store.
 var errOutage = fmt.Errorf("%w: it serves no instance now", store.ErrUnavailable)
 
-// Intake accepts, cancels and reports jobs of callers.
+// Intake accepts and cancels jobs for callers, and returns their state.
 type Intake struct {
 	jobs      *celljobs.Jobs
 	store     *store.Monitored
--- a/internal/job/record.go
+++ b/internal/job/record.go
@@ -24,8 +24,8 @@
 	// MaxAttempts is the number of failed runs after which a task fails, and with it the
 	// job.
 	MaxAttempts int `cbor:"5,keyasint,omitempty"`
-	// Stretch is the factor on the ideal duration in the objective: Stretch times the
-	// ideal duration, plus Target.
+	// Stretch and Target define the objective for the duration of the job: Stretch times
+	// its ideal duration, plus Target.
 	Stretch float64 `cbor:"6,keyasint,omitempty"`
 	// Target is the part of the objective that does not depend on the work.
 	Target time.Duration `cbor:"7,keyasint,omitempty"`
@@ -45,7 +45,7 @@
 	// Submission is a random number for each submission by a caller. With it an instance
 	// can distinguish the record that it wrote from that of a repeated submission.
 	Submission uint64 `cbor:"14,keyasint,omitempty"`
-	// Ended reports that the job ended some time ago and that its spec and steps were
+	// Ended means that the job ended some time ago and that its spec and steps were
 	// dropped. The remaining record only prevents a delayed repeat of the submission from
 	// running.
 	Ended bool `cbor:"15,keyasint,omitempty"`
--- a/internal/load/settings.go
+++ b/internal/load/settings.go
@@ -6,10 +6,10 @@
 
 import "time"
 
-// Settings is what to send.
+// Settings configures the load.
 type Settings struct {
-	// Servers are the instances (host:port), used in turn like behind a
-	// balancer.
+	// Servers are the instances (host:port), used in turn, as behind a
+	// load balancer.
 	Servers  []string
 	Service  string
 	Path     string
@@ -20,6 +20,6 @@
 	BodySize int
 	// Keys gives each request its own idempotency key.
 	Keys bool
-	// MaxOpen bounds the requests under way; more are counted as not sent.
+	// MaxOpen bounds the requests in progress; further ones are counted as not sent.
 	MaxOpen int
 }
--- a/internal/roster/worker.go
+++ b/internal/roster/worker.go
@@ -16,7 +16,7 @@
 	Address     string
 	Zone        string
 	Service     string
-	// Draining reports that the worker accepts no new tasks and will leave.
+	// Draining means that the worker accepts no new tasks and will leave.
 	Draining bool
 	// Remaining is the minimum time for which a draining worker stays.
 	Remaining time.Duration
