--- a/internal/placement/batch/batch.go
+++ b/internal/placement/batch/batch.go
@@ -18,8 +18,8 @@
 // Policy is best fit over all dimensions. It implements policy.Policy.
 type Policy struct{}
 
-// Place chooses the worker that the task leaves with the least free capacity; among equal
-// workers the first.
+// Place chooses the worker with the lowest Score, and the first of several workers with equal
+// scores.
 func (Policy) Place(c *cluster.Cluster, req policy.Request) policy.Decision {
 	best := -1
 	var lowest int64
--- a/internal/placement/gang/gang.go
+++ b/internal/placement/gang/gang.go
@@ -29,7 +29,7 @@
 }
 
 // Place chooses a worker for each task, or none at all. If one rack can hold the whole gang,
-// the rack with the least capacity to spare is used. Otherwise the largest racks are filled
+// the rack with the least spare capacity is used. Otherwise the largest racks are filled
 // first, so that the gang spans the fewest racks.
 func (Policy) Place(c *cluster.Cluster, req policy.Request) policy.Decision {
 	want := int64(req.Tasks)
@@ -78,7 +78,7 @@
 	return b
 }
 
-// tightest returns the rack that holds the gang with the least to spare, or -1 if no single
+// tightest returns the rack that holds the gang with the least spare capacity, or -1 if no single
 // rack can hold it.
 func tightest(racks []rackSlots, want int64) int {
 	best := -1
--- a/internal/placement/order/item.go
+++ b/internal/placement/order/item.go
@@ -14,7 +14,7 @@
 	LatestStart time.Time
 	// ReadySince is when the work became ready.
 	ReadySince time.Time
-	// Service means that the tasks answer requests, for which people wait.
+	// Service means that the tasks serve requests, whose callers wait for the responses.
 	Service bool
 	// Gang means that the tasks must start together.
 	Gang bool
--- a/internal/placement/preempt/victim.go
+++ b/internal/placement/preempt/victim.go
@@ -28,8 +28,8 @@
 	Repeatable bool
 }
 
-// loss is the work that stopping the task would lose, in milli-core-milliseconds. Borrowed
-// resources count a quarter.
+// loss is the work that stopping the task would lose, in milli-core-milliseconds. For
+// borrowed resources it is divided by 4.
 func (v Victim) loss() int64 {
 	cores := v.Need.MilliCPU + 1
 	loss := cores * (v.SinceCheckpoint.Milliseconds() + 1)
--- a/internal/placement/service/service.go
+++ b/internal/placement/service/service.go
@@ -32,7 +32,7 @@
 }
 
 // Place chooses the worker in the zone, rack and node with the fewest replicas, as far as the
-// spread of the request demands; among equal workers the tightest fit, then the first. Racks
+// spread of the request requires it. Ties go to the tightest fit, then to the first worker. Racks
 // that cannot contain a better worker than the best found so far are skipped.
 func (Policy) Place(c *cluster.Cluster, req policy.Request) policy.Decision {
 	counts := c.Counts(req.Workload)
