--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,4 +1,4 @@
-// Package client implements the HTTP API client that the operators' commands use.
+// Package client implements the client for the HTTP API of an instance that operators' commands use.
 package client
 
 import (
--- a/internal/command/load.go
+++ b/internal/command/load.go
@@ -29,13 +29,13 @@
 	s.DurationVar(&c.Timeout, "timeout", 5*time.Second, "timeout of each request")
 	s.IntVar(&c.BodySize, "body", 0, "size of the body in bytes")
 	s.BoolVar(&c.Keys, "keys", false, "give each request its own idempotency key")
-	s.IntVar(&c.MaxOpen, "most-open", 10_000, "maximum number of requests in progress; further ones are counted as not sent")
+	s.IntVar(&c.MostOpen, "most-open", 10_000, "maximum number of requests in progress; further ones are counted as not sent")
 	s.Check("service", "the name of a service", func() bool { return c.Service != "" })
 	s.Check("rate", "above 0, at most 1000000", func() bool { return c.Rate > 0 && c.Rate <= 1e6 })
 	s.Check("duration", "above 0", func() bool { return c.Duration > 0 })
 	s.Check("timeout", "above 0", func() bool { return c.Timeout > 0 })
 	s.Check("body", "0 to 67108864", func() bool { return c.BodySize >= 0 && c.BodySize <= 64<<20 })
-	s.Check("most-open", "above 0", func() bool { return c.MaxOpen > 0 })
+	s.Check("most-open", "above 0", func() bool { return c.MostOpen > 0 })
 	if code, done := parse(s, args, std); done {
 		return code
 	}
--- a/internal/dev/settings.go
+++ b/internal/dev/settings.go
@@ -1,16 +1,16 @@
 // Package dev runs a whole system in one process: a platform in memory, entry
-// instances and simulated workers, each on a loopback port. It is meant for
-// trying out gentianstand; the serve command does not use it.
+// instances and workers that only pretend, each on a loopback port. It is for
+// trying gentianstand out; nothing of it is used by serve.
 package dev
 
-// Settings configures the system.
+// Settings is how large the system is.
 type Settings struct {
 	Instances int
 	Workers   int
-	// WorkersPerRack is the number of workers in each rack. Racks are
-	// assigned to the availability zones in turn.
+	// WorkersPerRack groups workers into racks, one availability zone each
+	// in turn.
 	WorkersPerRack int
 	LogLevel       string
-	// OperatorToken, if not empty, is required in operators' calls.
+	// OperatorToken, if not empty, must come with operators' calls.
 	OperatorToken string
 }
--- a/internal/instance/module.go
+++ b/internal/instance/module.go
@@ -46,7 +46,7 @@
 			newIdentity, newPlatform, newMetrics, newSession, newLazyView,
 			membership.NewElector, config.NewCurrent, config.NewStore, routing.NewRouter,
 			newTrail, newDirectory, newConfigFollower, newHub, newPlannerClient, newOwner,
-			newPlanner, newRegistry, newListener, newKeeper, newEntry, peer.NewServer, newProcess, newServers, newLazyShards,
+			newPlanner, newRegister, newListener, newKeeper, newEntry, peer.NewServer, newProcess, newServers, newLazyShards,
 		),
 		fx.Invoke(registerGauges, run),
 	)
@@ -117,11 +117,11 @@
 }
 
 func newPlanner(table platform.Table, objects platform.Objects, hub *peer.Hub, session *membership.Session, v *lazyView, d *directory, current *config.Current, set *metrics.Set, log *logrus.Entry) *planner.Planner {
-	environment := planner.Environment{View: v.get, Directory: d.instances, Config: current}
-	return planner.New(table, objects, hub, session, environment, set, log)
+	around := planner.Environment{View: v.get, Directory: d.instances, Config: current}
+	return planner.New(table, objects, hub, session, around, set, log)
 }
 
-func newRegistry(process live.Process, timing membership.Timing, table platform.Table, objects platform.Objects, session *membership.Session, set *metrics.Set, log *logrus.Entry) *idempotency.Registry {
+func newRegister(process live.Process, timing membership.Timing, table platform.Table, objects platform.Objects, session *membership.Session, set *metrics.Set, log *logrus.Entry) *idempotency.Registry {
 	return idempotency.NewRegistry(process, timing, table, objects, session, set, log)
 }
 
--- a/internal/load/generator.go
+++ b/internal/load/generator.go
@@ -41,10 +41,10 @@
 func NewGenerator(s Settings) *Generator {
 	transport := http.DefaultTransport.(*http.Transport).Clone()
 	transport.Proxy = nil
-	transport.MaxIdleConnsPerHost = s.MaxOpen
+	transport.MaxIdleConnsPerHost = s.MostOpen
 	return &Generator{
 		settings: s, client: &http.Client{Transport: transport, Timeout: s.Timeout},
-		body: bytes.Repeat([]byte("x"), s.BodySize), open: make(chan struct{}, s.MaxOpen),
+		body: bytes.Repeat([]byte("x"), s.BodySize), open: make(chan struct{}, s.MostOpen),
 		histogram: hdrhistogram.New(lowestMicros, highestMicros, digits), answers: map[string]int64{},
 	}
 }
--- a/internal/load/settings.go
+++ b/internal/load/settings.go
@@ -1,15 +1,14 @@
 // Package load sends requests at a fixed rate, whether or not earlier ones
-// have been answered, and measures latencies from the scheduled send times. A
-// slow system therefore cannot hide latency by slowing down the sender
-// (coordinated omission).
+// have been answered, and measures from the time at which each was meant to be
+// sent. A slow system then cannot hide its waiting by slowing the sender down.
 package load
 
 import "time"
 
-// Settings configures the load.
+// Settings is what to send.
 type Settings struct {
-	// Servers are the instances (host:port), used in turn, as behind a
-	// load balancer.
+	// Servers are the instances (host:port), used in turn like behind a
+	// balancer.
 	Servers  []string
 	Service  string
 	Path     string
@@ -20,6 +19,6 @@
 	BodySize int
 	// Keys gives each request its own idempotency key.
 	Keys bool
-	// MaxOpen bounds the requests in progress; further ones are counted as not sent.
-	MaxOpen int
+	// MostOpen bounds the requests under way; more are counted as not sent.
+	MostOpen int
 }
--- a/internal/spec/kind.go
+++ b/internal/spec/kind.go
@@ -1,6 +1,6 @@
 package spec
 
-// Kind determines how the tasks of a workload are run.
+// Kind tells how the tasks of a workload behave.
 type Kind string
 
 // The kinds of workload.
--- a/internal/spec/workload.go
+++ b/internal/spec/workload.go
@@ -20,10 +20,10 @@
 	// (batch runs and jobs) before this one starts.
 	DependsOn []string `json:"depends_on,omitempty"`
 	Command   []string `json:"command,omitempty"`
-	// Idempotent means that a task may be executed again after an attempt
-	// whose end is unknown; the default is true. For a service it applies
-	// to every request, and the default is false: the request's method then
-	// decides (RFC 9110, section 9.2.2).
+	// Idempotent says that a task may be executed again after an attempt
+	// whose end is unknown; true unless the text says otherwise. For a
+	// service it says so of every request, and is false unless stated: then
+	// the request's method decides (RFC 9110, section 9.2.2).
 	Idempotent bool `json:"idempotent"`
 	// Retries is how many more attempts a failed task gets.
 	Retries int `json:"retries"`
--- a/test/e2e/cost_test.go
+++ b/test/e2e/cost_test.go
@@ -189,7 +189,7 @@
 				s.measure(b, func() {
 					r := load.NewGenerator(load.Settings{
 						Servers: servers, Service: "casedesk", Path: "x", Method: http.MethodGet,
-						Rate: rate, Duration: window, Timeout: 5 * time.Second, MaxOpen: 2000,
+						Rate: rate, Duration: window, Timeout: 5 * time.Second, MostOpen: 2000,
 					}).Run(b.Context())
 					b.ReportMetric(r.P50, "p50-ms")
 					b.ReportMetric(r.P99, "p99-ms")
