--- a/internal/cell/commit.go
+++ b/internal/cell/commit.go
@@ -5,10 +5,10 @@
 // Commit is a batch of job progress and worker chunks to store in one transaction.
 type Commit struct {
 	Items []CommitItem
-	// Chunks are the chunks of known workers that have changed.
+	// Chunks are those chunks of the list of known workers whose content has changed.
 	Chunks []WorkerChunk
-	// acks are, for each worker incarnation, the ends that may be acknowledged once the
-	// transaction is stored.
+	// acks holds, for each worker incarnation, the highest sequence number of the ends that may
+	// be acknowledged once the transaction is stored.
 	acks map[*incarnationState]uint64
 }
 
@@ -24,7 +24,7 @@
 	commit := &Commit{Chunks: c.takeChunks(), acks: map[*incarnationState]uint64{}}
 	c.takeDirty(commit, limit, true)
 	c.takeDirty(commit, limit, false)
-	if len(c.dirtyJobs) > 0 || !c.fenced {
+	if len(c.dirtyJobs) > 0 || !c.previousOwnerFenced {
 		return commit
 	}
 	// No dirty job is left, so this commit and those before it cover all ends seen so far.
@@ -45,15 +45,16 @@
 			continue
 		}
 		delete(c.dirtyJobs, j)
-		commit.Items = append(commit.Items, CommitItem{Job: j.record.ID, Progress: j.progress(), state: j})
+		commit.Items = append(commit.Items, CommitItem{Job: j.record.ID, Progress: j.progress(), jobState: j})
 	}
 }
 
 // acknowledgeAll acknowledges all ends seen so far, as all of them are stored. It does nothing
-// while an overtaken owner may still act: if the worker crashed, that owner would treat the
-// run as lost and restart the task after its success was acknowledged.
+// while a superseded owner may still act. Otherwise, if a worker crashed after the
+// acknowledgement of an end, the superseded owner could treat the run as lost and restart a
+// task that has succeeded.
 func (c *Cell) acknowledgeAll() {
-	if !c.fenced {
+	if !c.previousOwnerFenced {
 		return
 	}
 	for _, w := range c.workers {
@@ -67,12 +68,12 @@
 	defer c.mu.Unlock()
 	for _, item := range commit.Items {
 		if item.Progress.Final != "" {
-			item.state.storedState = item.Progress.Final
+			item.jobState.storedState = item.Progress.Final
 		}
 	}
 	c.chunksStored(commit.Chunks)
-	for of, seen := range commit.acks {
-		of.ackedEnd = max(of.ackedEnd, seen)
+	for incarnation, seen := range commit.acks {
+		incarnation.ackedEnd = max(incarnation.ackedEnd, seen)
 	}
 }
 
@@ -85,12 +86,12 @@
 		c.dirtyChunks.numbers[chunk.Number] = struct{}{}
 	}
 	for _, item := range commit.Items {
-		c.dirtyJobs[item.state] = struct{}{}
+		c.dirtyJobs[item.jobState] = struct{}{}
 	}
 }
 
-// RemoveExpired deletes jobs that ended more than keep ago from memory and returns at most
-// limit of their ids, so that the caller can delete their rows.
+// RemoveExpired removes from memory at most limit jobs that ended more than keep ago. It
+// returns their ids, so that the caller can delete their rows.
 func (c *Cell) RemoveExpired(keep time.Duration, now time.Time, limit int) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cell/model_test.go
+++ b/internal/cell/model_test.go
@@ -15,7 +15,7 @@
 )
 
 // TestModel runs random sequences of lost, late and answered orders and polls, ends, worker
-// crashes, failed commits and take-overs with the superseded owner still acting. After each step it
+// crashes, failed commits and takeovers with the superseded owner still acting. After each step it
 // checks that no task runs twice, that none runs again after its success was acknowledged, and that
 // no worker exceeds its capacity and no workspace its quota. At the end all faults are ended, and
 // all jobs must complete.
@@ -153,7 +153,7 @@
 func (m *model) anyOwner() *modelOwner {
 	if n := len(m.owners); n > 1 {
 		before := m.owners[n-2]
-		if !before.stopped && m.now.Sub(m.current().since) < overtakenOwnerLimit && rapid.Bool().Draw(m.rt, "superseded acts") {
+		if !before.stopped && m.now.Sub(m.current().since) < supersededOwnerLimit && rapid.Bool().Draw(m.rt, "superseded acts") {
 			return before
 		}
 	}
--- a/internal/idempotency/shard.go
+++ b/internal/idempotency/shard.go
@@ -12,9 +12,9 @@
 	held    ownership.HeldShard
 	ready   bool
 	records map[string]*Record
-	// dirty holds the names of records to be written to the table.
+	// dirty holds the hashes of records to be written to the table.
 	dirty map[string]bool
-	// removed holds the names of rows to be deleted.
+	// removed holds the hashes of rows to be deleted.
 	removed map[string]bool
 	// segments is the number of objects written during outages.
 	segments int
@@ -26,11 +26,11 @@
 
 // expire drops keys older than Retention.
 func (s *shardKeys) expire(now time.Time) {
-	for name, r := range s.records {
+	for hash, r := range s.records {
 		if now.Sub(r.At) > Retention {
-			delete(s.records, name)
-			delete(s.dirty, name)
-			s.removed[name] = true
+			delete(s.records, hash)
+			delete(s.dirty, hash)
+			s.removed[hash] = true
 		}
 	}
 }
--- a/internal/spec/problem.go
+++ b/internal/spec/problem.go
@@ -7,7 +7,7 @@
 	// Line and Column start at 1.
 	Line   int `json:"line"`
 	Column int `json:"column"`
-	// Message describes the mistake and what is allowed.
+	// Message describes the mistake and what is allowed instead.
 	Message string `json:"message"`
 }
 
