--- a/internal/command/load.go
+++ b/internal/command/load.go
@@ -58,6 +58,6 @@
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		fmt.Fprintf(std.Out, " %-24s %d\n", name, r.Answers[name])
+		fmt.Fprintf(std.Out, "  %-24s %d\n", name, r.Answers[name])
 	}
 }
--- a/test/e2e/cost_test.go
+++ b/test/e2e/cost_test.go
@@ -136,9 +136,9 @@
 // measurement.
 func standingText(tasks int) string {
 	var text strings.Builder
-	text.WriteString("version: 1\nteams:\n - name: a\n quota: {cpu: 9000, memory: 20TiB}\nbatches:\n")
+	text.WriteString("version: 1\nteams:\n  - name: a\n    quota: {cpu: 9000, memory: 20TiB}\nbatches:\n")
 	for i := range 2 {
-		fmt.Fprintf(&text, " - name: standing-%d\n team: a\n tasks: %d\n resources: {cpu: 0.25, memory: 256MiB}\n command: [sleep, 10h]\n", i, tasks/2)
+		fmt.Fprintf(&text, "  - name: standing-%d\n    team: a\n    tasks: %d\n    resources: {cpu: 0.25, memory: 256MiB}\n    command: [sleep, 10h]\n", i, tasks/2)
 	}
 	return text.String()
 }
@@ -149,7 +149,7 @@
 	for _, rate := range []int{15, 50, 150} {
 		b.Run(fmt.Sprintf("starts/s=%d", rate), func(b *testing.B) {
 			s := newCostCluster(b, 9, 610)
-			s.apply(s.instances[0], standingText(7000)+" - name: short\n team: a\n tasks: 5\n resources: {cpu: 0.25, memory: 256MiB}\n command: [sleep, 1s]\n start: on-submit\n")
+			s.apply(s.instances[0], standingText(7000)+"  - name: short\n    team: a\n    tasks: 5\n    resources: {cpu: 0.25, memory: 256MiB}\n    command: [sleep, 1s]\n    start: on-submit\n")
 			s.awaitRunning(s.instances[0], "standing-0", 3500)
 			s.awaitRunning(s.instances[0], "standing-1", 3500)
 			for range b.N {
@@ -179,7 +179,7 @@
 	for _, rate := range []float64{100, 300, 1000, 3000} {
 		b.Run(fmt.Sprintf("requests/s=%g", rate), func(b *testing.B) {
 			s := newCostCluster(b, 9, 50)
-			s.apply(s.instances[0], "version: 1\nteams:\n - name: a\n quota: {cpu: 800, memory: 2TiB}\nservices:\n - name: casedesk\n team: a\n replicas: 50\n spread: worker\n resources: {cpu: 2, memory: 4GiB}\n")
+			s.apply(s.instances[0], "version: 1\nteams:\n  - name: a\n    quota: {cpu: 800, memory: 2TiB}\nservices:\n  - name: casedesk\n    team: a\n    replicas: 50\n    spread: worker\n    resources: {cpu: 2, memory: 4GiB}\n")
 			s.awaitRunning(s.instances[0], "casedesk", 50)
 			var servers []string
 			for _, inst := range s.instances {
