--- a/internal/cell/model_test.go
+++ b/internal/cell/model_test.go
@@ -112,23 +112,23 @@
 
 // takeOver begins a term. Unless its process has ended, the previous owner continues until it is
 // notified.
-func (m *model) takeOver(earlierStopped bool) {
+func (m *model) takeOver(previousStopped bool) {
 	if n := len(m.owners); n > 0 {
-		m.owners[n-1].stopped = earlierStopped
+		m.owners[n-1].stopped = previousStopped
 	}
 	for _, task := range m.unstoredEnds {
 		m.crashes[task]++
 	}
 	m.unstoredEnds = nil
 	term := uint64(len(m.owners) + 1)
-	m.rt.Logf("%v term %d taken, previous owner stopped %v", m.now.Sub(siteStart), term, earlierStopped)
-	c := New(Settings{Term: term, PreviousOwnerStopped: earlierStopped, Lease: 3500 * time.Millisecond, StopGrace: 900 * time.Millisecond, SpareWorkers: 1}, m.now, quietLog())
+	m.rt.Logf("%v term %d taken, previous owner stopped %v", m.now.Sub(siteStart), term, previousStopped)
+	c := New(Settings{Term: term, PreviousOwnerStopped: previousStopped, Lease: 3500 * time.Millisecond, StopGrace: 900 * time.Millisecond, SpareWorkers: 1}, m.now, quietLog())
 	for _, r := range m.records {
 		c.Load(r, m.stored[r.ID])
 	}
 	o := &modelOwner{cell: c, since: m.now}
 	for _, w := range m.workers {
-		if w.alive && rapid.IntRange(0, 4).Draw(m.rt, "unlisted") > 0 {
+		if w.alive && rapid.IntRange(0, 4).Draw(m.rt, "registered") > 0 {
 			c.register(w.roster, m.now)
 		}
 	}
@@ -164,7 +164,7 @@
 	o := m.anyOwner()
 	switch rapid.IntRange(0, 11).Draw(m.rt, "action") {
 	case 0:
-		m.now = m.now.Add(time.Duration(rapid.IntRange(5, 900).Draw(m.rt, "pass")) * time.Millisecond)
+		m.now = m.now.Add(time.Duration(rapid.IntRange(5, 900).Draw(m.rt, "advance")) * time.Millisecond)
 		for _, w := range m.workers {
 			w.expireLease()
 		}
@@ -191,15 +191,15 @@
 }
 
 func (m *model) rareFault() {
-	switch rapid.IntRange(0, 8).Draw(m.rt, "rare") {
+	switch rapid.IntRange(0, 8).Draw(m.rt, "rare fault") {
 	case 8:
 		m.changeQuota()
 	case 0:
-		earlierStopped := rapid.Bool().Draw(m.rt, "previous owner stopped")
-		if earlierStopped && rapid.Bool().Draw(m.rt, "handed over") {
+		previousStopped := rapid.Bool().Draw(m.rt, "previous owner stopped")
+		if previousStopped && rapid.Bool().Draw(m.rt, "handed over") {
 			m.endTerm()
 		}
-		m.takeOver(earlierStopped)
+		m.takeOver(previousStopped)
 	case 1:
 		w := m.workers[rapid.IntRange(0, len(m.workers)-1).Draw(m.rt, "crash")]
 		if w.alive {
@@ -232,11 +232,11 @@
 
 func (m *model) poll(o *modelOwner, w *modelWorker, lost bool) {
 	sentAt := m.now
-	target, look, ok := o.cell.NextPoll(w.roster.ID, sentAt)
+	target, poll, ok := o.cell.NextPoll(w.roster.ID, sentAt)
 	if !ok {
 		return
 	}
-	report, err := w.poll(target.Incarnation, look)
+	report, err := w.poll(target.Incarnation, poll)
 	m.rt.Logf("%v term %d: poll of %s, lost %v: %v %v", m.now.Sub(siteStart), o.cell.settings.Term, w.roster.ID, lost, report, err)
 	if (lost || w.repliesLost) && w.alive {
 		err = runner.ErrNoAnswer
--- a/internal/command/instance.go
+++ b/internal/command/instance.go
@@ -15,26 +15,26 @@
 	"gentianstand/platform"
 )
 
-const instanceUsage = `Runs an instance on the users' platform. Its addresses and bounds come from the
-platform's settings file; it keeps nothing of its own and runs until it gets
-SIGTERM or SIGINT, and then stops gracefully. SIGHUP has the settings file read
-and checked again.`
+const instanceUsage = `Runs an instance on the users' platform. Its addresses and limits come from the
+platform's settings file. It has no state of its own and runs until it receives
+SIGTERM or SIGINT, and then stops gracefully. On SIGHUP it reads and checks the
+settings file again and logs the result, without applying changes.`
 
-// instanceFlags are the settings of our own for this command.
+// instanceFlags are the settings of this command that are not in the platform's settings file.
 type instanceFlags struct {
 	settingsFile  string
 	logLevel      string
 	peerAdvertise string
-	without       cell.MechanismSet
+	disabled      cell.MechanismSet
 }
 
 func (f *instanceFlags) register(s *settings.Settings) {
 	s.StringVar(&f.settingsFile, "settings-file", os.Getenv(platform.SettingsVariable),
-		"path of the platform's settings file; by default what "+platform.SettingsVariable+" names")
+		"path of the platform's settings file; default: the value of "+platform.SettingsVariable+" in the environment")
 	s.StringVar(&f.logLevel, "log-level", "info", "debug, info, warn or error")
 	s.StringVar(&f.peerAdvertise, "peer-advertise", "",
-		"host:port under which other instances reach this one, if they cannot use the address that it listens on")
-	s.Var(&f.without, "without", "mechanisms of the planner to switch off, with commas between them; OPERATIONS.md lists them")
+		"host:port at which other instances reach this one, if it differs from the address it listens on")
+	s.Var(&f.disabled, "without", "planner mechanisms to switch off, separated by commas; OPERATIONS.md lists them")
 	s.Check("settings-file", "a path", func() bool { return f.settingsFile != "" })
 	s.Check("log-level", "debug, info, warn, error", func() bool {
 		return f.logLevel == "debug" || f.logLevel == "info" || f.logLevel == "warn" || f.logLevel == "error"
@@ -48,22 +48,22 @@
 	if code, done := parse(s, args, std); done {
 		return code
 	}
-	given, err := platform.ReadSettings(f.settingsFile)
+	nodeSettings, err := platform.ReadSettings(f.settingsFile)
 	if err != nil {
 		fmt.Fprintln(std.Err, err)
 		return exitUsage
 	}
-	given.PeerAdvertise = f.peerAdvertise
-	given.Disabled = f.without
-	if err := given.Validate(); err != nil {
+	nodeSettings.PeerAdvertise = f.peerAdvertise
+	nodeSettings.Disabled = f.disabled
+	if err := nodeSettings.Validate(); err != nil {
 		fmt.Fprintln(std.Err, err)
 		return exitUsage
 	}
-	log := node.NewLog(f.logLevel, given.Name, std.Out)
-	outside := node.Adapters{
-		Store: platform.NewStore(given.Store), Workers: platform.NewWorkers(), Adviser: platform.NewAdviser(given.Adviser),
+	log := node.NewLog(f.logLevel, nodeSettings.Name, std.Out)
+	adapters := node.Adapters{
+		Store: platform.NewStore(nodeSettings.Store), Workers: platform.NewWorkers(), Adviser: platform.NewAdviser(nodeSettings.Adviser),
 		Roster: platform.NewRoster, Catalogs: platform.NewCatalogs, Callers: platform.NewCallers,
-		Waves: platform.NewWaves, Fleet: platform.NewFleet(given.Fleet),
+		Waves: platform.NewWaves, Fleet: platform.NewFleet(nodeSettings.Fleet),
 	}
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
@@ -73,7 +73,7 @@
 			log.WithError(err).Info("settings_read_again")
 		}
 	}()
-	app := fx.New(node.Module(given, outside, log))
+	app := fx.New(node.Module(nodeSettings, adapters, log))
 	if err := app.Start(ctx); err != nil {
 		fmt.Fprintln(std.Err, err)
 		return exitFailed
