--- a/internal/advice/adviser.go
+++ b/internal/advice/adviser.go
@@ -1,6 +1,6 @@
-// Package advice declares the interface to the placement adviser, the service that decides which workers may run
-// a stage. The adviser handles one call at a time for each calling instance and is slow, so
-// calls are spread over all instances.
+// Package advice declares the interface to the placement adviser, the service that decides which
+// workers may run a stage. The adviser handles one call at a time for each calling instance and is
+// slow, so calls are spread over all instances.
 package advice
 
 import (
--- a/internal/cell/watch.go
+++ b/internal/cell/watch.go
@@ -10,8 +10,9 @@
 	// watchPeriod is how often the runs are checked. All of watch's limits are some 100 ms or
 	// more.
 	watchPeriod = 40 * time.Millisecond
-	// stopResendAfter is the time after which an unanswered stop is sent again. A call to a worker takes a few
-	// milliseconds. Each lost stop delays the next start of its task by this time.
+	// stopResendAfter is the time after which an unanswered stop is sent again. A call to a
+	// worker takes a few milliseconds. Each lost stop delays the next start of its task by this
+	// time.
 	stopResendAfter = 250 * time.Millisecond
 	// minStall is the least time without progress that counts as a stall. Reports arrive at
 	// least every second, and progress is reported in whole percents.
@@ -26,7 +27,8 @@
 	minFreshStall   = 800 * time.Millisecond
 	freshStallShare = 0.1
 	// slowFactor is the ratio of a run's remaining time to the duration of a fresh run
-	// elsewhere above which the run is moved. It covers the cost of stopping and the error of the estimate.
+	// elsewhere above which the run is moved. It covers the cost of stopping and the error of
+	// the estimate.
 	slowFactor = 1.6
 	// slowWorkerFactor is how many times longer than usual a run takes if its worker is
 	// probably slow. Tasks of one queue differ by a factor of up to 2.5.
--- a/internal/cellleader/links.go
+++ b/internal/cellleader/links.go
@@ -6,10 +6,11 @@
 // which this instance reaches workers through others while it owns the cell. They carry several
 // frames per second. Each frame proves as much as a ping, which it saves.
 type Links interface {
-	// ObserveTerm records that a term has an owner. Orders of earlier terms are refused from then on.
+	// ObserveTerm records that a term has an owner. Orders of earlier terms are refused from
+	// then on.
 	ObserveTerm(term uint64)
-	// OwnerLastSeen returns when the owner of a term last sent a frame to this instance, or the zero
-	// time.
+	// OwnerLastSeen returns when the owner of a term last sent a frame to this instance, or the
+	// zero time.
 	OwnerLastSeen(term uint64) time.Time
 	// ConfirmedBy returns the instances that have confirmed since the given time that they know of
 	// no later term.
--- a/internal/job/progress.go
+++ b/internal/job/progress.go
@@ -9,6 +9,7 @@
 	// EndedAtMillis is the wall-clock time at which the job reached its final state. The
 	// retention period of the job's rows starts at this time.
 	EndedAtMillis int64 `cbor:"2,keyasint,omitempty"`
-	// Stages lists the stages of which a task is done, has failed or has written a checkpoint.
+	// Stages lists the stages of which a task is done, has failed, has a checkpoint or has been
+	// started.
 	Stages []StageProgress `cbor:"3,keyasint,omitempty"`
 }
